--- a/src/bin/edge-node/clients/call_terms.rs
+++ b/crates/edge-node/src/clients/call_terms.rs
@@ -1,7 +1,7 @@
 //! The header `X-Call-Terms`: what a call costs, and which gateways its customer may come through.
 
 use super::header_value::{parse_decimal, parse_whole_number};
-use edge_node::{GatewayId, GatewaySet, Settings};
+use gateway_core::{GatewayId, GatewaySet, Settings};
 
 /// The terms of one call, all of them within the settings.
 #[derive(Debug, PartialEq)]
@@ -54,5 +54,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/call_terms.rs"]
+#[path = "../../tests/unit/call_terms.rs"]
 mod tests;
--- a/src/bin/edge-node/clients/connection_state.rs
+++ b/crates/edge-node/src/clients/connection_state.rs
@@ -70,5 +70,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/connection_state.rs"]
+#[path = "../../tests/unit/connection_state.rs"]
 mod tests;
--- a/src/bin/edge-node/clients/header_value.rs
+++ b/crates/edge-node/src/clients/header_value.rs
@@ -1,7 +1,7 @@
 //! Values of the headers and path segments of a client's request. Each is parsed strictly: what two readers could
 //! take in two ways is no value.
 
-use edge_node::CustomerId;
+use gateway_core::CustomerId;
 use std::time::Duration;
 
 /// Digits of a customer in the path.
@@ -56,5 +56,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/header_value.rs"]
+#[path = "../../tests/unit/header_value.rs"]
 mod tests;
--- a/src/bin/edge-node/clients/phase.rs
+++ b/crates/edge-node/src/clients/phase.rs
@@ -36,5 +36,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/phase.rs"]
+#[path = "../../tests/unit/phase.rs"]
 mod tests;
--- a/src/bin/edge-node/clients/request.rs
+++ b/crates/edge-node/src/clients/request.rs
@@ -8,7 +8,7 @@
 use crate::node::{Answer, Node};
 use crate::upstream::UpstreamRequest;
 use bytes::Bytes;
-use edge_node::{Event, RequestId};
+use gateway_core::{Event, RequestId};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::http::request::Parts;
--- a/src/bin/edge-node/clients/request_error.rs
+++ b/crates/edge-node/src/clients/request_error.rs
@@ -67,5 +67,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/request_error.rs"]
+#[path = "../../tests/unit/request_error.rs"]
 mod tests;
--- a/src/bin/edge-node/clients/request_head.rs
+++ b/crates/edge-node/src/clients/request_head.rs
@@ -3,8 +3,8 @@
 use super::call_terms::CallTerms;
 use super::header_value::{parse_customer, parse_duration};
 use super::request_error::RequestError;
-use edge_node::settings::ResolvedSettings;
-use edge_node::{ClassId, CustomerId, Idempotency, PlanId, RequestId};
+use gateway_core::settings::ResolvedSettings;
+use gateway_core::{ClassId, CustomerId, Idempotency, PlanId, RequestId};
 use hyper::header::{HeaderMap, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{Method, Uri};
@@ -145,5 +145,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/request_head.rs"]
+#[path = "../../tests/unit/request_head.rs"]
 mod tests;
--- a/src/bin/edge-node/clients/response.rs
+++ b/crates/edge-node/src/clients/response.rs
@@ -62,5 +62,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/client_response.rs"]
+#[path = "../../tests/unit/client_response.rs"]
 mod tests;
--- a/src/bin/edge-node/config/file/mod.rs
+++ b/crates/edge-node/src/config/file/mod.rs
@@ -111,5 +111,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../../tests/unit/config_file.rs"]
+#[path = "../../../tests/unit/config_file.rs"]
 mod tests;
--- a/src/bin/edge-node/config/mod.rs
+++ b/crates/edge-node/src/config/mod.rs
@@ -15,9 +15,9 @@
 
 use crate::endpoint_list::EndpointList;
 use crate::log::LogOptions;
-use edge_node::settings::ResolvedSettings;
 use error::Diagnostic;
 use file::ConfigFormat;
+use gateway_core::settings::ResolvedSettings;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/src/bin/edge-node/config/platform.rs
+++ b/crates/edge-node/src/config/platform.rs
@@ -5,7 +5,7 @@
 use super::schema::{RestartValues, MIN_FILE_DESCRIPTORS};
 use super::{Config, OperatorOptions, PeerAddresses};
 use crate::endpoint_list::EndpointList;
-use edge_node::settings::{self, ParseError, ResolvedSettings, SettingsError};
+use gateway_core::settings::{self, ParseError, ResolvedSettings, SettingsError};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
--- a/src/bin/edge-node/config/schema/locate.rs
+++ b/crates/edge-node/src/config/schema/locate.rs
@@ -81,5 +81,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../../tests/unit/config_locate.rs"]
+#[path = "../../../tests/unit/config_locate.rs"]
 mod tests;
--- a/src/bin/edge-node/config/schema/restart.rs
+++ b/crates/edge-node/src/config/schema/restart.rs
@@ -44,5 +44,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../../tests/unit/config_restart.rs"]
+#[path = "../../../tests/unit/config_restart.rs"]
 mod tests;
--- a/src/bin/edge-node/config/schema/suggest.rs
+++ b/crates/edge-node/src/config/schema/suggest.rs
@@ -42,5 +42,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../../tests/unit/config_suggest.rs"]
+#[path = "../../../tests/unit/config_suggest.rs"]
 mod tests;
--- a/src/bin/edge-node/config/schema/translate.rs
+++ b/crates/edge-node/src/config/schema/translate.rs
@@ -100,5 +100,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../../tests/unit/config_translate.rs"]
+#[path = "../../../tests/unit/config_translate.rs"]
 mod tests;
--- a/src/bin/edge-node/discovery/list_reader.rs
+++ b/crates/edge-node/src/discovery/list_reader.rs
@@ -158,5 +158,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/list_reader.rs"]
+#[path = "../../tests/unit/list_reader.rs"]
 mod tests;
--- a/src/bin/edge-node/discovery/watch.rs
+++ b/crates/edge-node/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! One watch on discovery: a request over a connection of its own whose response goes on for as long as the watch.
 
 use bytes::Bytes;
-use edge_node::reconnect::WatchFailure;
+use gateway_core::reconnect::WatchFailure;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
@@ -112,5 +112,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/discovery_watch.rs"]
+#[path = "../../tests/unit/discovery_watch.rs"]
 mod tests;
--- a/src/bin/edge-node/metrics.rs
+++ b/crates/edge-node/src/metrics.rs
@@ -1,8 +1,8 @@
 //! The figures that an operator's monitoring reads. Labels are names from the settings and outcomes: no customer,
 //! server or request is among them, so that the number of series is bounded.
 
-use edge_node::settings::ResolvedSettings;
-use edge_node::{AttemptOutcome, ClassId, PlanId};
+use gateway_core::settings::ResolvedSettings;
+use gateway_core::{AttemptOutcome, ClassId, PlanId};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -286,5 +286,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/metrics.rs"]
+#[path = "../tests/unit/metrics.rs"]
 mod tests;
--- a/src/bin/edge-node/node/attempts.rs
+++ b/crates/edge-node/src/node/attempts.rs
@@ -3,7 +3,7 @@
 use super::pending_requests::NextAttempt;
 use super::{Answer, Node};
 use crate::upstream::{Attempt, AttemptResult};
-use edge_node::{AttemptNumber, Event, Micros, RequestId, ServerId};
+use gateway_core::{AttemptNumber, Event, Micros, RequestId, ServerId};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -119,5 +119,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/attempts.rs"]
+#[path = "../../tests/unit/attempts.rs"]
 mod tests;
--- a/src/bin/edge-node/node/clock.rs
+++ b/crates/edge-node/src/node/clock.rs
@@ -1,6 +1,6 @@
 //! The clock of the decision module.
 
-use edge_node::Micros;
+use gateway_core::Micros;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/src/bin/edge-node/node/endpoints.rs
+++ b/crates/edge-node/src/node/endpoints.rs
@@ -4,7 +4,7 @@
 use super::Node;
 use crate::endpoint_list::{EndpointEntry, EndpointHealth, EndpointList};
 use crate::upstream::ServerAddress;
-use edge_node::{CellId, Endpoint, EndpointState, EndpointUpdate, Event, Micros, ServerId, ZoneId};
+use gateway_core::{CellId, Endpoint, EndpointState, EndpointUpdate, Event, Micros, ServerId, ZoneId};
 use std::cell::Cell;
 use std::fmt;
 use std::net::SocketAddr;
@@ -135,5 +135,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/endpoints.rs"]
+#[path = "../../tests/unit/endpoints.rs"]
 mod tests;
--- a/src/bin/edge-node/node/peer_messages.rs
+++ b/crates/edge-node/src/node/peer_messages.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::peers::Datagram;
-use edge_node::{Event, GatewayId};
+use gateway_core::{Event, GatewayId};
 use std::rc::Rc;
 
 /// Hands each message of a peer to the decision module, for ever; returns at once where no peers are configured.
--- a/src/bin/edge-node/node/pending_requests.rs
+++ b/crates/edge-node/src/node/pending_requests.rs
@@ -4,7 +4,7 @@
 use crate::metrics::RequestOutcome;
 use crate::upstream::UpstreamRequest;
 use bytes::Bytes;
-use edge_node::{AttemptNumber, ClassId, Event, Micros, PlanId, RequestId};
+use gateway_core::{AttemptNumber, ClassId, Event, Micros, PlanId, RequestId};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -219,5 +219,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/pending_requests.rs"]
+#[path = "../../tests/unit/pending_requests.rs"]
 mod tests;
--- a/src/bin/edge-node/node/status.rs
+++ b/crates/edge-node/src/node/status.rs
@@ -71,5 +71,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/status.rs"]
+#[path = "../../tests/unit/status.rs"]
 mod tests;
--- a/src/bin/edge-node/peers.rs
+++ b/crates/edge-node/src/peers.rs
@@ -3,7 +3,7 @@
 use crate::bind;
 use crate::config::PeerAddresses;
 use anyhow::Result;
-use edge_node::GatewayId;
+use gateway_core::GatewayId;
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/src/bin/edge-node/upstream/attempt.rs
+++ b/crates/edge-node/src/upstream/attempt.rs
@@ -6,7 +6,7 @@
 use super::response::{self, ResponseError, REQUEST_ID};
 use super::Upstream;
 use bytes::Bytes;
-use edge_node::{AttemptOutcome, RequestId, ServerId};
+use gateway_core::{AttemptOutcome, RequestId, ServerId};
 use http_body_util::Full;
 use hyper::header::{HeaderValue, HOST};
 use hyper::{Method, Request};
@@ -222,5 +222,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/upstream_attempt.rs"]
+#[path = "../../tests/unit/upstream_attempt.rs"]
 mod tests;
--- a/src/bin/edge-node/upstream/attempt_result.rs
+++ b/crates/edge-node/src/upstream/attempt_result.rs
@@ -1,7 +1,7 @@
 //! How an attempt ended.
 
 use bytes::Bytes;
-use edge_node::AttemptOutcome;
+use gateway_core::AttemptOutcome;
 
 /// How an attempt ended.
 #[derive(Debug, PartialEq)]
--- a/src/bin/edge-node/upstream/body_budget.rs
+++ b/crates/edge-node/src/upstream/body_budget.rs
@@ -86,5 +86,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/upstream_body_budget.rs"]
+#[path = "../../tests/unit/upstream_body_budget.rs"]
 mod tests;
--- a/src/bin/edge-node/upstream/connection.rs
+++ b/crates/edge-node/src/upstream/connection.rs
@@ -2,7 +2,7 @@
 
 use super::socket::{ObservedStream, OpenSocketGuard, SharedStream};
 use bytes::Bytes;
-use edge_node::{AttemptOutcome, RequestId};
+use gateway_core::{AttemptOutcome, RequestId};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -226,5 +226,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/upstream_connect_error.rs"]
+#[path = "../../tests/unit/upstream_connect_error.rs"]
 mod tests;
--- a/src/bin/edge-node/upstream/mod.rs
+++ b/crates/edge-node/src/upstream/mod.rs
@@ -17,7 +17,7 @@
 pub(crate) use body_budget::BodyBudget;
 
 use connection::{ConnectError, PooledConnection};
-use edge_node::{EndpointUpdate, Micros, ServerId};
+use gateway_core::{EndpointUpdate, Micros, ServerId};
 use pool::ServerPool;
 use socket::OpenSockets;
 use std::cell::RefCell;
@@ -169,5 +169,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/upstream.rs"]
+#[path = "../../tests/unit/upstream.rs"]
 mod tests;
--- a/src/bin/edge-node/upstream/response.rs
+++ b/crates/edge-node/src/upstream/response.rs
@@ -2,7 +2,7 @@
 
 use super::attempt_result::AttemptResult;
 use super::body_budget::{BodyBudget, BodyBudgetError};
-use edge_node::{load_report, AttemptOutcome, RequestId};
+use gateway_core::{load_report, AttemptOutcome, RequestId};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -99,5 +99,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../../tests/unit/upstream_response.rs"]
+#[path = "../../tests/unit/upstream_response.rs"]
 mod tests;
--- a/tests/admin.rs
+++ b/crates/edge-node/tests/admin.rs
@@ -15,7 +15,7 @@
 
 /// The same with another drain grace, half of which the first endpoint list is waited for.
 fn config_with_drain_grace(discovery: SocketAddr, millis: u32) -> String {
-    std::fs::read_to_string("edge-node.example.toml")
+    std::fs::read_to_string("../../edge-node.example.toml")
         .expect("the example")
         .replace("127.0.0.1:8443", "127.0.0.1:0")
         .replace("127.0.0.1:8500", &discovery.to_string())
@@ -326,7 +326,7 @@
     let (_, text) = get(admin_address(&node), "/metrics");
     let typed = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let mut exposed: Vec<_> = typed.map(|line| line.replace(' ', "` | ")).collect();
-    let page = std::fs::read_to_string("docs/OPERATING.md").expect("the page");
+    let page = std::fs::read_to_string("../../docs/OPERATING.md").expect("the page");
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `edge_node_"));
     let first_two = |row: &str| row.split(" | ").take(2).collect::<Vec<_>>().join(" | ");
     let mut documented: Vec<_> = rows.map(|row| format!("edge_node_{}", first_two(row))).collect();
--- a/tests/configuration.rs
+++ b/crates/edge-node/tests/configuration.rs
@@ -5,7 +5,7 @@
 use std::process::Stdio;
 use support::*;
 
-const EXAMPLE: &str = "edge-node.example.toml";
+const EXAMPLE: &str = "../../edge-node.example.toml";
 
 fn example() -> String {
     std::fs::read_to_string(EXAMPLE).expect("the example")
@@ -463,7 +463,7 @@
 
 #[test]
 fn the_page_and_the_program_have_the_same_keys() {
-    let page = std::fs::read_to_string("docs/CONFIGURATION.md").expect("the page");
+    let page = std::fs::read_to_string("../../docs/CONFIGURATION.md").expect("the page");
     let keys = edge_node_command(&["keys"]).output().expect("it runs");
     let keys = String::from_utf8(keys.stdout).expect("it is text");
     assert!(keys.lines().count() > 40);
--- a/tests/fixtures.rs
+++ b/crates/edge-node/tests/fixtures.rs
@@ -3,22 +3,22 @@
 
 // Modules of the program, of which this test uses a part: the library does not read whole configurations.
 #[allow(dead_code, unused_imports)]
-#[path = "../src/bin/edge-node/config/mod.rs"]
+#[path = "../src/config/mod.rs"]
 mod config;
 #[allow(dead_code)]
-#[path = "../src/bin/edge-node/endpoint_list.rs"]
+#[path = "../src/endpoint_list.rs"]
 mod endpoint_list;
 #[allow(dead_code)]
-#[path = "../src/bin/edge-node/log/mod.rs"]
+#[path = "../src/log/mod.rs"]
 mod log;
 
 use config::{AdminOptions, Config, OperatorOptions, PeerAddresses, RestartValues};
-use edge_node::settings::{self, ResolvedSettings};
-use edge_node::{
+use endpoint_list::{EndpointEntries, EndpointEntry, EndpointHealth, EndpointList};
+use gateway_core::settings::{self, ResolvedSettings};
+use gateway_core::{
     Class, DeduplicationScope, EndpointDiscovery, GatewayId, HardLimit, Idempotency, Permissions, Plan,
     Rules, Settings, ZoneId,
 };
-use endpoint_list::{EndpointEntries, EndpointEntry, EndpointHealth, EndpointList};
 use log::{LogFormat, LogLevel, LogOptions};
 use std::net::SocketAddr;
 use std::path::Path;
--- a/tests/log.rs
+++ b/crates/edge-node/tests/log.rs
@@ -1,6 +1,6 @@
 //! The log: its events and formats, and that it never holds up the edge node.
 
-#[path = "../src/bin/edge-node/log/rate_limiter.rs"]
+#[path = "../src/log/rate_limiter.rs"]
 mod rate_limiter;
 mod support;
 
@@ -15,7 +15,7 @@
 
 /// The example under this discovery, with these keys of the log.
 fn config(discovery: &FakeDiscovery, log: &str) -> String {
-    std::fs::read_to_string("edge-node.example.toml")
+    std::fs::read_to_string("../../edge-node.example.toml")
         .expect("the example")
         .replace("127.0.0.1:8443", "127.0.0.1:0")
         .replace("127.0.0.1:8500", &discovery.address.to_string())
@@ -168,7 +168,7 @@
 /// The names of all log events in the program.
 fn events_in_code() -> BTreeSet<String> {
     let mut coded = BTreeSet::new();
-    for file in source_files("src/bin/edge-node".as_ref()) {
+    for file in source_files("src".as_ref()) {
         let text = std::fs::read_to_string(file).expect("it is text");
         let names = text.split("event = \"").skip(1).filter_map(|rest| rest.split('"').next());
         coded.extend(names.map(str::to_owned));
@@ -180,7 +180,7 @@
 #[test]
 fn the_page_tells_every_event() {
     let coded = events_in_code();
-    let page = std::fs::read_to_string("docs/OPERATING.md").expect("the page");
+    let page = std::fs::read_to_string("../../docs/OPERATING.md").expect("the page");
     let page = page.split("\n## ").find(|part| part.starts_with("The log")).expect("its part on the log");
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `")?.split('`').next());
     let told = rows.filter(|name| *name != "event").map(str::to_owned);
@@ -195,7 +195,7 @@
 #[test]
 fn the_page_tells_under_which_name_an_event_went_before() {
     let coded = events_in_code();
-    let page = std::fs::read_to_string("docs/OPERATING.md").expect("the page");
+    let page = std::fs::read_to_string("../../docs/OPERATING.md").expect("the page");
     let page = page.split("\n## ").find(|part| part.starts_with("Renamed log events")).expect("its part");
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `")?.strip_suffix("` |"));
     let renamed: Vec<_> = rows.map(|row| row.split_once("` | `").expect("two names")).collect();
--- a/tests/unit/call_terms.rs
+++ b/crates/edge-node/tests/unit/call_terms.rs
@@ -1,7 +1,7 @@
 //! Call terms: all three, once each, within the settings.
 
 use super::*;
-use edge_node::settings;
+use gateway_core::settings;
 
 /// Settings of three gateways, with 8 units for a request at most.
 fn settings() -> Settings {
--- a/tests/unit/request_head.rs
+++ b/crates/edge-node/tests/unit/request_head.rs
@@ -1,7 +1,7 @@
 //! Heads of requests: what a good one says, and which rule a bad one breaks first.
 
 use super::*;
-use edge_node::{settings, GatewayId, GatewaySet};
+use gateway_core::{settings, GatewayId, GatewaySet};
 use hyper::Request;
 
 fn resolved_settings() -> ResolvedSettings {
--- a/tests/unit/upstream.rs
+++ b/crates/edge-node/tests/unit/upstream.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use bytes::Bytes;
-use edge_node::{AttemptOutcome, RequestId};
+use gateway_core::{AttemptOutcome, RequestId};
 use hyper::Method;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
--- a/tests/unit/upstream_attempt.rs
+++ b/crates/edge-node/tests/unit/upstream_attempt.rs
@@ -2,7 +2,7 @@
 
 use super::super::{BodyBudget, ServerAddress};
 use super::*;
-use edge_node::EndpointUpdate;
+use gateway_core::EndpointUpdate;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/fleet-lab/src/hybrid/datagrams.rs
+++ b/crates/fleet-lab/src/hybrid/datagrams.rs
@@ -5,7 +5,7 @@
 
 use crate::world::datagrams::MessageCounts;
 use anyhow::{Context, Result};
-use edge_node::GatewayId;
+use gateway_core::GatewayId;
 use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddr};
 use tokio::net::UdpSocket;
--- a/fleet-lab/src/hybrid/discovery_agent.rs
+++ b/crates/fleet-lab/src/hybrid/discovery_agent.rs
@@ -2,7 +2,7 @@
 
 use super::environment::Environment;
 use bytes::Bytes;
-use edge_node::GatewayId;
+use gateway_core::GatewayId;
 use http_body_util::channel::Sender;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Channel, Empty};
--- a/fleet-lab/src/hybrid/endpoint_registry.rs
+++ b/crates/fleet-lab/src/hybrid/endpoint_registry.rs
@@ -5,7 +5,7 @@
 //! [`DrainingServers`](crate::world::draining::DrainingServers).
 
 use super::scenario::ListedState;
-use edge_node::{CellId, Endpoint, EndpointState, Micros, ServerId, ZoneId};
+use gateway_core::{CellId, Endpoint, EndpointState, Micros, ServerId, ZoneId};
 use serde_json::json;
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/fleet-lab/src/hybrid/environment.rs
+++ b/crates/fleet-lab/src/hybrid/environment.rs
@@ -5,7 +5,7 @@
 use super::ledger::Ledger;
 use super::scenario::Scenario;
 use super::servers::Server;
-use edge_node::{Endpoint, GatewayId, Micros};
+use gateway_core::{Endpoint, GatewayId, Micros};
 use std::cell::RefCell;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
--- a/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -7,8 +7,8 @@
 use super::servers::{AttemptReply, AttemptStatus};
 use crate::world::final_answer::FinalAnswer;
 use anyhow::{Context, Result};
-use edge_node::Gateway;
-use edge_node::{
+use gateway_core::Gateway;
+use gateway_core::{
     Action, AttemptNumber, AttemptOutcome, ClassId, EndpointUpdate, Event, GatewayId, GatewaySet, Micros,
     RequestId, ServerId,
 };
@@ -46,7 +46,7 @@
     /// Starts a node, which receives the list of servers and the messages of its peers from now on.
     pub(super) fn start(environment: &Rc<Environment>, id: GatewayId, seed: u64) -> Result<Rc<HollowNode>> {
         let settings = environment.scenario.settings(id).to_string();
-        let resolved = edge_node::settings::parse(&settings).context("settings")?;
+        let resolved = gateway_core::settings::parse(&settings).context("settings")?;
         let gateway = Gateway::new(seed, resolved.settings, environment.clock.now()).context("settings")?;
         let node = Rc::new(HollowNode {
             id,
--- a/fleet-lab/src/hybrid/ledger.rs
+++ b/crates/fleet-lab/src/hybrid/ledger.rs
@@ -8,7 +8,7 @@
 use crate::world::request_record::RequestRecord;
 use crate::world::seconds_between;
 use crate::world::usage_limit::{Excess, UsageLimit};
-use edge_node::{CustomerId, EndpointState, GatewayId, Micros, ServerId};
+use gateway_core::{CustomerId, EndpointState, GatewayId, Micros, ServerId};
 use serde::Serialize;
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/fleet-lab/src/hybrid/load.rs
+++ b/crates/fleet-lab/src/hybrid/load.rs
@@ -7,7 +7,7 @@
 use super::scenario::{FaultProfile, PlannedRequest, CLIENT_TIMEOUT};
 use crate::world::{seconds_to_next_event, Rng};
 use anyhow::{Context, Result};
-use edge_node::RequestId;
+use gateway_core::RequestId;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/fleet-lab/src/hybrid/nodes.rs
+++ b/crates/fleet-lab/src/hybrid/nodes.rs
@@ -7,7 +7,7 @@
 use super::real_node::{RealNode, RealNodeConfig};
 use crate::world::Rng;
 use anyhow::{Context, Result};
-use edge_node::GatewayId;
+use gateway_core::GatewayId;
 use rand::Rng as _;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
--- a/fleet-lab/src/hybrid/real_node.rs
+++ b/crates/fleet-lab/src/hybrid/real_node.rs
@@ -6,7 +6,7 @@
 use crate::world::final_answer::FinalAnswer;
 use anyhow::{bail, Context, Result};
 use bytes::Bytes;
-use edge_node::{GatewayId, Micros, RequestId};
+use gateway_core::{GatewayId, Micros, RequestId};
 use http_body_util::{BodyExt, Full};
 use hyper::{Method, Request, StatusCode};
 use hyper_util::client::legacy::connect::HttpConnector;
--- a/fleet-lab/src/hybrid/scenario.rs
+++ b/crates/fleet-lab/src/hybrid/scenario.rs
@@ -2,7 +2,7 @@
 
 use super::ledger::{CustomerQuota, Quota};
 use crate::world::Rng;
-use edge_node::{CustomerId, GatewayId, Micros, PlanId};
+use gateway_core::{CustomerId, GatewayId, Micros, PlanId};
 use rand::Rng as _;
 use serde_json::json;
 
--- a/fleet-lab/src/hybrid/servers.rs
+++ b/crates/fleet-lab/src/hybrid/servers.rs
@@ -7,7 +7,7 @@
 use super::ledger::Ledger;
 use super::scenario::{ServerMode, MEAN_WORK, SERVER_COUNT, WORK_DEVIATION};
 use crate::world::Rng;
-use edge_node::ServerId;
+use gateway_core::ServerId;
 use rand::{Rng as _, SeedableRng};
 use std::cell::{Cell, RefCell};
 use std::hash::Hasher;
--- a/fleet-lab/src/scaling/cost.rs
+++ b/crates/fleet-lab/src/scaling/cost.rs
@@ -1,7 +1,7 @@
 //! What work of a gateway costs, and how that is measured.
 
 use cpu_time::ThreadTime;
-use edge_node::{Action, Event, Gateway, Micros};
+use gateway_core::{Action, Event, Gateway, Micros};
 use stats_alloc::INSTRUMENTED_SYSTEM;
 
 /// What some work of a gateway has cost.
--- a/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::sizes::FleetSizes;
 use anyhow::{Context, Result};
-use edge_node::*;
+use gateway_core::*;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
--- a/fleet-lab/src/scaling/gateway_pair.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair.rs
@@ -8,7 +8,7 @@
 };
 use super::sizes::FleetSizes;
 use anyhow::{bail, Result};
-use edge_node::*;
+use gateway_core::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
--- a/fleet-lab/src/simulate/engine/attempts.rs
+++ b/crates/fleet-lab/src/simulate/engine/attempts.rs
@@ -7,7 +7,7 @@
 use crate::world::invariant_checker::SentAttempt;
 use crate::world::servers::{Job, Server, ServerEvent};
 use crate::world::RequestNumber;
-use edge_node::{
+use gateway_core::{
     AttemptNumber, AttemptOutcome, Endpoint, EndpointState, Event, GatewayId, Micros, RequestId, ServerId,
 };
 use rand::Rng as _;
--- a/fleet-lab/src/simulate/engine/faults.rs
+++ b/crates/fleet-lab/src/simulate/engine/faults.rs
@@ -4,7 +4,7 @@
 use crate::simulate::faults::FaultAction;
 use crate::world::servers::Server;
 use crate::Failure;
-use edge_node::{Endpoint, EndpointState, GatewayId, Micros, ServerId};
+use gateway_core::{Endpoint, EndpointState, GatewayId, Micros, ServerId};
 use rand::Rng as _;
 use std::ops::Range;
 
--- a/fleet-lab/src/simulate/engine/gateways.rs
+++ b/crates/fleet-lab/src/simulate/engine/gateways.rs
@@ -7,7 +7,7 @@
 use crate::world::final_answer::FinalAnswer;
 use crate::world::{seconds_since_start, RequestNumber};
 use crate::Failure;
-use edge_node::{
+use gateway_core::{
     Action, AttemptNumber, AttemptOutcome, Endpoint, Event, GatewayId, Micros, RequestId, Settings,
 };
 use rand::Rng as _;
--- a/fleet-lab/src/simulate/engine/queue.rs
+++ b/crates/fleet-lab/src/simulate/engine/queue.rs
@@ -5,7 +5,7 @@
 use crate::world::discovery::PollKind;
 use crate::world::servers::Job;
 use crate::world::RequestNumber;
-use edge_node::{AttemptNumber, AttemptOutcome, GatewayId, Micros};
+use gateway_core::{AttemptNumber, AttemptOutcome, GatewayId, Micros};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
--- a/fleet-lab/src/simulate/engine/requests.rs
+++ b/crates/fleet-lab/src/simulate/engine/requests.rs
@@ -6,7 +6,7 @@
 use crate::world::final_answer::FinalAnswer;
 use crate::world::invariant_checker::ANSWER_GRACE;
 use crate::world::{RequestNumber, START};
-use edge_node::{Event, GatewayId, GatewaySet, Micros, RequestId};
+use gateway_core::{Event, GatewayId, GatewaySet, Micros, RequestId};
 
 impl Engine<'_> {
     pub(super) fn schedule_next_arrival(&mut self, customer: usize) {
--- a/fleet-lab/src/simulate/experiment.rs
+++ b/crates/fleet-lab/src/simulate/experiment.rs
@@ -4,8 +4,8 @@
 use crate::world::servers::Machine;
 use crate::world::{micros, random_stream, Rng};
 use crate::Failure;
-use edge_node::settings::{self, ResolvedSettings};
-use edge_node::{CellId, Endpoint, EndpointState, Micros, ServerId, Settings, ZoneId};
+use gateway_core::settings::{self, ResolvedSettings};
+use gateway_core::{CellId, Endpoint, EndpointState, Micros, ServerId, Settings, ZoneId};
 use rand::Rng as _;
 use std::collections::BTreeSet;
 
--- a/fleet-lab/src/simulate/faults.rs
+++ b/crates/fleet-lab/src/simulate/faults.rs
@@ -4,7 +4,7 @@
 use crate::world::datagrams::{Partition, Partitions, Temporary};
 use crate::world::{micros, Rng, TimeSpan, START};
 use crate::Failure;
-use edge_node::{Endpoint, GatewayId, Micros, ServerId, ZoneId};
+use gateway_core::{Endpoint, GatewayId, Micros, ServerId, ZoneId};
 use rand::seq::SliceRandom;
 use rand::Rng as _;
 use std::collections::BTreeSet;
--- a/fleet-lab/src/simulate/mod.rs
+++ b/crates/fleet-lab/src/simulate/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::Failure;
 use anyhow::{anyhow, Context};
-use edge_node::Gateway;
+use gateway_core::Gateway;
 use std::fs::{self, File};
 use std::io::Write;
 use std::path::{Path, PathBuf};
--- a/fleet-lab/src/world/cold_start.rs
+++ b/crates/fleet-lab/src/world/cold_start.rs
@@ -1,6 +1,6 @@
 //! The warm-up of a server after its start, and the load that it bears meanwhile.
 
-use edge_node::{Micros, Rules};
+use gateway_core::{Micros, Rules};
 use std::collections::VecDeque;
 
 /// The highest load of a cold server, compared with what it can bear.
--- a/fleet-lab/src/world/customer_account.rs
+++ b/crates/fleet-lab/src/world/customer_account.rs
@@ -3,7 +3,7 @@
 use super::token_bucket::TokenBucket;
 use super::usage_limit::{Excess, UsageLimit};
 use super::START;
-use edge_node::{CustomerId, Micros, PlanId, Settings};
+use gateway_core::{CustomerId, Micros, PlanId, Settings};
 
 /// Tolerance of a hard limit, as a share of its capacity; the largest request if that is more.
 const HARD_LIMIT_TOLERANCE: f64 = 0.1;
--- a/fleet-lab/src/world/datagrams.rs
+++ b/crates/fleet-lab/src/world/datagrams.rs
@@ -2,7 +2,7 @@
 
 use super::token_bucket::TokenBucket;
 use super::{Rng, TimeSpan};
-use edge_node::{GatewayId, Micros, ZoneId};
+use gateway_core::{GatewayId, Micros, ZoneId};
 use rand::Rng as _;
 use std::ops::Range;
 
--- a/fleet-lab/src/world/discovery.rs
+++ b/crates/fleet-lab/src/world/discovery.rs
@@ -4,7 +4,7 @@
 
 use super::draining::DrainingServers;
 use super::{Rng, TimeSpan};
-use edge_node::{Endpoint, EndpointState, EndpointUpdate, Event, GatewayId, Micros, ServerId};
+use gateway_core::{Endpoint, EndpointState, EndpointUpdate, Event, GatewayId, Micros, ServerId};
 use rand::Rng as _;
 use std::collections::BTreeMap;
 use std::ops::Range;
--- a/fleet-lab/src/world/draining.rs
+++ b/crates/fleet-lab/src/world/draining.rs
@@ -1,6 +1,6 @@
 //! Which servers a gateway knows to be draining or gone, and how long it may go on sending to them.
 
-use edge_node::{EndpointState, Micros, ServerId};
+use gateway_core::{EndpointState, Micros, ServerId};
 use std::collections::BTreeMap;
 
 /// The servers that one gateway knows to be draining or gone.
--- a/fleet-lab/src/world/invariant_checker.rs
+++ b/crates/fleet-lab/src/world/invariant_checker.rs
@@ -11,7 +11,7 @@
 use super::request_record::{AttemptRecord, RequestRecord, SimulatedRequestRecord};
 use super::usage_limit::Excess;
 use super::{seconds_since_start, RequestNumber, START};
-use edge_node::{
+use gateway_core::{
     AttemptNumber, AttemptOutcome, Endpoint, GatewayId, Idempotency, Micros, ServerId, Settings,
 };
 use hdrhistogram::Histogram;
--- a/fleet-lab/src/world/mod.rs
+++ b/crates/fleet-lab/src/world/mod.rs
@@ -21,7 +21,7 @@
 pub mod token_bucket;
 pub mod usage_limit;
 
-use edge_node::{Micros, RequestId};
+use gateway_core::{Micros, RequestId};
 use rand::Rng as _;
 use rand::SeedableRng;
 
--- a/fleet-lab/src/world/request_record.rs
+++ b/crates/fleet-lab/src/world/request_record.rs
@@ -2,7 +2,7 @@
 //! permits after its attempts.
 
 use super::clients::ClientRequest;
-use edge_node::{DeduplicationScope, Endpoint, Idempotency, Micros};
+use gateway_core::{DeduplicationScope, Endpoint, Idempotency, Micros};
 
 /// The record of one request. What is known of a request and of an attempt depends on who observes them.
 #[derive(Clone, Debug)]
--- a/fleet-lab/src/world/servers.rs
+++ b/crates/fleet-lab/src/world/servers.rs
@@ -2,7 +2,7 @@
 
 use super::cold_start::{ColdCall, ColdStart, ColdStartLoad};
 use super::{RequestNumber, Rng, TimeSpan};
-use edge_node::{AttemptNumber, AttemptOutcome, Endpoint, GatewayId, Micros, Rules};
+use gateway_core::{AttemptNumber, AttemptOutcome, Endpoint, GatewayId, Micros, Rules};
 use rand::Rng as _;
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
--- a/fleet-lab/tests/hybrid.rs
+++ b/crates/fleet-lab/tests/hybrid.rs
@@ -1,12 +1,12 @@
 //! `fleet-lab hybrid`: its invariants on scripted requests, and short runs with the edge node's real program.
 
-use edge_node::{CustomerId, EndpointState, GatewayId, Micros, ServerId};
 use fleet_lab::hybrid::ledger::{
     CustomerQuota, InvariantResult, Ledger, Quota, ReceivedAnswer, SentRequest, ANSWER_GRACE,
     SOCKET_TOLERANCE,
 };
 use fleet_lab::hybrid::report::{NodeTotals, Report};
 use fleet_lab::world::final_answer::FinalAnswer;
+use gateway_core::{CustomerId, EndpointState, GatewayId, Micros, ServerId};
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
--- a/fleet-lab/tests/simulate.rs
+++ b/crates/fleet-lab/tests/simulate.rs
@@ -1,13 +1,13 @@
 //! `fleet-lab simulate`: the same seed gives the same bytes, a fleet without faults violates no invariant, and the
 //! invariant checker catches a gateway that violates one on purpose.
 
-use edge_node::Gateway;
-use edge_node::*;
 use fleet_lab::simulate::{
     simulate, ColdServer, DecisionModule, Experiment, ExperimentConfig, NewModule, Report,
 };
 use fleet_lab::world::invariant::Invariant;
 use fleet_lab::Failure;
+use gateway_core::Gateway;
+use gateway_core::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::Command;
 
--- a/fleet-lab/tests/world.rs
+++ b/crates/fleet-lab/tests/world.rs
@@ -1,6 +1,5 @@
 //! The lab's model of what surrounds the gateways, part by part.
 
-use edge_node::*;
 use fleet_lab::world::clients::{ClientError, Clients, Demand};
 use fleet_lab::world::cold_start::ColdStartLoad;
 use fleet_lab::world::customer_account::CustomerPlan;
@@ -16,6 +15,7 @@
 use fleet_lab::world::token_bucket::TokenBucket;
 use fleet_lab::world::usage_limit::UsageLimit;
 use fleet_lab::world::{micros, random_stream, RequestNumber, TimeSpan, START};
+use gateway_core::*;
 
 /// A second, µs.
 const S: Micros = 1_000_000;
@@ -25,7 +25,7 @@
 fn settings() -> Settings {
     let text =
         include_str!("../src/simulate/settings.json").replace(r#""balancers": 1"#, r#""balancers": 6"#);
-    edge_node::settings::parse(&text).expect("sound settings").settings
+    gateway_core::settings::parse(&text).expect("sound settings").settings
 }
 
 fn endpoint(server: u64, started_at: Option<Micros>) -> Endpoint {
--- a/examples/server_table.rs
+++ b/crates/gateway-core/examples/server_table.rs
@@ -5,7 +5,7 @@
 //!
 //! `cargo run --release --example server_table`
 
-use edge_node::*;
+use gateway_core::*;
 use gateway_pair::{delta, endpoint, snapshot, GatewayPair};
 use std::time::Instant;
 
--- a/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -1,4 +1,5 @@
-#![doc = include_str!("../README.md")]
+//! The decisions of an edge node (a gateway), without input, output or clock: [`Event`]s and the time go in, [`Action`]s
+//! come out of [`Gateway::handle`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/tests/common/fleet.rs
+++ b/crates/gateway-core/tests/common/fleet.rs
@@ -1,7 +1,7 @@
 //! Many gateways on one clock, with lossy, late, repeated and reordered messages between them.
 
 use super::{GatewayHarness, SettingsBuilder, CUSTOMER, IDEMPOTENT, MS, S};
-use edge_node::*;
+use gateway_core::*;
 use std::collections::BTreeMap;
 
 /// Of twenty messages so many arrive, and so many a second time.
--- a/tests/common/harness.rs
+++ b/crates/gateway-core/tests/common/harness.rs
@@ -3,7 +3,7 @@
 
 use super::request_log::RequestLog;
 use super::{CUSTOMER, IDEMPOTENT, MS, S, UNLIMITED};
-use edge_node::*;
+use gateway_core::*;
 use std::collections::BTreeMap;
 
 /// Time between two rounds of timers.
--- a/tests/common/mod.rs
+++ b/crates/gateway-core/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub(crate) use harness::{count_sent, ready_endpoint, GatewayHarness, InFlightAttempt};
 pub(crate) use settings::*;
 
-use edge_node::{CustomerId, Micros};
+use gateway_core::{CustomerId, Micros};
 
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const S: Micros = 1_000_000;
--- a/tests/common/request_log.rs
+++ b/crates/gateway-core/tests/common/request_log.rs
@@ -3,7 +3,7 @@
 //! (rule 3).
 
 use super::MS;
-use edge_node::*;
+use gateway_core::*;
 use std::collections::BTreeMap;
 
 /// Time by which a final answer may come after its client's deadline, as timers fire in steps.
--- a/tests/common/settings.rs
+++ b/crates/gateway-core/tests/common/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the gateways under test: four classes and four plans, each with a name.
 
 use super::{MS, S};
-use edge_node::*;
+use gateway_core::*;
 
 /// The classes, by what they allow to be executed twice.
 pub(crate) const IDEMPOTENT: ClassId = ClassId(0);
--- a/tests/gateway_pair/mod.rs
+++ b/crates/gateway-core/tests/gateway_pair/mod.rs
@@ -1,7 +1,7 @@
 //! Two gateways of a large fleet, each the quota owner of the other's customers, and the servers that they use.
 
-use edge_node::Gateway;
-use edge_node::*;
+use gateway_core::Gateway;
+use gateway_core::*;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A millisecond, µs.
--- a/tests/policy/admission.rs
+++ b/crates/gateway-core/tests/policy/admission.rs
@@ -1,7 +1,7 @@
 //! What is rejected, and how that is counted.
 
 use crate::common::*;
-use edge_node::*;
+use gateway_core::*;
 
 /// Counted by reason and plan, so that a bad day can be split by cause.
 #[test]
--- a/tests/policy/deadlines.rs
+++ b/crates/gateway-core/tests/policy/deadlines.rs
@@ -1,7 +1,7 @@
 //! Requests that can't be answered in time, and when their clients are to retry.
 
 use crate::common::*;
-use edge_node::*;
+use gateway_core::*;
 
 /// The `Retry-After` of each rejection, in order.
 fn retry_afters(actions: &[Action]) -> Vec<Option<Micros>> {
--- a/tests/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/tests/policy/fuzzy_controller.rs
@@ -1,8 +1,8 @@
 //! The rule bases of the fuzzy controller, and when the in-flight limit starts.
 
 use crate::common::*;
-use edge_node::policy::fuzzy_controller::infer_change;
-use edge_node::*;
+use gateway_core::policy::fuzzy_controller::infer_change;
+use gateway_core::*;
 
 fn change_of(error: f64, change: f64) -> f64 {
     infer_change(error, change).change
--- a/tests/policy/gateway.rs
+++ b/crates/gateway-core/tests/policy/gateway.rs
@@ -1,7 +1,7 @@
 //! The gateway as a whole: its rules on arbitrary events, determinism, what it keeps in memory, its settings.
 
 use crate::common::*;
-use edge_node::*;
+use gateway_core::*;
 
 #[test]
 fn the_same_events_give_the_same_actions() {
--- a/tests/policy/gossip.rs
+++ b/crates/gateway-core/tests/policy/gossip.rs
@@ -1,7 +1,7 @@
 //! Messages from peers that make no sense.
 
 use crate::common::*;
-use edge_node::*;
+use gateway_core::*;
 use std::collections::BTreeSet;
 
 #[test]
--- a/tests/policy/lease.rs
+++ b/crates/gateway-core/tests/policy/lease.rs
@@ -2,7 +2,7 @@
 
 use crate::common::fleet::Fleet;
 use crate::common::*;
-use edge_node::*;
+use gateway_core::*;
 
 /// Nine in ten requests come through one gateway, as customers' requests come unevenly.
 fn mostly_one(random: &mut fastrand::Rng, gateways: usize) -> usize {
--- a/tests/policy/load_balancing.rs
+++ b/crates/gateway-core/tests/policy/load_balancing.rs
@@ -1,7 +1,7 @@
 //! Which servers requests are sent to.
 
 use crate::common::*;
-use edge_node::*;
+use gateway_core::*;
 use std::collections::BTreeSet;
 
 #[test]
--- a/tests/policy/load_shedding.rs
+++ b/crates/gateway-core/tests/policy/load_shedding.rs
@@ -1,7 +1,7 @@
 //! What is shed in a large fleet as its servers fill: the lowest priority first.
 
 use crate::common::*;
-use edge_node::*;
+use gateway_core::*;
 
 /// Requests that each full server reports.
 const FULL: f64 = 60.0;
--- a/tests/policy/outlier_detection.rs
+++ b/crates/gateway-core/tests/policy/outlier_detection.rs
@@ -1,7 +1,7 @@
 //! Servers that stall or can't be reached are left alone, and the others of their zone are not.
 
 use crate::common::*;
-use edge_node::*;
+use gateway_core::*;
 
 fn cancels(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::CancelAttempt { .. }))
--- a/tests/policy/quota.rs
+++ b/crates/gateway-core/tests/policy/quota.rs
@@ -2,7 +2,7 @@
 //! limits.
 
 use crate::common::*;
-use edge_node::*;
+use gateway_core::*;
 
 const PEER: GatewayId = GatewayId(1);
 
--- a/tests/policy/quota_owner.rs
+++ b/crates/gateway-core/tests/policy/quota_owner.rs
@@ -2,7 +2,7 @@
 
 use crate::common::fleet::Fleet;
 use crate::common::*;
-use edge_node::*;
+use gateway_core::*;
 
 #[test]
 fn a_customer_of_hundreds_of_gateways_gets_its_quota_and_little_more() {
--- a/tests/policy/retry.rs
+++ b/crates/gateway-core/tests/policy/retry.rs
@@ -1,7 +1,7 @@
 //! Which attempts may be followed by another, by their outcome and the idempotency of their request.
 
 use crate::common::*;
-use edge_node::*;
+use gateway_core::*;
 use AttemptOutcome::{Cancelled, ConnectionLost, NotSent, Overloaded, ServerError, TimedOut, Unreachable};
 
 /// Every outcome but success against every class: what may follow at once.
--- a/tests/policy/slow_start.rs
+++ b/crates/gateway-core/tests/policy/slow_start.rs
@@ -1,7 +1,7 @@
 //! Servers that have just started get no more than they can do by then.
 
 use crate::common::*;
-use edge_node::*;
+use gateway_core::*;
 
 #[test]
 fn a_cold_server_gets_less_than_a_warm_one() {
--- a/tests/reconnect.rs
+++ b/crates/gateway-core/tests/reconnect.rs
@@ -1,7 +1,7 @@
 //! When a watch on discovery is opened again, without sockets or a clock: every path that can put off the next attempt,
 //! and for how long a change that discovery has waits on it.
 
-use edge_node::reconnect::{first_list_timeout, ReconnectPolicy, WatchEvent, WatchFailure};
+use gateway_core::reconnect::{first_list_timeout, ReconnectPolicy, WatchEvent, WatchFailure};
 use std::time::Duration;
 
 /// The rule of the platform: a change counts as known to the edge node by then.
--- a/tests/recovery.rs
+++ b/crates/gateway-core/tests/recovery.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use edge_node::*;
+use gateway_core::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const SERVERS: u64 = 8;
--- a/tests/replay/action_digest.rs
+++ b/crates/gateway-core/tests/replay/action_digest.rs
@@ -1,7 +1,7 @@
 //! The encoding of actions that is hashed: values alone, written out by hand.
 
-use edge_node::*;
 use fnv::FnvHasher;
+use gateway_core::*;
 use std::hash::Hasher;
 
 /// Writes one action of a gateway into a digest: its number by kind, then its values in a fixed order, each text and
--- a/tests/replay/simulated_server.rs
+++ b/crates/gateway-core/tests/replay/simulated_server.rs
@@ -1,8 +1,8 @@
 //! A server of the simulation: how long attempts take there, and how they end.
 
 use crate::common::{MS, S};
-use edge_node::*;
 use fastrand::Rng;
+use gateway_core::*;
 
 /// How a server behaves.
 #[derive(Clone, Copy, PartialEq)]
--- a/tests/replay/simulation.rs
+++ b/crates/gateway-core/tests/replay/simulation.rs
@@ -4,9 +4,9 @@
 use crate::action_digest::write_action;
 use crate::common::*;
 use crate::simulated_server::{ServedAttempt, ServerHealth, SimulatedServer};
-use edge_node::*;
 use fastrand::Rng;
 use fnv::FnvHasher;
+use gateway_core::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::hash::Hasher;
--- a/tests/server_table.rs
+++ b/crates/gateway-core/tests/server_table.rs
@@ -4,7 +4,7 @@
 mod gateway_pair;
 
 use common::{settings, GatewayHarness, KEYED_BY_CELL, S, UNLIMITED};
-use edge_node::*;
+use gateway_core::*;
 use gateway_pair::{delta, endpoint, server_number, snapshot, GatewayPair};
 use std::collections::BTreeSet;
 
--- a/src/bin/simulator-adapter/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -3,8 +3,8 @@
 use crate::line::{Line, LineError, LineErrorKind};
 use crate::reply;
 use crate::translate::{self, ListedEndpoint};
-use edge_node::settings::{self, ResolvedSettings};
-use edge_node::{Action, Gateway, Micros};
+use gateway_core::settings::{self, ResolvedSettings};
+use gateway_core::{Action, Gateway, Micros};
 use std::collections::BTreeMap;
 
 /// A gateway with the names that its settings define.
--- a/src/bin/simulator-adapter/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -3,7 +3,7 @@
 use crate::adapter::Adapter;
 use crate::line::{Line, LineError, LineErrorKind};
 use crate::translate::{self, ListedEndpoint};
-use edge_node::Micros;
+use gateway_core::Micros;
 use std::io::BufRead;
 
 /// The largest number that an endpoint list may have.
--- a/src/bin/simulator-adapter/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -1,8 +1,8 @@
 //! One line of the simulator's protocol, and what can be wrong with it: a name and fields, separated by tabs, each
 //! field as `name=value`.
 
-use edge_node::settings::ParseError;
-use edge_node::SettingsError;
+use gateway_core::settings::ParseError;
+use gateway_core::SettingsError;
 use std::io;
 use std::str::FromStr;
 use thiserror::Error;
@@ -228,5 +228,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/adapter_line.rs"]
+#[path = "../tests/unit/line.rs"]
 mod tests;
--- a/src/bin/simulator-adapter/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,6 +1,6 @@
 //! Actions of a gateway as lines of the simulator's protocol.
 
-use edge_node::{Action, Micros};
+use gateway_core::{Action, Micros};
 use std::fmt::{self, Write};
 
 /// Appends an action of a gateway to a reply.
@@ -70,5 +70,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/adapter_reply.rs"]
+#[path = "../tests/unit/reply.rs"]
 mod tests;
--- a/src/bin/simulator-adapter/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -1,8 +1,8 @@
 //! Lines of the simulator's protocol as events of a gateway.
 
 use crate::line::{Line, LineError, LineErrorKind};
-use edge_node::settings::ResolvedSettings;
-use edge_node::{
+use gateway_core::settings::ResolvedSettings;
+use gateway_core::{
     load_report, AttemptNumber, AttemptOutcome, CellId, ClassId, CustomerId, Endpoint, EndpointState,
     EndpointUpdate, Event, GatewayId, GatewaySet, Micros, PlanId, RequestId, ServerId, ZoneId,
 };
--- a/tests/unit/adapter_reply.rs
+++ b/crates/simulator-adapter/tests/unit/reply.rs
@@ -1,7 +1,7 @@
 //! Each action as its line, byte for byte.
 
 use super::*;
-use edge_node::{AttemptNumber, GatewayId, RequestId, ServerId, Warning};
+use gateway_core::{AttemptNumber, GatewayId, RequestId, ServerId, Warning};
 
 #[test]
 fn each_action_has_its_line() {
