--- a/crates/edge-node/src/command.rs
+++ b/crates/edge-node/src/command.rs
@@ -66,7 +66,7 @@
 }
 
 /// Parses the command line, does what it says, and returns the exit code of the process.
-pub(crate) fn run() -> ExitCode {
+pub fn run() -> ExitCode {
     let command_line = match CommandLine::try_parse() {
         Ok(command_line) => command_line,
         // Help and version come as errors, too; `exit` prints them and ends with 0.
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -10,17 +10,17 @@
 /// What is wrong, and in which line.
 #[derive(Debug, Error)]
 #[error("line {line}: {kind}")]
-pub(crate) struct LineError {
+pub struct LineError {
     /// The number of the line; the first one has number 1.
-    pub(crate) line: usize,
+    pub line: usize,
     /// What is wrong with it.
     #[source]
-    pub(crate) kind: LineErrorKind,
+    pub kind: LineErrorKind,
 }
 
 /// What is wrong with a line.
 #[derive(Debug, Error)]
-pub(crate) enum LineErrorKind {
+pub enum LineErrorKind {
     /// The input cannot be read.
     #[error("cannot be read: {0}")]
     Read(#[source] io::Error),
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,23 +1,12 @@
-//! Connects the simulator to the decision module: reads the simulator's lines from standard input, and writes the
-//! gateways' actions as lines to standard output. It makes no decisions.
-#![forbid(unsafe_code)]
+//! The program `simulator-adapter`: the adapter on standard input and output.
 
-mod adapter;
-mod frame;
-mod line;
-mod reply;
-mod translate;
-
-use adapter::Adapter;
-use frame::LineReader;
-use line::{LineError, LineErrorKind};
-use std::io::{self, BufRead, Write};
+use std::io;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     let input = io::stdin().lock();
     let output = io::BufWriter::new(io::stdout().lock());
-    match run(input, output) {
+    match simulator_adapter::run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("simulator-adapter: {error}");
@@ -25,15 +14,3 @@
         }
     }
 }
-
-/// Answers each frame of the input with one reply, until the input ends between two frames.
-fn run(input: impl BufRead, mut output: impl Write) -> Result<(), LineError> {
-    let mut reader = LineReader::new(input);
-    let mut adapter = Adapter::default();
-    while let Some(now) = reader.next_frame()? {
-        let reply = frame::process(&mut reader, now, &mut adapter)?;
-        let written = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
-        written.map_err(|error| reader.error(LineErrorKind::Write(error)))?;
-    }
-    Ok(())
-}
