--- a/crates/edge-node/src/admin.rs
+++ b/crates/edge-node/src/admin.rs
@@ -85,9 +85,18 @@
 impl Admin {
     /// What reports on this node; the process counts as started now.
     pub(crate) fn new(
-        name: String, node: Rc<Node>, metrics: Rc<Metrics>, phase: watch::Receiver<Phase>,
+        name: String,
+        node: Rc<Node>,
+        metrics: Rc<Metrics>,
+        phase: watch::Receiver<Phase>,
     ) -> Admin {
-        Admin { name, node, metrics, phase, started: Instant::now() }
+        Admin {
+            name,
+            node,
+            metrics,
+            phase,
+            started: Instant::now(),
+        }
     }
 
     fn respond(&self, request: &Request<Incoming>) -> AdminResponse {
@@ -99,7 +108,11 @@
             "/readyz" => self.readiness(),
             "/metrics" => self.metrics(),
             "/debug/state" => response(StatusCode::OK, JSON, self.debug_state().to_string()),
-            _ => response(StatusCode::NOT_FOUND, TEXT, "/metrics, /healthz, /readyz, /debug/state\n"),
+            _ => response(
+                StatusCode::NOT_FOUND,
+                TEXT,
+                "/metrics, /healthz, /readyz, /debug/state\n",
+            ),
         }
     }
 
@@ -110,14 +123,25 @@
     fn readiness(&self) -> AdminResponse {
         match self.phase() {
             Phase::Serving => response(StatusCode::OK, TEXT, "serving\n"),
-            phase => response(StatusCode::SERVICE_UNAVAILABLE, TEXT, format!("{}\n", phase.as_str())),
+            phase => response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                TEXT,
+                format!("{}\n", phase.as_str()),
+            ),
         }
     }
 
     fn metrics(&self) -> AdminResponse {
-        match self.metrics.encode(&self.node.status(), self.started.elapsed()) {
+        match self
+            .metrics
+            .encode(&self.node.status(), self.started.elapsed())
+        {
             Ok(text) => response(StatusCode::OK, OPEN_METRICS, text),
-            Err(_) => response(StatusCode::INTERNAL_SERVER_ERROR, TEXT, "the figures can't be written\n"),
+            Err(_) => response(
+                StatusCode::INTERNAL_SERVER_ERROR,
+                TEXT,
+                "the figures can't be written\n",
+            ),
         }
     }
 
@@ -155,15 +179,23 @@
     }
 }
 
-fn response(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> AdminResponse {
+fn response(
+    status: StatusCode,
+    content_type: &'static str,
+    body: impl Into<Bytes>,
+) -> AdminResponse {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
 fn method_not_allowed() -> AdminResponse {
     let mut response = response(StatusCode::METHOD_NOT_ALLOWED, TEXT, "only GET\n");
-    response.headers_mut().insert(ALLOW, HeaderValue::from_static("GET"));
+    response
+        .headers_mut()
+        .insert(ALLOW, HeaderValue::from_static("GET"));
     response
 }
--- a/crates/edge-node/src/bind.rs
+++ b/crates/edge-node/src/bind.rs
@@ -21,12 +21,16 @@
 /// The last error of `bind_once`, with `description` as its context: any error other than an address in use at once,
 /// that one after [`RETRY_TIMEOUT`].
 pub(crate) async fn with_retry<T, F: Future<Output = io::Result<T>>>(
-    description: impl fmt::Display, bind_once: impl Fn() -> F,
+    description: impl fmt::Display,
+    bind_once: impl Fn() -> F,
 ) -> Result<T> {
     let started = Instant::now();
     loop {
         match bind_once().await {
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse && started.elapsed() < RETRY_TIMEOUT => {
+            Err(error)
+                if error.kind() == io::ErrorKind::AddrInUse
+                    && started.elapsed() < RETRY_TIMEOUT =>
+            {
                 tokio::time::sleep(RETRY_INTERVAL).await;
             }
             result => return result.with_context(|| description.to_string()),
--- a/crates/edge-node/src/clients/call_terms.rs
+++ b/crates/edge-node/src/clients/call_terms.rs
@@ -29,8 +29,14 @@
                 _ => {}
             }
         }
-        let gateways = GatewaySet { first: first_gateway?, count: gateway_count? };
-        Some(CallTerms { units: units?, gateways })
+        let gateways = GatewaySet {
+            first: first_gateway?,
+            count: gateway_count?,
+        };
+        Some(CallTerms {
+            units: units?,
+            gateways,
+        })
     }
 }
 
@@ -41,7 +47,11 @@
 
 fn parse_units(value: &str, settings: &Settings) -> Option<f64> {
     // Zero in the settings stands for no limit.
-    let limit = if settings.max_request_units > 0.0 { settings.max_request_units } else { f64::MAX };
+    let limit = if settings.max_request_units > 0.0 {
+        settings.max_request_units
+    } else {
+        f64::MAX
+    };
     parse_decimal(value).filter(|units| *units > 0.0 && *units <= limit)
 }
 
@@ -50,7 +60,9 @@
 }
 
 fn parse_first_gateway(value: &str, settings: &Settings) -> Option<GatewayId> {
-    parse_whole_number(value).filter(|first| *first < settings.gateway_count).map(GatewayId)
+    parse_whole_number(value)
+        .filter(|first| *first < settings.gateway_count)
+        .map(GatewayId)
 }
 
 #[cfg(test)]
--- a/crates/edge-node/src/clients/connection.rs
+++ b/crates/edge-node/src/clients/connection.rs
@@ -35,11 +35,19 @@
 /// Dropping the future closes the socket at once and abandons a request in flight. The connection table drops it to
 /// evict an idle connection, and with the table itself when the process ends.
 pub(super) async fn serve(
-    stream: ReadAheadStream, node: Rc<Node>, phase: watch::Receiver<Phase>, state: Rc<ConnectionState>,
+    stream: ReadAheadStream,
+    node: Rc<Node>,
+    phase: watch::Receiver<Phase>,
+    state: Rc<ConnectionState>,
 ) {
     // Declared first, hence dropped last: the connection is counted until its socket is closed.
     let _counted = node.client_connected();
-    let connection = Connection { node, phase: phase.clone(), stream: stream.clone(), state };
+    let connection = Connection {
+        node,
+        phase: phase.clone(),
+        stream: stream.clone(),
+        state,
+    };
     let connection = Rc::new(connection);
     let service = service_fn(move |request| {
         let connection = Rc::clone(&connection);
@@ -76,7 +84,10 @@
 
 impl Connection {
     /// Responds to one request. While the future lives, the connection counts as busy.
-    async fn respond(&self, request: Request<Incoming>) -> Result<BufferedResponse, ClientDisconnected> {
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<BufferedResponse, ClientDisconnected> {
         let _in_flight = InFlightGuard::new(&self.state);
         self.yield_before_first_request().await;
         let phase = *self.phase.borrow();
--- a/crates/edge-node/src/clients/connection_state.rs
+++ b/crates/edge-node/src/clients/connection_state.rs
@@ -39,7 +39,10 @@
     /// Where the connection stands in the order of eviction; `None` while a request is in flight on it.
     pub(super) fn eviction_order(&self) -> Option<EvictionOrder> {
         let idle_since = self.idle_since.get()?;
-        Some(EvictionOrder { write_blocked: self.write_blocked.get(), idle_since })
+        Some(EvictionOrder {
+            write_blocked: self.write_blocked.get(),
+            idle_since,
+        })
     }
 }
 
--- a/crates/edge-node/src/clients/connection_table.rs
+++ b/crates/edge-node/src/clients/connection_table.rs
@@ -37,9 +37,17 @@
 impl ConnectionTable {
     /// An empty table for so many connections at a time.
     pub(super) fn new(
-        node: Rc<Node>, max_connections: usize, phase: watch::Receiver<Phase>,
+        node: Rc<Node>,
+        max_connections: usize,
+        phase: watch::Receiver<Phase>,
     ) -> ConnectionTable {
-        ConnectionTable { tasks: JoinSet::new(), entries: Vec::new(), max_connections, node, phase }
+        ConnectionTable {
+            tasks: JoinSet::new(),
+            entries: Vec::new(),
+            max_connections,
+            node,
+            phase,
+        }
     }
 
     /// Takes in an accepted connection: makes room for it, then starts the task that serves it.
@@ -63,7 +71,12 @@
         let _ = stream.set_nodelay(true);
         let stream = ReadAheadStream::new(stream);
         let state = Rc::new(ConnectionState::new(&stream));
-        let serve = connection::serve(stream, Rc::clone(&self.node), self.phase.clone(), Rc::clone(&state));
+        let serve = connection::serve(
+            stream,
+            Rc::clone(&self.node),
+            self.phase.clone(),
+            Rc::clone(&state),
+        );
         let task = self.tasks.spawn_local(serve);
         self.entries.push(Entry { state, task });
     }
@@ -89,7 +102,10 @@
 
     /// Closes the first connection in the order of eviction, if any is idle.
     fn evict_one(&self) {
-        let idle = self.entries.iter().filter(|entry| entry.state.eviction_order().is_some());
+        let idle = self
+            .entries
+            .iter()
+            .filter(|entry| entry.state.eviction_order().is_some());
         if let Some(entry) = idle.min_by_key(|entry| entry.state.eviction_order()) {
             entry.task.abort();
         }
--- a/crates/edge-node/src/clients/header_value.rs
+++ b/crates/edge-node/src/clients/header_value.rs
@@ -24,7 +24,10 @@
 
 /// A plain decimal number: no sign, no exponent, and neither `inf` nor `nan`.
 pub(super) fn parse_decimal(text: &str) -> Option<f64> {
-    let is_plain = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    let is_plain = !text.is_empty()
+        && text
+            .bytes()
+            .all(|byte| byte.is_ascii_digit() || byte == b'.');
     if !is_plain {
         return None;
     }
--- a/crates/edge-node/src/clients/mod.rs
+++ b/crates/edge-node/src/clients/mod.rs
@@ -34,7 +34,10 @@
 ///
 /// Dropping the future closes the listener and all connections at once.
 pub(crate) async fn serve(
-    listener: TcpListener, node: Rc<Node>, max_connections: usize, phase: watch::Receiver<Phase>,
+    listener: TcpListener,
+    node: Rc<Node>,
+    max_connections: usize,
+    phase: watch::Receiver<Phase>,
 ) {
     let mut connections = ConnectionTable::new(node, max_connections, phase.clone());
     accept_until_closing(&listener, &mut connections, phase).await;
@@ -44,7 +47,9 @@
 }
 
 async fn accept_until_closing(
-    listener: &TcpListener, connections: &mut ConnectionTable, phase: watch::Receiver<Phase>,
+    listener: &TcpListener,
+    connections: &mut ConnectionTable,
+    phase: watch::Receiver<Phase>,
 ) {
     let closing = wait_for_closing(phase);
     tokio::pin!(closing);
--- a/crates/edge-node/src/clients/read_ahead.rs
+++ b/crates/edge-node/src/clients/read_ahead.rs
@@ -112,7 +112,9 @@
 
 impl Read for ReadAheadStream {
     fn poll_read(
-        self: Pin<&mut Self>, context: &mut Context<'_>, mut buffer: ReadBufCursor<'_>,
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        mut buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let inner = &mut *self.0.borrow_mut();
         if inner.buffered.is_empty() && !inner.ended {
@@ -127,14 +129,20 @@
 }
 
 impl Write for ReadAheadStream {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let mut inner = self.0.borrow_mut();
         let written = Pin::new(&mut inner.stream).poll_write(context, bytes);
         inner.record_write(written)
     }
 
     fn poll_write_vectored(
-        self: Pin<&mut Self>, context: &mut Context<'_>, slices: &[IoSlice<'_>],
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let mut inner = self.0.borrow_mut();
         let written = Pin::new(&mut inner.stream).poll_write_vectored(context, slices);
--- a/crates/edge-node/src/clients/request.rs
+++ b/crates/edge-node/src/clients/request.rs
@@ -40,7 +40,10 @@
 /// # Errors
 /// The client closed its connection before the answer.
 pub(super) async fn respond(
-    node: &Rc<Node>, request: Request<Incoming>, phase: Phase, stream: &ReadAheadStream,
+    node: &Rc<Node>,
+    request: Request<Incoming>,
+    phase: Phase,
+    stream: &ReadAheadStream,
 ) -> Result<BufferedResponse, ClientDisconnected> {
     if is_readiness_probe(&request) {
         return Ok(response::readiness(phase));
@@ -103,19 +106,37 @@
             gateways: head.terms.gateways,
             client_timeout: client_timeout.as_micros() as u64,
         };
-        let target = parts.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
+        let target = parts
+            .uri
+            .path_and_query()
+            .map_or("/", |target| target.as_str())
+            .to_owned();
         let idempotency_key = parts.headers.get(IDEMPOTENCY_KEY).cloned();
-        let upstream_request =
-            UpstreamRequest { id: head.id, method: parts.method, target, idempotency_key, body, deadline };
-        AdmittedRequest { event, upstream_request }
+        let upstream_request = UpstreamRequest {
+            id: head.id,
+            method: parts.method,
+            target,
+            idempotency_key,
+            body,
+            deadline,
+        };
+        AdmittedRequest {
+            event,
+            upstream_request,
+        }
     }
 }
 
 /// Hands a request to the node and waits for its final answer.
 async fn decide(
-    node: &Rc<Node>, admitted: AdmittedRequest, stream: &ReadAheadStream,
+    node: &Rc<Node>,
+    admitted: AdmittedRequest,
+    stream: &ReadAheadStream,
 ) -> Result<BufferedResponse, ClientDisconnected> {
-    let AdmittedRequest { event, upstream_request } = admitted;
+    let AdmittedRequest {
+        event,
+        upstream_request,
+    } = admitted;
     let id = upstream_request.id.clone();
     let last_moment = upstream_request.deadline + ANSWER_GRACE;
     let Some(answer) = node.accept_request(event, upstream_request) else {
@@ -129,7 +150,9 @@
 
 /// Waits for the final answer, until the last moment for one, or until the client disconnects.
 async fn wait_for_answer(
-    answer: oneshot::Receiver<Answer>, last_moment: Instant, stream: &ReadAheadStream,
+    answer: oneshot::Receiver<Answer>,
+    last_moment: Instant,
+    stream: &ReadAheadStream,
 ) -> Result<Answer, ClientDisconnected> {
     tokio::select! {
         biased;
--- a/crates/edge-node/src/clients/request_head.rs
+++ b/crates/edge-node/src/clients/request_head.rs
@@ -19,8 +19,16 @@
 /// The key by which the back end deduplicates requests of some classes.
 pub(super) const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Headers that a request may have once at most.
-const SINGLE_HEADERS: [&str; 8] =
-    [REQUEST_ID, CLASS, PLAN, DEADLINE, CALL_TERMS, IDEMPOTENCY_KEY, "content-length", "host"];
+const SINGLE_HEADERS: [&str; 8] = [
+    REQUEST_ID,
+    CLASS,
+    PLAN,
+    DEADLINE,
+    CALL_TERMS,
+    IDEMPOTENCY_KEY,
+    "content-length",
+    "host",
+];
 /// Bytes of a request id.
 const REQUEST_ID_LENGTH: RangeInclusive<usize> = 1..=64;
 
@@ -48,12 +56,16 @@
     ///
     /// # Errors
     /// The first rule that the head breaks; the rules are checked in a fixed order.
-    pub(super) fn parse(settings: &ResolvedSettings, parts: &Parts) -> Result<RequestHead, RequestError> {
+    pub(super) fn parse(
+        settings: &ResolvedSettings,
+        parts: &Parts,
+    ) -> Result<RequestHead, RequestError> {
         let headers = &parts.headers;
         check_framing(headers)?;
         let id = parse_request_id(headers)?;
         let class_name = header_text(headers, CLASS).ok_or(RequestError::MissingClass)?;
-        let class_index = index_of(&settings.class_names, class_name).ok_or(RequestError::UnknownClass)?;
+        let class_index =
+            index_of(&settings.class_names, class_name).ok_or(RequestError::UnknownClass)?;
         let plan = parse_plan(headers, &settings.plan_names)?;
         let customer = parse_path(&parts.uri, class_name)?;
         let client_timeout = parse_client_timeout(headers, settings)?;
@@ -80,7 +92,10 @@
         return Err(RequestError::TransferEncoding);
     }
     // Of a repeated header one reader takes the first value and another the last.
-    if SINGLE_HEADERS.iter().any(|name| headers.get_all(*name).iter().count() > 1) {
+    if SINGLE_HEADERS
+        .iter()
+        .any(|name| headers.get_all(*name).iter().count() > 1)
+    {
         return Err(RequestError::RepeatedHeader);
     }
     Ok(())
@@ -96,7 +111,9 @@
 
 fn parse_plan(headers: &HeaderMap, plan_names: &[String]) -> Result<PlanId, RequestError> {
     let name = header_text(headers, PLAN).ok_or(RequestError::InvalidPlan)?;
-    index_of(plan_names, name).map(PlanId).ok_or(RequestError::InvalidPlan)
+    index_of(plan_names, name)
+        .map(PlanId)
+        .ok_or(RequestError::InvalidPlan)
 }
 
 /// The customer that the path ends with. Between it and the class, with which the path begins, anything may stand.
@@ -105,16 +122,27 @@
     if segments.next() != Some(class_name) {
         return Err(RequestError::PathWithoutClass);
     }
-    segments.next_back().and_then(parse_customer).ok_or(RequestError::PathWithoutCustomer)
+    segments
+        .next_back()
+        .and_then(parse_customer)
+        .ok_or(RequestError::PathWithoutCustomer)
 }
 
-fn parse_client_timeout(headers: &HeaderMap, settings: &ResolvedSettings) -> Result<Duration, RequestError> {
+fn parse_client_timeout(
+    headers: &HeaderMap,
+    settings: &ResolvedSettings,
+) -> Result<Duration, RequestError> {
     let longest = Duration::from_micros(settings.longest_deadline);
     let timeout = header_text(headers, DEADLINE).and_then(parse_duration);
-    timeout.filter(|timeout| *timeout <= longest).ok_or(RequestError::InvalidDeadline)
+    timeout
+        .filter(|timeout| *timeout <= longest)
+        .ok_or(RequestError::InvalidDeadline)
 }
 
-fn parse_call_terms(headers: &HeaderMap, settings: &ResolvedSettings) -> Result<CallTerms, RequestError> {
+fn parse_call_terms(
+    headers: &HeaderMap,
+    settings: &ResolvedSettings,
+) -> Result<CallTerms, RequestError> {
     let text = header_text(headers, CALL_TERMS).ok_or(RequestError::InvalidCallTerms)?;
     CallTerms::parse(text, &settings.settings).ok_or(RequestError::InvalidCallTerms)
 }
--- a/crates/edge-node/src/clients/response.rs
+++ b/crates/edge-node/src/clients/response.rs
@@ -14,7 +14,9 @@
 
 /// Makes a response the last one on its connection.
 pub(super) fn close_connection(response: &mut BufferedResponse) {
-    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    response
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
 /// The response to a readiness probe.
--- a/crates/edge-node/src/command.rs
+++ b/crates/edge-node/src/command.rs
@@ -134,7 +134,9 @@
 
 fn print_manual_page() -> Result<()> {
     let mut page = Vec::new();
-    clap_mangen::Man::new(CommandLine::command()).render(&mut page).context("manual page")?;
+    clap_mangen::Man::new(CommandLine::command())
+        .render(&mut page)
+        .context("manual page")?;
     print(&page)
 }
 
@@ -142,7 +144,9 @@
 fn print(bytes: &[u8]) -> Result<()> {
     let mut output = std::io::stdout().lock();
     match output.write_all(bytes).and_then(|()| output.flush()) {
-        Err(error) if error.kind() != ErrorKind::BrokenPipe => Err(error).context("standard output"),
+        Err(error) if error.kind() != ErrorKind::BrokenPipe => {
+            Err(error).context("standard output")
+        }
         _ => Ok(()),
     }
 }
--- a/crates/edge-node/src/config/environment.rs
+++ b/crates/edge-node/src/config/environment.rs
@@ -21,7 +21,8 @@
     /// # Errors
     /// No file is named, it can't be used, or a variable holds no address where it should.
     pub(crate) fn from_environment(
-        path: Option<PathBuf>, variable: impl Fn(&str) -> Option<String>,
+        path: Option<PathBuf>,
+        variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
         let path = path.or_else(|| variable(CONFIG_VARIABLE).map(PathBuf::from));
         let path = path.ok_or(ConfigError::NotGiven)?;
@@ -40,5 +41,9 @@
 }
 
 fn parse_address(variable: &'static str, value: String) -> Result<SocketAddr, ConfigError> {
-    value.parse().map_err(|source| ConfigError::InvalidAddress { variable, value, source })
+    value.parse().map_err(|source| ConfigError::InvalidAddress {
+        variable,
+        value,
+        source,
+    })
 }
--- a/crates/edge-node/src/config/error.rs
+++ b/crates/edge-node/src/config/error.rs
@@ -83,7 +83,11 @@
     pub(super) fn from_error(error: &(dyn Error + 'static)) -> Diagnostic {
         let chain = std::iter::successors(Some(error), |error| (*error).source());
         let messages: Vec<String> = chain.map(ToString::to_string).collect();
-        Diagnostic { line: None, path: String::new(), message: messages.join(": ") }
+        Diagnostic {
+            line: None,
+            path: String::new(),
+            message: messages.join(": "),
+        }
     }
 }
 
--- a/crates/edge-node/src/config/file/line_index.rs
+++ b/crates/edge-node/src/config/file/line_index.rs
@@ -10,7 +10,9 @@
     pub(super) fn new(text: &str) -> LineIndex {
         let breaks = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
         let starts = std::iter::once(0).chain(breaks.map(|(offset, _)| offset + 1));
-        LineIndex { starts: starts.collect() }
+        LineIndex {
+            starts: starts.collect(),
+        }
     }
 
     /// The line, from 1, on which the byte at an offset stands.
--- a/crates/edge-node/src/config/file/mod.rs
+++ b/crates/edge-node/src/config/file/mod.rs
@@ -64,7 +64,10 @@
         let ConfigValue::Table(entries) = &self.value else {
             return None;
         };
-        entries.iter().find(|(key, _)| key == name).map(|(_, item)| item)
+        entries
+            .iter()
+            .find(|(key, _)| key == name)
+            .map(|(_, item)| item)
     }
 
     /// The string, if this is one.
--- a/crates/edge-node/src/config/file/parse_json.rs
+++ b/crates/edge-node/src/config/file/parse_json.rs
@@ -18,13 +18,20 @@
 /// # Errors
 /// The first thing that JSON's grammar forbids.
 pub(super) fn parse(text: &str) -> Result<ConfigItem, Vec<Diagnostic>> {
-    let parser = Parser { text, lines: LineIndex::new(text) };
+    let parser = Parser {
+        text,
+        lines: LineIndex::new(text),
+    };
     let root = serde_json::from_str(text).and_then(|root| parser.item(root, 0));
     root.map_err(|error| vec![diagnostic(&error)])
 }
 
 fn diagnostic(error: &serde_json::Error) -> Diagnostic {
-    Diagnostic { line: Some(error.line()), path: String::new(), message: error.to_string() }
+    Diagnostic {
+        line: Some(error.line()),
+        path: String::new(),
+        message: error.to_string(),
+    }
 }
 
 struct Parser<'a> {
@@ -60,8 +67,10 @@
 
     fn list(&self, raw: &RawValue, nesting: usize) -> serde_json::Result<ConfigValue> {
         let elements: Vec<&RawValue> = serde_json::from_str(raw.get())?;
-        let items: serde_json::Result<_> =
-            elements.into_iter().map(|element| self.item(element, nesting)).collect();
+        let items: serde_json::Result<_> = elements
+            .into_iter()
+            .map(|element| self.item(element, nesting))
+            .collect();
         Ok(ConfigValue::List(items?))
     }
 }
--- a/crates/edge-node/src/config/file/parse_toml.rs
+++ b/crates/edge-node/src/config/file/parse_toml.rs
@@ -15,9 +15,15 @@
     let lines = LineIndex::new(text);
     let (root, errors) = DeTable::parse_recoverable(text);
     if !errors.is_empty() {
-        return Err(errors.iter().map(|error| diagnostic(&lines, error)).collect());
+        return Err(errors
+            .iter()
+            .map(|error| diagnostic(&lines, error))
+            .collect());
     }
-    Ok(ConfigItem { line: 1, value: table(&lines, root.get_ref()) })
+    Ok(ConfigItem {
+        line: 1,
+        value: table(&lines, root.get_ref()),
+    })
 }
 
 fn diagnostic(lines: &LineIndex, error: &Error) -> Diagnostic {
@@ -31,7 +37,10 @@
 fn table(lines: &LineIndex, table: &DeTable<'_>) -> ConfigValue {
     let entry = |(name, value): (&Spanned<Cow<'_, str>>, &Spanned<DeValue<'_>>)| {
         let line = lines.line_at(name.span().start);
-        let item = ConfigItem { line, value: convert(lines, value.get_ref()) };
+        let item = ConfigItem {
+            line,
+            value: convert(lines, value.get_ref()),
+        };
         (name.get_ref().to_string(), item)
     };
     ConfigValue::Table(table.iter().map(entry).collect())
@@ -59,10 +68,13 @@
 
 fn integer(number: &DeInteger<'_>) -> ConfigValue {
     let digits = number.as_str().replace('_', "");
-    i128::from_str_radix(&digits, number.radix()).map_or(ConfigValue::Unsupported, ConfigValue::Integer)
+    i128::from_str_radix(&digits, number.radix())
+        .map_or(ConfigValue::Unsupported, ConfigValue::Integer)
 }
 
 fn float(number: &DeFloat<'_>) -> ConfigValue {
     let digits = number.as_str().replace('_', "");
-    digits.parse().map_or(ConfigValue::Unsupported, ConfigValue::Number)
+    digits
+        .parse()
+        .map_or(ConfigValue::Unsupported, ConfigValue::Number)
 }
--- a/crates/edge-node/src/config/mod.rs
+++ b/crates/edge-node/src/config/mod.rs
@@ -83,13 +83,21 @@
     /// # Errors
     /// [`ConfigError::Unreadable`] if the file can't be read, [`ConfigError::Invalid`] if something in it is wrong.
     pub(crate) fn read(path: &Path) -> Result<Config, ConfigError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| ConfigError::Unreadable { path: path.to_owned(), source })?;
+        let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
+            path: path.to_owned(),
+            source,
+        })?;
         let config = match ConfigFormat::detect(path, &text) {
             ConfigFormat::Toml => read_toml(path, &text),
             ConfigFormat::PlatformJson => read_platform_json(path, &text),
         };
-        config.map_err(|diagnostics| InvalidConfig { path: path.to_owned(), diagnostics }.into())
+        config.map_err(|diagnostics| {
+            InvalidConfig {
+                path: path.to_owned(),
+                diagnostics,
+            }
+            .into()
+        })
     }
 }
 
@@ -101,7 +109,8 @@
         return Err(diagnostics);
     }
     let json = schema::to_platform_json(&root).to_string();
-    platform::read(path, ConfigFormat::Toml, &json).map_err(|error| vec![Diagnostic::from_error(&error)])
+    platform::read(path, ConfigFormat::Toml, &json)
+        .map_err(|error| vec![Diagnostic::from_error(&error)])
 }
 
 /// Reads a file of the platform. Whether it is accepted is decided by reading it; validation then finds all that is
--- a/crates/edge-node/src/config/platform.rs
+++ b/crates/edge-node/src/config/platform.rs
@@ -40,7 +40,11 @@
 ///
 /// # Errors
 /// The first thing that is wrong.
-pub(super) fn read(path: &Path, format: ConfigFormat, text: &str) -> Result<Config, PlatformConfigError> {
+pub(super) fn read(
+    path: &Path,
+    format: ConfigFormat,
+    text: &str,
+) -> Result<Config, PlatformConfigError> {
     let json: JsonConfig = serde_json::from_str(text)?;
     let settings = read_settings(&json.settings)?;
     if json.limits.max_file_descriptors < MIN_FILE_DESCRIPTORS as usize {
@@ -69,7 +73,10 @@
 
 fn read_settings(json: &RawValue) -> Result<ResolvedSettings, PlatformConfigError> {
     let settings = settings::parse(json.get()).map_err(PlatformConfigError::UnparsableSettings)?;
-    settings.settings.validate().map_err(PlatformConfigError::InvalidSettings)?;
+    settings
+        .settings
+        .validate()
+        .map_err(PlatformConfigError::InvalidSettings)?;
     Ok(settings)
 }
 
@@ -117,7 +124,10 @@
 
 impl Default for JsonLimits {
     fn default() -> Self {
-        JsonLimits { max_file_descriptors: default_file_descriptors(), max_memory_mib: default_memory_mib() }
+        JsonLimits {
+            max_file_descriptors: default_file_descriptors(),
+            max_memory_mib: default_memory_mib(),
+        }
     }
 }
 
--- a/crates/edge-node/src/config/schema/keys/fleet.rs
+++ b/crates/edge-node/src/config/schema/keys/fleet.rs
@@ -12,15 +12,26 @@
 const MICROSECOND_MS: f64 = 0.001;
 
 /// Values of `fleet.list_changes`.
-const LIST_CHANGES: &[Choice] =
-    &[Choice { toml: "pushed", json: "automatic" }, Choice { toml: "followed", json: "subscribe" }];
+const LIST_CHANGES: &[Choice] = &[
+    Choice {
+        toml: "pushed",
+        json: "automatic",
+    },
+    Choice {
+        toml: "followed",
+        json: "subscribe",
+    },
+];
 
 /// The `[fleet]` table.
 pub(super) const FLEET: &[KeySpec] = &[
     KeySpec {
         toml_path: "fleet.gateways",
         json_path: "settings.balancers",
-        value_type: ValueType::Integer { min: 1, max: MAX_GATEWAYS },
+        value_type: ValueType::Integer {
+            min: 1,
+            max: MAX_GATEWAYS,
+        },
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
@@ -29,7 +40,10 @@
     KeySpec {
         toml_path: "fleet.number",
         json_path: "settings.me",
-        value_type: ValueType::Integer { min: 0, max: MAX_GATEWAYS - 1 },
+        value_type: ValueType::Integer {
+            min: 0,
+            max: MAX_GATEWAYS - 1,
+        },
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
@@ -39,7 +53,9 @@
         toml_path: "fleet.zones",
         json_path: "settings.zones",
         value_type: ValueType::TextList,
-        default: DefaultValue::Absent { meaning: "no zones" },
+        default: DefaultValue::Absent {
+            meaning: "no zones",
+        },
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
         description: "Names of all zones.",
@@ -56,7 +72,10 @@
     KeySpec {
         toml_path: "fleet.round_ms",
         json_path: "settings.periodUs",
-        value_type: ValueType::Milliseconds { min: MICROSECOND_MS, max: MAX_ROUND_MS },
+        value_type: ValueType::Milliseconds {
+            min: MICROSECOND_MS,
+            max: MAX_ROUND_MS,
+        },
         default: DefaultValue::Milliseconds(2.0),
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
@@ -69,7 +88,8 @@
         default: DefaultValue::Choice("pushed"),
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "How list changes reach the decisions; the edge node keeps a watch in any case.",
+        description:
+            "How list changes reach the decisions; the edge node keeps a watch in any case.",
     },
 ];
 
--- a/crates/edge-node/src/config/schema/keys/mod.rs
+++ b/crates/edge-node/src/config/schema/keys/mod.rs
@@ -22,9 +22,15 @@
 ];
 
 /// The list of classes.
-pub(super) const CLASS_LIST: ListPaths = ListPaths { toml: "classes", json: "settings.classes" };
+pub(super) const CLASS_LIST: ListPaths = ListPaths {
+    toml: "classes",
+    json: "settings.classes",
+};
 /// The list of plans.
-pub(super) const PLAN_LIST: ListPaths = ListPaths { toml: "plans", json: "settings.packages" };
+pub(super) const PLAN_LIST: ListPaths = ListPaths {
+    toml: "plans",
+    json: "settings.packages",
+};
 /// Lists of which a configuration needs at least one item.
 pub(super) const REQUIRED_LISTS: [ListPaths; 2] = [CLASS_LIST, PLAN_LIST];
 
--- a/crates/edge-node/src/config/schema/keys/node.rs
+++ b/crates/edge-node/src/config/schema/keys/node.rs
@@ -1,6 +1,8 @@
 //! Keys of this edge node alone: its name and addresses, limits of the process, log and admin listener.
 
-use crate::config::schema::spec::{Choice, DefaultValue, KeySpec, OnReload, PlatformPresence, ValueType};
+use crate::config::schema::spec::{
+    Choice, DefaultValue, KeySpec, OnReload, PlatformPresence, ValueType,
+};
 
 /// Fewer descriptors than this leave no room for clients beside servers.
 pub(crate) const MIN_FILE_DESCRIPTORS: u64 = 64;
@@ -61,7 +63,10 @@
     KeySpec {
         toml_path: "limits.file_descriptors",
         json_path: "limits.sockets",
-        value_type: ValueType::Integer { min: MIN_FILE_DESCRIPTORS, max: MAX_RESOURCE },
+        value_type: ValueType::Integer {
+            min: MIN_FILE_DESCRIPTORS,
+            max: MAX_RESOURCE,
+        },
         default: DefaultValue::Integer(1024),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
@@ -70,7 +75,10 @@
     KeySpec {
         toml_path: "limits.memory_mib",
         json_path: "limits.memory_mb",
-        value_type: ValueType::Integer { min: MIN_MEMORY_MIB, max: MAX_RESOURCE },
+        value_type: ValueType::Integer {
+            min: MIN_MEMORY_MIB,
+            max: MAX_RESOURCE,
+        },
         default: DefaultValue::Integer(32),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
@@ -98,7 +106,9 @@
         toml_path: "admin.listen",
         json_path: "admin.listen",
         value_type: ValueType::Address,
-        default: DefaultValue::Absent { meaning: "no admin listener" },
+        default: DefaultValue::Absent {
+            meaning: "no admin listener",
+        },
         in_platform_json: PlatformPresence::Absent,
         on_reload: OnReload::RequiresRestart,
         description: "Where operators and their monitoring connect: metrics, health, state.",
--- a/crates/edge-node/src/config/schema/keys/policy.rs
+++ b/crates/edge-node/src/config/schema/keys/policy.rs
@@ -11,12 +11,22 @@
 
 /// Values of `classes[].repeat`.
 const REPEATS: &[Choice] = &[
-    Choice { toml: "safe", json: "read_like" },
+    Choice {
+        toml: "safe",
+        json: "read_like",
+    },
     Choice::same("idempotency_key"),
-    Choice { toml: "never", json: "non_idempotent" },
+    Choice {
+        toml: "never",
+        json: "non_idempotent",
+    },
 ];
 /// Values of `classes[].idempotency_scope`.
-const IDEMPOTENCY_SCOPES: &[Choice] = &[Choice::same("all"), Choice::same("zone"), Choice::same("cell")];
+const IDEMPOTENCY_SCOPES: &[Choice] = &[
+    Choice::same("all"),
+    Choice::same("zone"),
+    Choice::same("cell"),
+];
 
 /// Each `[[classes]]` table.
 pub(super) const CLASSES: &[KeySpec] = &[
@@ -32,7 +42,10 @@
     KeySpec {
         toml_path: "classes[].latency_target_ms",
         json_path: "settings.classes[].aimUs",
-        value_type: ValueType::Milliseconds { min: MICROSECOND_MS, max: HOUR_MS },
+        value_type: ValueType::Milliseconds {
+            min: MICROSECOND_MS,
+            max: HOUR_MS,
+        },
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
@@ -41,7 +54,10 @@
     KeySpec {
         toml_path: "classes[].deadline_ms",
         json_path: "settings.classes[].deadlineUs",
-        value_type: ValueType::Milliseconds { min: MICROSECOND_MS, max: HOUR_MS },
+        value_type: ValueType::Milliseconds {
+            min: MICROSECOND_MS,
+            max: HOUR_MS,
+        },
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
@@ -59,7 +75,10 @@
     KeySpec {
         toml_path: "classes[].value",
         json_path: "settings.classes[].worth",
-        value_type: ValueType::Number { min: 0.0, max: MAX_NUMBER },
+        value_type: ValueType::Number {
+            min: 0.0,
+            max: MAX_NUMBER,
+        },
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
@@ -86,7 +105,10 @@
     KeySpec {
         toml_path: "classes[].idempotency_window_ms",
         json_path: "settings.classes[].windowUs",
-        value_type: ValueType::Milliseconds { min: 0.0, max: HOUR_MS },
+        value_type: ValueType::Milliseconds {
+            min: 0.0,
+            max: HOUR_MS,
+        },
         default: DefaultValue::Milliseconds(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
@@ -108,16 +130,23 @@
     KeySpec {
         toml_path: "plans[].units_per_s",
         json_path: "settings.packages[].rate",
-        value_type: ValueType::Number { min: 0.0, max: MAX_NUMBER },
+        value_type: ValueType::Number {
+            min: 0.0,
+            max: MAX_NUMBER,
+        },
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Quota of each customer over all edge nodes, in units a second; 0 for no limit by rate.",
+        description:
+            "Quota of each customer over all edge nodes, in units a second; 0 for no limit by rate.",
     },
     KeySpec {
         toml_path: "plans[].burst_units",
         json_path: "settings.packages[].storeSize",
-        value_type: ValueType::Number { min: 0.0, max: MAX_NUMBER },
+        value_type: ValueType::Number {
+            min: 0.0,
+            max: MAX_NUMBER,
+        },
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
@@ -126,7 +155,10 @@
     KeySpec {
         toml_path: "plans[].concurrency",
         json_path: "settings.packages[].atOnce",
-        value_type: ValueType::Integer { min: 0, max: MAX_CONCURRENCY },
+        value_type: ValueType::Integer {
+            min: 0,
+            max: MAX_CONCURRENCY,
+        },
         default: DefaultValue::Integer(0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
@@ -135,7 +167,10 @@
     KeySpec {
         toml_path: "plans[].value_factor",
         json_path: "settings.packages[].price",
-        value_type: ValueType::Number { min: 0.0, max: MAX_NUMBER },
+        value_type: ValueType::Number {
+            min: 0.0,
+            max: MAX_NUMBER,
+        },
         default: DefaultValue::Number(1.0),
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
@@ -144,7 +179,10 @@
     KeySpec {
         toml_path: "plans[].over_quota_value",
         json_path: "settings.packages[].overWorth",
-        value_type: ValueType::Number { min: 0.0, max: MAX_NUMBER },
+        value_type: ValueType::Number {
+            min: 0.0,
+            max: MAX_NUMBER,
+        },
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
@@ -153,7 +191,10 @@
     KeySpec {
         toml_path: "plans[].over_quota_cost",
         json_path: "settings.packages[].overrunCost",
-        value_type: ValueType::Number { min: 0.0, max: MAX_NUMBER },
+        value_type: ValueType::Number {
+            min: 0.0,
+            max: MAX_NUMBER,
+        },
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
@@ -162,7 +203,10 @@
     KeySpec {
         toml_path: "plans[].ceiling_units_per_s",
         json_path: "settings.packages[].capRate",
-        value_type: ValueType::Number { min: 0.0, max: MAX_NUMBER },
+        value_type: ValueType::Number {
+            min: 0.0,
+            max: MAX_NUMBER,
+        },
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
@@ -171,7 +215,10 @@
     KeySpec {
         toml_path: "plans[].ceiling_burst_units",
         json_path: "settings.packages[].neverOverDepth",
-        value_type: ValueType::Number { min: 0.0, max: MAX_NUMBER },
+        value_type: ValueType::Number {
+            min: 0.0,
+            max: MAX_NUMBER,
+        },
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
--- a/crates/edge-node/src/config/schema/keys/traffic.rs
+++ b/crates/edge-node/src/config/schema/keys/traffic.rs
@@ -16,7 +16,10 @@
     KeySpec {
         toml_path: "requests.max_attempts",
         json_path: "settings.ceilings.sendCap",
-        value_type: ValueType::Integer { min: 1, max: MAX_ATTEMPTS },
+        value_type: ValueType::Integer {
+            min: 1,
+            max: MAX_ATTEMPTS,
+        },
         default: DefaultValue::Integer(3),
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
@@ -34,7 +37,10 @@
     KeySpec {
         toml_path: "requests.max_units",
         json_path: "settings.extra.maxUnits",
-        value_type: ValueType::Number { min: 0.0, max: MAX_NUMBER },
+        value_type: ValueType::Number {
+            min: 0.0,
+            max: MAX_NUMBER,
+        },
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
@@ -52,8 +58,13 @@
     KeySpec {
         toml_path: "requests.max_retry_after_ms",
         json_path: "settings.ceilings.maxRetryAfterUs",
-        value_type: ValueType::Milliseconds { min: 0.0, max: HOUR_MS },
-        default: DefaultValue::Absent { meaning: "no limit" },
+        value_type: ValueType::Milliseconds {
+            min: 0.0,
+            max: HOUR_MS,
+        },
+        default: DefaultValue::Absent {
+            meaning: "no limit",
+        },
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
         description: "The longest that they may be told, in ms.",
@@ -65,7 +76,10 @@
     KeySpec {
         toml_path: "servers.idle_timeout_ms",
         json_path: "settings.ceilings.connIdleUs",
-        value_type: ValueType::Milliseconds { min: MIN_TIMEOUT_MS, max: HOUR_MS },
+        value_type: ValueType::Milliseconds {
+            min: MIN_TIMEOUT_MS,
+            max: HOUR_MS,
+        },
         default: DefaultValue::Milliseconds(15_000.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
@@ -74,7 +88,10 @@
     KeySpec {
         toml_path: "servers.connect_timeout_ms",
         json_path: "settings.ceilings.connectTimeoutUs",
-        value_type: ValueType::Milliseconds { min: MIN_TIMEOUT_MS, max: HOUR_MS },
+        value_type: ValueType::Milliseconds {
+            min: MIN_TIMEOUT_MS,
+            max: HOUR_MS,
+        },
         default: DefaultValue::Milliseconds(250.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
@@ -83,11 +100,15 @@
     KeySpec {
         toml_path: "servers.drain_grace_ms",
         json_path: "settings.rules.drainGraceUs",
-        value_type: ValueType::Milliseconds { min: MIN_DRAIN_GRACE_MS, max: HOUR_MS },
+        value_type: ValueType::Milliseconds {
+            min: MIN_DRAIN_GRACE_MS,
+            max: HOUR_MS,
+        },
         default: DefaultValue::Milliseconds(500.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "So long after a server was told to drain, in ms, new requests may still reach it.",
+        description:
+            "So long after a server was told to drain, in ms, new requests may still reach it.",
     },
     KeySpec {
         toml_path: "servers.cold_start_capacity",
@@ -101,7 +122,10 @@
     KeySpec {
         toml_path: "servers.cold_start_ms",
         json_path: "settings.rules.coldUs",
-        value_type: ValueType::Milliseconds { min: 0.0, max: HOUR_MS },
+        value_type: ValueType::Milliseconds {
+            min: 0.0,
+            max: HOUR_MS,
+        },
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
@@ -110,16 +134,23 @@
     KeySpec {
         toml_path: "servers.overload_factor",
         json_path: "settings.rules.fallMultiple",
-        value_type: ValueType::Number { min: 0.0, max: MAX_NUMBER },
+        value_type: ValueType::Number {
+            min: 0.0,
+            max: MAX_NUMBER,
+        },
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Work above this multiple of its present capacity makes a cold server fall ...",
+        description:
+            "Work above this multiple of its present capacity makes a cold server fall ...",
     },
     KeySpec {
         toml_path: "servers.overload_window_ms",
         json_path: "settings.rules.overloadForUs",
-        value_type: ValueType::Milliseconds { min: 0.0, max: HOUR_MS },
+        value_type: ValueType::Milliseconds {
+            min: 0.0,
+            max: HOUR_MS,
+        },
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
@@ -128,7 +159,10 @@
     KeySpec {
         toml_path: "servers.cross_zone_cost",
         json_path: "settings.deductions.crossZone",
-        value_type: ValueType::Number { min: 0.0, max: MAX_NUMBER },
+        value_type: ValueType::Number {
+            min: 0.0,
+            max: MAX_NUMBER,
+        },
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
--- a/crates/edge-node/src/config/schema/locate.rs
+++ b/crates/edge-node/src/config/schema/locate.rs
@@ -13,10 +13,17 @@
 
 /// Splits a path such as `classes[].name`.
 pub(super) fn path_segments(path: &str) -> impl Iterator<Item = PathSegment<'_>> {
-    path.split('.').map(|segment| match segment.strip_suffix("[]") {
-        Some(name) => PathSegment { name, is_list: true },
-        None => PathSegment { name: segment, is_list: false },
-    })
+    path.split('.')
+        .map(|segment| match segment.strip_suffix("[]") {
+            Some(name) => PathSegment {
+                name,
+                is_list: true,
+            },
+            None => PathSegment {
+                name: segment,
+                is_list: false,
+            },
+        })
 }
 
 /// The path of an entry in the table at `parent`, which is empty for the root.
@@ -42,8 +49,12 @@
 
 /// Every place that a path names, also those where nothing is. A list that is missing has no items, and so no places.
 pub(super) fn locate<'a>(root: &'a ConfigItem, path: &str) -> Vec<Location<'a>> {
-    let mut locations =
-        vec![Location { path: String::new(), indexes: Vec::new(), line: None, item: Some(root) }];
+    let mut locations = vec![Location {
+        path: String::new(),
+        indexes: Vec::new(),
+        line: None,
+        item: Some(root),
+    }];
     for segment in path_segments(path) {
         let steps = locations.into_iter().flat_map(|location| {
             let entry = entry_of(location, segment.name);
@@ -77,7 +88,12 @@
     let location = |(index, item): (usize, &'a ConfigItem)| {
         let mut indexes = list.indexes.clone();
         indexes.push(index);
-        Location { path: format!("{}[{index}]", list.path), indexes, line: Some(item.line), item: Some(item) }
+        Location {
+            path: format!("{}[{index}]", list.path),
+            indexes,
+            line: Some(item.line),
+            item: Some(item),
+        }
     };
     items.iter().enumerate().map(location).collect()
 }
--- a/crates/edge-node/src/config/schema/markdown.rs
+++ b/crates/edge-node/src/config/schema/markdown.rs
@@ -14,15 +14,22 @@
 }
 
 fn row(key: &KeySpec) -> String {
-    let KeySpec { toml_path, description, .. } = key;
+    let KeySpec {
+        toml_path,
+        description,
+        ..
+    } = key;
     let takes = type_text(key.value_type);
     let default = default_text(key.default);
     let on_reload = match key.on_reload {
         OnReload::Applied => "applied",
         OnReload::RequiresRestart | OnReload::Ignored => "at the next start",
     };
-    let json_path =
-        if key.is_in(ConfigFormat::PlatformJson) { format!("`{}`", key.json_path) } else { "-".to_owned() };
+    let json_path = if key.is_in(ConfigFormat::PlatformJson) {
+        format!("`{}`", key.json_path)
+    } else {
+        "-".to_owned()
+    };
     format!("| `{toml_path}` | {description} | {takes} | {default} | {on_reload} | {json_path} |\n")
 }
 
@@ -37,7 +44,10 @@
         ValueType::Number { min, max } => format!("number, {min} to {max}"),
         ValueType::Milliseconds { min, max } => format!("ms, {min} to {max}"),
         ValueType::Choice(choices) => {
-            let words: Vec<String> = choices.iter().map(|choice| format!("`{}`", choice.toml)).collect();
+            let words: Vec<String> = choices
+                .iter()
+                .map(|choice| format!("`{}`", choice.toml))
+                .collect();
             words.join(", ")
         }
     }
--- a/crates/edge-node/src/config/schema/restart.rs
+++ b/crates/edge-node/src/config/schema/restart.rs
@@ -17,14 +17,23 @@
 impl RestartValues {
     /// Takes the values from a configuration in the platform's JSON, into which files of the other format are
     /// translated. `format` is the file's own.
-    pub(in crate::config) fn from_platform_json(format: ConfigFormat, json: &Value) -> RestartValues {
+    pub(in crate::config) fn from_platform_json(
+        format: ConfigFormat,
+        json: &Value,
+    ) -> RestartValues {
         let keys = keys_of(format).filter(|key| key.on_reload == OnReload::RequiresRestart);
-        RestartValues(keys.map(|key| (key.path(format), values_of(key, json))).collect())
+        RestartValues(
+            keys.map(|key| (key.path(format), values_of(key, json)))
+                .collect(),
+        )
     }
 
     /// The paths of the keys whose values differ, in alphabetical order.
     pub(crate) fn changed_keys(&self, other: &RestartValues) -> Vec<&'static str> {
-        let changed = self.0.iter().filter(|(path, values)| other.0.get(*path) != Some(values));
+        let changed = self
+            .0
+            .iter()
+            .filter(|(path, values)| other.0.get(*path) != Some(values));
         changed.map(|(path, _)| *path).collect()
     }
 }
@@ -35,7 +44,9 @@
     for segment in path_segments(key.json_path) {
         let entries = found.into_iter().map(|value| &value[segment.name]);
         found = if segment.is_list {
-            entries.flat_map(|list| list.as_array().into_iter().flatten()).collect()
+            entries
+                .flat_map(|list| list.as_array().into_iter().flatten())
+                .collect()
         } else {
             entries.collect()
         };
--- a/crates/edge-node/src/config/schema/spec.rs
+++ b/crates/edge-node/src/config/schema/spec.rs
@@ -42,7 +42,10 @@
 impl Choice {
     /// A word that both formats spell alike.
     pub(super) const fn same(word: &'static str) -> Choice {
-        Choice { toml: word, json: word }
+        Choice {
+            toml: word,
+            json: word,
+        }
     }
 
     /// The word in a format.
--- a/crates/edge-node/src/config/schema/suggest.rs
+++ b/crates/edge-node/src/config/schema/suggest.rs
@@ -15,7 +15,10 @@
 
 /// The path in operators' files, of a key or a table, that is most similar to `unknown`, if any is similar enough.
 pub(super) fn nearest_path(unknown: &str) -> Option<&'static str> {
-    let candidates = known_paths().map(|path| Candidate { path, similarity: similarity(unknown, path) });
+    let candidates = known_paths().map(|path| Candidate {
+        path,
+        similarity: similarity(unknown, path),
+    });
     candidates
         .filter(|candidate| candidate.similarity >= MIN_SIMILARITY)
         .max_by(|one, other| one.similarity.total_cmp(&other.similarity))
@@ -25,7 +28,10 @@
 /// The paths of all keys, each followed by its table's.
 fn known_paths() -> impl Iterator<Item = &'static str> {
     all_keys().flat_map(|key| {
-        let table = key.toml_path.split_once('.').map(|(table, _)| table.trim_end_matches("[]"));
+        let table = key
+            .toml_path
+            .split_once('.')
+            .map(|(table, _)| table.trim_end_matches("[]"));
         std::iter::once(key.toml_path).chain(table)
     })
 }
@@ -38,7 +44,10 @@
 }
 
 fn last_name(path: &str) -> String {
-    path.rsplit('.').next().unwrap_or_default().replace("[]", "")
+    path.rsplit('.')
+        .next()
+        .unwrap_or_default()
+        .replace("[]", "")
 }
 
 #[cfg(test)]
--- a/crates/edge-node/src/config/schema/translate.rs
+++ b/crates/edge-node/src/config/schema/translate.rs
@@ -56,7 +56,9 @@
 
 /// The platform's word for one of operators' files.
 fn json_word(choices: &[Choice], word: &str) -> Option<&'static str> {
-    let choice = choices.iter().find(|choice| choice.word(ConfigFormat::Toml) == word);
+    let choice = choices
+        .iter()
+        .find(|choice| choice.word(ConfigFormat::Toml) == word);
     choice.map(|choice| choice.word(ConfigFormat::PlatformJson))
 }
 
@@ -70,7 +72,11 @@
     let mut target = root;
     for segment in path_segments(path) {
         target = entry_mut(target, segment.name);
-        let index = if segment.is_list { indexes.next() } else { None };
+        let index = if segment.is_list {
+            indexes.next()
+        } else {
+            None
+        };
         if let Some(index) = index {
             target = element_mut(target, *index);
         }
--- a/crates/edge-node/src/config/schema/validate/mod.rs
+++ b/crates/edge-node/src/config/schema/validate/mod.rs
@@ -16,13 +16,19 @@
 
 /// All that is wrong with a configuration, in the order of its lines; what concerns none of them comes first.
 pub(in crate::config) fn validate(format: ConfigFormat, root: &ConfigItem) -> Vec<Diagnostic> {
-    let mut validator = Validator { format, root, diagnostics: Vec::new() };
+    let mut validator = Validator {
+        format,
+        root,
+        diagnostics: Vec::new(),
+    };
     validator.check_table(root, &ItemPath::default());
     if matches!(root.value, ConfigValue::Table(_)) {
         validator.check_required();
         validator.check_relations();
     }
-    validator.diagnostics.sort_by_key(|diagnostic| diagnostic.line);
+    validator
+        .diagnostics
+        .sort_by_key(|diagnostic| diagnostic.line);
     validator.diagnostics
 }
 
@@ -45,18 +51,28 @@
 impl ItemPath {
     /// The path of an entry of the table at this path.
     fn entry(&self, name: &str) -> ItemPath {
-        ItemPath { pattern: join_path(&self.pattern, name), shown: join_path(&self.shown, name) }
+        ItemPath {
+            pattern: join_path(&self.pattern, name),
+            shown: join_path(&self.shown, name),
+        }
     }
 
     /// The path of an element of the list at this path.
     fn element(&self, index: usize) -> ItemPath {
-        ItemPath { pattern: format!("{}[]", self.pattern), shown: format!("{}[{index}]", self.shown) }
+        ItemPath {
+            pattern: format!("{}[]", self.pattern),
+            shown: format!("{}[{index}]", self.shown),
+        }
     }
 }
 
 impl<'a> Validator<'a> {
     fn report(&mut self, line: Option<usize>, path: &str, problem: Problem) {
-        self.diagnostics.push(Diagnostic { line, path: path.to_owned(), message: problem.to_string() });
+        self.diagnostics.push(Diagnostic {
+            line,
+            path: path.to_owned(),
+            message: problem.to_string(),
+        });
     }
 
     /// Checks all that a table holds.
@@ -79,7 +95,8 @@
         let format = self.format;
         let table_prefix = format!("{}.", path.pattern);
         let list_prefix = format!("{}[]", path.pattern);
-        let is_in_key = |prefix: &str| keys_of(format).any(|key| key.path(format).starts_with(prefix));
+        let is_in_key =
+            |prefix: &str| keys_of(format).any(|key| key.path(format).starts_with(prefix));
         if let Some(key) = keys_of(format).find(|key| key.path(format) == path.pattern) {
             if let Err(problem) = check_value(format, key, item) {
                 self.report(Some(item.line), &path.shown, problem);
@@ -91,7 +108,11 @@
         } else if format == ConfigFormat::Toml {
             // The platform may add keys that this version does not know yet, so its JSON may hold any.
             let nearest = nearest_path(&path.pattern);
-            self.report(Some(item.line), &path.shown, Problem::UnknownKey { nearest });
+            self.report(
+                Some(item.line),
+                &path.shown,
+                Problem::UnknownKey { nearest },
+            );
         }
     }
 
--- a/crates/edge-node/src/config/schema/validate/relations.rs
+++ b/crates/edge-node/src/config/schema/validate/relations.rs
@@ -37,13 +37,19 @@
         };
         let number = location.item.and_then(ConfigItem::as_integer);
         if number.is_some_and(|number| number >= gateways) {
-            self.report(location.line, &location.path, Problem::UnknownGateway { gateways });
+            self.report(
+                location.line,
+                &location.path,
+                Problem::UnknownGateway { gateways },
+            );
         }
     }
 
     /// The edge node's zone is one of the zones, where there are any.
     fn check_zone(&mut self) {
-        let zones = self.locate_key("fleet.zones").and_then(|location| location.item);
+        let zones = self
+            .locate_key("fleet.zones")
+            .and_then(|location| location.item);
         let zones = zones.map(ConfigItem::texts).unwrap_or_default();
         let Some(location) = self.locate_key("fleet.zone") else {
             return;
@@ -63,7 +69,9 @@
         };
         for (index, class) in self.list_items(CLASS_LIST).into_iter().enumerate() {
             let has_keys = class.get(REPEAT).and_then(ConfigItem::as_text) == Some(IDEMPOTENCY_KEY);
-            let has_scope = class.get(scope).is_some_and(|item| !matches!(item.value, ConfigValue::Null));
+            let has_scope = class
+                .get(scope)
+                .is_some_and(|item| !matches!(item.value, ConfigValue::Null));
             if has_keys && !has_scope {
                 let path = format!("{}[{index}].{scope}", CLASS_LIST.path(self.format));
                 self.report(Some(class.line), &path, Problem::MissingScope);
@@ -83,14 +91,22 @@
             };
             if !names.insert(name) {
                 let path = format!("{}[{index}].name", list.path(self.format));
-                self.report(Some(name_item.line), &path, Problem::DuplicateName { name: name.to_owned() });
+                self.report(
+                    Some(name_item.line),
+                    &path,
+                    Problem::DuplicateName {
+                        name: name.to_owned(),
+                    },
+                );
             }
         }
     }
 
     /// Where datagrams arrive, there is one address for each edge node.
     fn check_peer_addresses(&mut self) {
-        let listens = self.locate_key("peers.listen").is_some_and(|location| location.item.is_some());
+        let listens = self
+            .locate_key("peers.listen")
+            .is_some_and(|location| location.item.is_some());
         if !listens {
             return;
         }
@@ -102,7 +118,14 @@
         };
         let addresses = location.item.map_or(0, |item| item.texts().len());
         if addresses as i128 != gateways {
-            self.report(location.line, &location.path, Problem::WrongAddressCount { addresses, gateways });
+            self.report(
+                location.line,
+                &location.path,
+                Problem::WrongAddressCount {
+                    addresses,
+                    gateways,
+                },
+            );
         }
     }
 
@@ -120,7 +143,10 @@
     /// The items of a list; none where it is missing.
     fn list_items(&self, list: ListPaths) -> Vec<&'a ConfigItem> {
         let location = self.locate(list.path(self.format)).into_iter().next();
-        match location.and_then(|location| location.item).map(|item| &item.value) {
+        match location
+            .and_then(|location| location.item)
+            .map(|item| &item.value)
+        {
             Some(ConfigValue::List(items)) => items.iter().collect(),
             _ => Vec::new(),
         }
--- a/crates/edge-node/src/config/schema/validate/value.rs
+++ b/crates/edge-node/src/config/schema/validate/value.rs
@@ -10,7 +10,11 @@
 const FILE_DESCRIPTORS: &str = "limits.file_descriptors";
 
 /// Checks that a key takes a value.
-pub(super) fn check_value(format: ConfigFormat, key: &KeySpec, item: &ConfigItem) -> Result<(), Problem> {
+pub(super) fn check_value(
+    format: ConfigFormat,
+    key: &KeySpec,
+    item: &ConfigItem,
+) -> Result<(), Problem> {
     let is_platform = format == ConfigFormat::PlatformJson;
     if is_platform && matches!(item.value, ConfigValue::Null) && !key.is_required(format) {
         return Ok(());
@@ -23,20 +27,28 @@
         ValueType::Boolean => check_boolean(item),
         ValueType::Choice(choices) => check_choice(format, choices, item),
         ValueType::Integer { min, .. } if is_platform => {
-            let min = if key.toml_path == FILE_DESCRIPTORS { min } else { 0 };
+            let min = if key.toml_path == FILE_DESCRIPTORS {
+                min
+            } else {
+                0
+            };
             check_integer(item, min as f64, u64::MAX as f64)
         }
         ValueType::Integer { min, max } => check_integer(item, min as f64, max as f64),
         // Whole microseconds.
         ValueType::Milliseconds { .. } if is_platform => check_integer(item, 0.0, u64::MAX as f64),
         ValueType::Number { .. } if is_platform => check_number(item, 0.0, f64::MAX),
-        ValueType::Number { min, max } | ValueType::Milliseconds { min, max } => check_number(item, min, max),
+        ValueType::Number { min, max } | ValueType::Milliseconds { min, max } => {
+            check_number(item, min, max)
+        }
     }
 }
 
 fn check_text(format: ConfigFormat, item: &ConfigItem) -> Result<(), Problem> {
     let may_be_empty = format == ConfigFormat::PlatformJson;
-    let is_valid = item.as_text().is_some_and(|text| may_be_empty || !text.is_empty());
+    let is_valid = item
+        .as_text()
+        .is_some_and(|text| may_be_empty || !text.is_empty());
     ensure(is_valid, Problem::NotText)
 }
 
@@ -53,13 +65,25 @@
 }
 
 fn check_boolean(item: &ConfigItem) -> Result<(), Problem> {
-    ensure(matches!(item.value, ConfigValue::Boolean(_)), Problem::NotBoolean)
+    ensure(
+        matches!(item.value, ConfigValue::Boolean(_)),
+        Problem::NotBoolean,
+    )
 }
 
-fn check_choice(format: ConfigFormat, choices: &[Choice], item: &ConfigItem) -> Result<(), Problem> {
+fn check_choice(
+    format: ConfigFormat,
+    choices: &[Choice],
+    item: &ConfigItem,
+) -> Result<(), Problem> {
     let words: Vec<&str> = choices.iter().map(|choice| choice.word(format)).collect();
     let is_known = item.as_text().is_some_and(|text| words.contains(&text));
-    ensure(is_known, Problem::NotOneOf { words: words.into_iter().map(str::to_owned).collect() })
+    ensure(
+        is_known,
+        Problem::NotOneOf {
+            words: words.into_iter().map(str::to_owned).collect(),
+        },
+    )
 }
 
 fn check_integer(item: &ConfigItem, min: f64, max: f64) -> Result<(), Problem> {
--- a/crates/edge-node/src/discovery/mod.rs
+++ b/crates/edge-node/src/discovery/mod.rs
@@ -28,7 +28,9 @@
 /// When the address changes, the future that watches the old one is dropped: its connection is closed. A list is
 /// applied without waiting in between, so none is left half applied.
 pub(crate) async fn watch_endpoints(
-    node: Rc<Node>, mut address: watch_channel::Receiver<SocketAddr>, known: Option<EndpointList>,
+    node: Rc<Node>,
+    mut address: watch_channel::Receiver<SocketAddr>,
+    known: Option<EndpointList>,
     first_list: oneshot::Sender<()>,
 ) {
     if let Some(known) = known {
@@ -57,7 +59,12 @@
 impl DiscoveryClient {
     fn new(node: Rc<Node>, first_list: oneshot::Sender<()>) -> DiscoveryClient {
         let policy = ReconnectPolicy::new(node.settings.drain_grace);
-        DiscoveryClient { node, policy, epoch: Instant::now(), first_list: Some(first_list) }
+        DiscoveryClient {
+            node,
+            policy,
+            epoch: Instant::now(),
+            first_list: Some(first_list),
+        }
     }
 
     fn elapsed(&self) -> Duration {
@@ -103,7 +110,11 @@
     }
 
     /// Waits for the next bytes of a watch. If there are none, what can be read of a list that was cut off is applied.
-    async fn receive(&mut self, watch: &mut Watch, reader: &mut ListReader) -> Result<Bytes, WatchError> {
+    async fn receive(
+        &mut self,
+        watch: &mut Watch,
+        reader: &mut ListReader,
+    ) -> Result<Bytes, WatchError> {
         let received = match timeout_at(self.deadline(), watch.next_bytes()).await {
             Ok(received) => received,
             // A machine that fails keeps its connections open: only the missing heartbeats show it.
@@ -120,8 +131,14 @@
     fn report_events(&mut self, messages: &[WatchMessage], has_partial_message: bool) {
         let now = self.elapsed();
         if !messages.is_empty() {
-            let has_list = messages.iter().any(|message| matches!(message, WatchMessage::List(_)));
-            let event = if has_list { WatchEvent::List } else { WatchEvent::Heartbeat };
+            let has_list = messages
+                .iter()
+                .any(|message| matches!(message, WatchMessage::List(_)));
+            let event = if has_list {
+                WatchEvent::List
+            } else {
+                WatchEvent::Heartbeat
+            };
             self.policy.event_received(now, event);
         }
         if has_partial_message {
@@ -131,7 +148,9 @@
 
     /// Applies all messages in their order, also those behind one that could not be read.
     fn apply_messages(
-        &mut self, messages: Vec<WatchMessage>, last_sequence: &mut Option<u64>,
+        &mut self,
+        messages: Vec<WatchMessage>,
+        last_sequence: &mut Option<u64>,
     ) -> Result<(), WatchError> {
         let mut result = Ok(());
         for message in messages {
@@ -154,7 +173,11 @@
             return;
         }
         *last_sequence = Some(list.sequence);
-        let kind = if list.is_snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
+        let kind = if list.is_snapshot {
+            EndpointUpdate::Snapshot
+        } else {
+            EndpointUpdate::Delta
+        };
         self.node.apply_endpoints(kind, &list.entries.readable);
         self.node.endpoint_list_applied(list);
         if let Some(first_list) = self.first_list.take() {
--- a/crates/edge-node/src/discovery/watch.rs
+++ b/crates/edge-node/src/discovery/watch.rs
@@ -89,12 +89,19 @@
             // An error of the connection is reported by the response or its body, too.
             let _ = connection.await;
         }));
-        let request = Request::builder().uri(WATCH_PATH).header(HOST, address.to_string());
-        let response = sender.send_request(request.body(Empty::<Bytes>::new())?).await?;
+        let request = Request::builder()
+            .uri(WATCH_PATH)
+            .header(HOST, address.to_string());
+        let response = sender
+            .send_request(request.body(Empty::<Bytes>::new())?)
+            .await?;
         if response.status() != StatusCode::OK {
             return Err(WatchError::Rejected(response.status()));
         }
-        Ok(Watch { _connection: connection, body: response.into_body() })
+        Ok(Watch {
+            _connection: connection,
+            body: response.into_body(),
+        })
     }
 
     /// The next bytes of the response, in whatever pieces they arrive. If this future is dropped, no bytes are lost.
--- a/crates/edge-node/src/endpoint_list.rs
+++ b/crates/edge-node/src/endpoint_list.rs
@@ -32,10 +32,15 @@
 impl<'de> Deserialize<'de> for EndpointEntries {
     fn deserialize<D: Deserializer<'de>>(source: D) -> Result<EndpointEntries, D::Error> {
         let raw: Vec<Box<RawValue>> = Deserialize::deserialize(source)?;
-        let parsed = raw.iter().filter_map(|entry| serde_json::from_str(entry.get()).ok());
+        let parsed = raw
+            .iter()
+            .filter_map(|entry| serde_json::from_str(entry.get()).ok());
         let readable: Vec<EndpointEntry> = parsed.collect();
         let has_malformed = readable.len() < raw.len();
-        Ok(EndpointEntries { readable, has_malformed })
+        Ok(EndpointEntries {
+            readable,
+            has_malformed,
+        })
     }
 }
 
--- a/crates/edge-node/src/log/mod.rs
+++ b/crates/edge-node/src/log/mod.rs
@@ -106,7 +106,10 @@
             LogFormat::Text => lines.event_format(TextFormat).boxed(),
             LogFormat::Json => lines.json().flatten_event(true).with_target(false).boxed(),
         };
-        let subscriber = Registry::default().with(level_filter).with(RateLimitLayer::new()).with(lines);
+        let subscriber = Registry::default()
+            .with(level_filter)
+            .with(RateLimitLayer::new())
+            .with(lines);
         tracing::subscriber::set_global_default(subscriber)?;
         Ok(Log { level })
     }
--- a/crates/edge-node/src/log/rate_limit_layer.rs
+++ b/crates/edge-node/src/log/rate_limit_layer.rs
@@ -22,7 +22,9 @@
 
 impl RateLimitLayer {
     pub(super) fn new() -> RateLimitLayer {
-        RateLimitLayer { limiter: Mutex::new(RateLimiter::new(MAX_LINES_PER_WINDOW, WINDOW)) }
+        RateLimitLayer {
+            limiter: Mutex::new(RateLimiter::new(MAX_LINES_PER_WINDOW, WINDOW)),
+        }
     }
 
     fn check(&self, callsite: Identifier) -> Decision {
@@ -40,7 +42,9 @@
         // deadlock.
         match self.check(event.metadata().callsite()) {
             Decision::Suppress => false,
-            Decision::Pass { suppressed_before: 0 } => true,
+            Decision::Pass {
+                suppressed_before: 0,
+            } => true,
             Decision::Pass { suppressed_before } => {
                 tracing::warn!(
                     event = "lines_suppressed",
--- a/crates/edge-node/src/log/rate_limiter.rs
+++ b/crates/edge-node/src/log/rate_limiter.rs
@@ -33,7 +33,11 @@
 
 impl Window {
     fn new(now: Instant) -> Window {
-        Window { started_at: now, passed: 0, suppressed: 0 }
+        Window {
+            started_at: now,
+            passed: 0,
+            suppressed: 0,
+        }
     }
 }
 
@@ -41,7 +45,11 @@
     /// Lets `max_per_window` of each kind pass in each window. A kind's window begins with its first event after the
     /// end of the window before.
     pub(crate) fn new(max_per_window: u32, window: Duration) -> RateLimiter<K> {
-        RateLimiter { max_per_window, window, windows: HashMap::new() }
+        RateLimiter {
+            max_per_window,
+            window,
+            windows: HashMap::new(),
+        }
     }
 
     /// Counts an event, and decides whether it passes. A `now` before the window's start counts as in the window.
--- a/crates/edge-node/src/log/text_format.rs
+++ b/crates/edge-node/src/log/text_format.rs
@@ -20,7 +20,10 @@
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(
-        &self, _context: &FmtContext<'_, S, N>, mut writer: Writer<'_>, event: &Event<'_>,
+        &self,
+        _context: &FmtContext<'_, S, N>,
+        mut writer: Writer<'_>,
+        event: &Event<'_>,
     ) -> fmt::Result {
         let mut message = MessageVisitor::default();
         event.record(&mut message);
--- a/crates/edge-node/src/metrics.rs
+++ b/crates/edge-node/src/metrics.rs
@@ -38,8 +38,12 @@
 }
 
 impl RequestOutcome {
-    const ALL: [RequestOutcome; 4] =
-        [RequestOutcome::Served, RequestOutcome::Rejected, RequestOutcome::Failed, RequestOutcome::Abandoned];
+    const ALL: [RequestOutcome; 4] = [
+        RequestOutcome::Served,
+        RequestOutcome::Rejected,
+        RequestOutcome::Failed,
+        RequestOutcome::Abandoned,
+    ];
 
     /// The word that stands for it in labels and in the log.
     pub(crate) fn label(self) -> &'static str {
@@ -128,7 +132,11 @@
             requests: register_requests(&mut registry, settings),
             request_durations: register_request_durations(&mut registry, settings),
             attempts: register_attempts(&mut registry),
-            watch_resets: register(&mut registry, "watch_resets", "Discovery watches that ended"),
+            watch_resets: register(
+                &mut registry,
+                "watch_resets",
+                "Discovery watches that ended",
+            ),
             datagrams_sent: register(&mut registry, "datagrams_sent", "Datagrams sent to peers"),
             datagrams_received: register(
                 &mut registry,
@@ -142,9 +150,16 @@
 
     /// Counts a request that has ended, `duration` after it was complete. Abandoned requests have no duration.
     pub(crate) fn record_request(
-        &self, class: ClassId, plan: PlanId, outcome: RequestOutcome, duration: Duration,
+        &self,
+        class: ClassId,
+        plan: PlanId,
+        outcome: RequestOutcome,
+        duration: Duration,
     ) {
-        let counters = self.requests.get(class.0).and_then(|plans| plans.get(plan.0));
+        let counters = self
+            .requests
+            .get(class.0)
+            .and_then(|plans| plans.get(plan.0));
         if let Some(counters) = counters {
             increment(counters, &RequestOutcome::ALL, outcome);
         }
@@ -170,7 +185,11 @@
     ///
     /// # Errors
     /// A value can't be written; no such value is known.
-    pub(crate) fn encode(&self, status: &StatusSnapshot, uptime: Duration) -> Result<String, fmt::Error> {
+    pub(crate) fn encode(
+        &self,
+        status: &StatusSnapshot,
+        uptime: Duration,
+    ) -> Result<String, fmt::Error> {
         self.gauges.set(status, uptime);
         raise_to(&self.datagrams_sent, status.datagrams_sent);
         raise_to(&self.datagrams_received, status.datagrams_received);
@@ -186,8 +205,12 @@
     metric
 }
 
-fn register_requests(registry: &mut Registry, settings: &ResolvedSettings) -> Vec<Vec<OutcomeCounters>> {
-    let family: Family<Labels, Counter> = register(registry, "requests", "Client requests that ended");
+fn register_requests(
+    registry: &mut Registry,
+    settings: &ResolvedSettings,
+) -> Vec<Vec<OutcomeCounters>> {
+    let family: Family<Labels, Counter> =
+        register(registry, "requests", "Client requests that ended");
     let counters = |class: &String, plan: &String| {
         RequestOutcome::ALL.map(|outcome| {
             let labels = vec![
@@ -198,13 +221,23 @@
             family.get_or_create_owned(&labels)
         })
     };
-    let by_plan = |class| settings.plan_names.iter().map(|plan| counters(class, plan)).collect();
+    let by_plan = |class| {
+        settings
+            .plan_names
+            .iter()
+            .map(|plan| counters(class, plan))
+            .collect()
+    };
     settings.class_names.iter().map(by_plan).collect()
 }
 
-fn register_request_durations(registry: &mut Registry, settings: &ResolvedSettings) -> Vec<Histogram> {
+fn register_request_durations(
+    registry: &mut Registry,
+    settings: &ResolvedSettings,
+) -> Vec<Histogram> {
     let new_histogram: fn() -> Histogram = || {
-        let buckets = exponential_buckets(FIRST_LATENCY_BUCKET, LATENCY_BUCKET_FACTOR, LATENCY_BUCKETS);
+        let buckets =
+            exponential_buckets(FIRST_LATENCY_BUCKET, LATENCY_BUCKET_FACTOR, LATENCY_BUCKETS);
         Histogram::new(buckets)
     };
     let family = Family::<Labels, Histogram>::new_with_constructor(new_histogram);
@@ -215,7 +248,8 @@
 }
 
 fn register_attempts(registry: &mut Registry) -> [Counter; ATTEMPT_OUTCOMES.len()] {
-    let family: Family<Labels, Counter> = register(registry, "attempts", "Attempts at servers that ended");
+    let family: Family<Labels, Counter> =
+        register(registry, "attempts", "Attempts at servers that ended");
     ATTEMPT_OUTCOMES.map(|outcome| {
         let labels = vec![("outcome", attempt_label(outcome).to_owned())];
         family.get_or_create_owned(&labels)
@@ -254,7 +288,11 @@
             client_connections: register(registry, "client_connections", "Connections of clients"),
             server_connections: register(registry, "server_connections", "Connections to servers"),
             open_descriptors: register(registry, "open_descriptors", "File descriptors held"),
-            servers_ready: register(registry, "servers_ready", "Servers that the endpoint list calls ready"),
+            servers_ready: register(
+                registry,
+                "servers_ready",
+                "Servers that the endpoint list calls ready",
+            ),
             tracked_entries: register(
                 registry,
                 "kept_entries",
@@ -275,12 +313,15 @@
 
     fn set(&self, status: &StatusSnapshot, uptime: Duration) {
         self.open_requests.set(status.open_requests as i64);
-        self.client_connections.set(status.client_connections as i64);
-        self.server_connections.set(status.server_connections as i64);
+        self.client_connections
+            .set(status.client_connections as i64);
+        self.server_connections
+            .set(status.server_connections as i64);
         self.open_descriptors.set(status.open_descriptors as i64);
         self.servers_ready.set(status.servers_ready as i64);
         self.tracked_entries.set(status.tracked_entries as i64);
-        self.list_age.set(status.list_age.unwrap_or(uptime).as_secs_f64());
+        self.list_age
+            .set(status.list_age.unwrap_or(uptime).as_secs_f64());
         self.list_sequence.set(status.list_sequence as i64);
     }
 }
--- a/crates/edge-node/src/node/attempts.rs
+++ b/crates/edge-node/src/node/attempts.rs
@@ -35,7 +35,10 @@
     /// Enters an attempt. The receiver ends when the attempt is cancelled.
     fn insert(&self, id: RequestId, number: AttemptNumber) -> oneshot::Receiver<()> {
         let (cancel, cancelled) = oneshot::channel();
-        let attempt = InFlightAttempt { number, _cancel: cancel };
+        let attempt = InFlightAttempt {
+            number,
+            _cancel: cancel,
+        };
         self.by_request.borrow_mut().insert(id, attempt);
         cancelled
     }
@@ -43,7 +46,10 @@
     /// Cancels an attempt, unless it has ended. Its task closes the connection and then reports the end.
     fn cancel(&self, id: &RequestId, number: AttemptNumber) {
         let mut attempts = self.by_request.borrow_mut();
-        if attempts.get(id).is_some_and(|attempt| attempt.number == number) {
+        if attempts
+            .get(id)
+            .is_some_and(|attempt| attempt.number == number)
+        {
             attempts.remove(id);
         }
     }
@@ -56,7 +62,12 @@
 impl Node {
     /// Sends the next attempt of a request to a server; `timeout` is in microseconds, none beyond the request's
     /// deadline.
-    pub(super) fn start_attempt(self: &Rc<Self>, id: RequestId, server: ServerId, timeout: Option<Micros>) {
+    pub(super) fn start_attempt(
+        self: &Rc<Self>,
+        id: RequestId,
+        server: ServerId,
+        timeout: Option<Micros>,
+    ) {
         // The decision module is told at once when a request is answered or abandoned, and sends no such request.
         let Some(NextAttempt { request, number }) = self.requests.next_attempt(&id) else {
             return;
@@ -78,7 +89,13 @@
         // never aborted, so each attempt is reported to the decision module once.
         tokio::task::spawn_local(async move {
             let is_open = || node.requests.contains(&id);
-            let attempt = Attempt { request: &request, server, deadline, cancelled, is_open };
+            let attempt = Attempt {
+                request: &request,
+                server,
+                deadline,
+                cancelled,
+                is_open,
+            };
             let result = node.upstream.attempt(attempt).await;
             node.finish_attempt(id, number, result);
         });
@@ -91,8 +108,17 @@
 
     /// Reports the end of an attempt. Its connection is closed or free again by now, so that a request never has two
     /// attempts in flight.
-    fn finish_attempt(self: &Rc<Self>, id: RequestId, attempt: AttemptNumber, result: AttemptResult) {
-        let AttemptResult { outcome, body, reported_load } = result;
+    fn finish_attempt(
+        self: &Rc<Self>,
+        id: RequestId,
+        attempt: AttemptNumber,
+        result: AttemptResult,
+    ) {
+        let AttemptResult {
+            outcome,
+            body,
+            reported_load,
+        } = result;
         debug!(
             event = "attempt_finished",
             id = %id.0,
@@ -110,13 +136,20 @@
             self.answer_request(&id, Answer::Served(body));
         }
         let closed = !self.requests.contains(&id);
-        self.dispatch(Event::AttemptFinished { id, attempt, outcome, closed, reported_load });
+        self.dispatch(Event::AttemptFinished {
+            id,
+            attempt,
+            outcome,
+            closed,
+            reported_load,
+        });
     }
 }
 
 /// When an attempt ends at the latest: after its own timeout, and not after its request's deadline.
 fn attempt_deadline(timeout: Option<Micros>, request_deadline: Instant) -> Instant {
-    let own_deadline = timeout.and_then(|span| Instant::now().checked_add(Duration::from_micros(span)));
+    let own_deadline =
+        timeout.and_then(|span| Instant::now().checked_add(Duration::from_micros(span)));
     own_deadline.map_or(request_deadline, |own| own.min(request_deadline))
 }
 
--- a/crates/edge-node/src/node/clock.rs
+++ b/crates/edge-node/src/node/clock.rs
@@ -15,8 +15,13 @@
 impl Clock {
     /// Reads the wall clock; a wall clock before 1970 counts as 1970.
     pub(super) fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix_at_start: unix.as_micros() as Micros }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            unix_at_start: unix.as_micros() as Micros,
+        }
     }
 
     /// The time now, in microseconds since 1970.
--- a/crates/edge-node/src/node/endpoints.rs
+++ b/crates/edge-node/src/node/endpoints.rs
@@ -4,7 +4,9 @@
 use super::Node;
 use crate::endpoint_list::{EndpointEntry, EndpointHealth, EndpointList};
 use crate::upstream::ServerAddress;
-use gateway_core::{CellId, Endpoint, EndpointState, EndpointUpdate, Event, Micros, ServerId, ZoneId};
+use gateway_core::{
+    CellId, Endpoint, EndpointState, EndpointUpdate, Event, Micros, ServerId, ZoneId,
+};
 use std::cell::Cell;
 use std::fmt;
 use std::net::SocketAddr;
@@ -56,9 +58,10 @@
     pub(crate) fn apply_endpoints(self: &Rc<Self>, kind: EndpointUpdate, hosts: &[EndpointEntry]) {
         let zones = &self.settings.zone_names;
         let endpoints = hosts.iter().map(|host| endpoint(host, zones)).collect();
-        let addresses = hosts
-            .iter()
-            .map(|host| ServerAddress { server: server_id(&host.name), address: dial_address(host) });
+        let addresses = hosts.iter().map(|host| ServerAddress {
+            server: server_id(&host.name),
+            address: dial_address(host),
+        });
         self.upstream.update_endpoints(kind, addresses);
         self.dispatch(Event::EndpointsUpdated { kind, endpoints });
     }
@@ -67,11 +70,22 @@
     pub(crate) fn endpoint_list_applied(&self, list: &EndpointList) {
         let sequence = list.sequence;
         let entries = list.entries.readable.len();
-        self.watch.last_list.set(Some(AppliedList { sequence, applied_at: Instant::now() }));
+        self.watch.last_list.set(Some(AppliedList {
+            sequence,
+            applied_at: Instant::now(),
+        }));
         if self.watch.is_lost.take() {
-            info!(event = "watch_restored", seq = sequence, "discovery: the watch is back");
+            info!(
+                event = "watch_restored",
+                seq = sequence,
+                "discovery: the watch is back"
+            );
         }
-        let extent = if list.is_snapshot { "the whole list" } else { "changes" };
+        let extent = if list.is_snapshot {
+            "the whole list"
+        } else {
+            "changes"
+        };
         info!(
             event = "endpoints_updated",
             seq = sequence,
@@ -103,7 +117,8 @@
         cell: CellId(host.cell),
         state: endpoint_state(host.health),
         weight: host.weight,
-        started_at: (host.started_at_ms > 0).then_some(host.started_at_ms.saturating_mul(MICROS_PER_MILLI)),
+        started_at: (host.started_at_ms > 0)
+            .then_some(host.started_at_ms.saturating_mul(MICROS_PER_MILLI)),
     }
 }
 
@@ -117,7 +132,8 @@
 
 /// Where new connections to a server go; `None` if it takes none.
 fn dial_address(host: &EndpointEntry) -> Option<SocketAddr> {
-    host.address.filter(|_| host.health == EndpointHealth::Ready)
+    host.address
+        .filter(|_| host.health == EndpointHealth::Ready)
 }
 
 fn zone_id(name: &str, zone_names: &[String]) -> ZoneId {
--- a/crates/edge-node/src/node/mod.rs
+++ b/crates/edge-node/src/node/mod.rs
@@ -86,7 +86,9 @@
     /// No action waits, and none dispatches an event before it returns: the module is never entered twice.
     pub(crate) fn dispatch(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
-        self.gateway.borrow_mut().handle(self.clock.now(), event, &mut actions);
+        self.gateway
+            .borrow_mut()
+            .handle(self.clock.now(), event, &mut actions);
         for action in actions {
             self.execute(action);
         }
@@ -94,7 +96,11 @@
 
     fn execute(self: &Rc<Self>, action: Action) {
         match action {
-            Action::SendAttempt { id, server, timeout } => self.start_attempt(id, server, timeout),
+            Action::SendAttempt {
+                id,
+                server,
+                timeout,
+            } => self.start_attempt(id, server, timeout),
             Action::Reject { id, retry_after } => self.reject_request(&id, retry_after),
             Action::Fail { id } => self.answer_request(&id, Answer::Failed),
             Action::CancelAttempt { id, attempt } => self.cancel_attempt(&id, attempt),
--- a/crates/edge-node/src/node/pending_requests.rs
+++ b/crates/edge-node/src/node/pending_requests.rs
@@ -47,7 +47,10 @@
     /// The kind of a request that is received; `None` for any other event.
     fn of(event: &Event) -> Option<RequestKind> {
         match event {
-            Event::RequestReceived { class, plan, .. } => Some(RequestKind { class: *class, plan: *plan }),
+            Event::RequestReceived { class, plan, .. } => Some(RequestKind {
+                class: *class,
+                plan: *plan,
+            }),
             _ => None,
         }
     }
@@ -65,7 +68,9 @@
 
 impl PendingRequest {
     fn new(
-        request: UpstreamRequest, kind: Option<RequestKind>, answer: oneshot::Sender<Answer>,
+        request: UpstreamRequest,
+        kind: Option<RequestKind>,
+        answer: oneshot::Sender<Answer>,
     ) -> PendingRequest {
         PendingRequest {
             request: Rc::new(request),
@@ -119,7 +124,10 @@
         let pending = requests.get_mut(id)?;
         let number = AttemptNumber(pending.attempts_started);
         pending.attempts_started += 1;
-        Some(NextAttempt { request: Rc::clone(&pending.request), number })
+        Some(NextAttempt {
+            request: Rc::clone(&pending.request),
+            number,
+        })
     }
 
     /// The requests that were received first, the oldest in front, `limit` at the most.
@@ -159,7 +167,9 @@
     /// Whoever waits for the answer has to call [`Node::abandon_request`] when it stops waiting. Dropping the receiver
     /// alone leaves the request in the table.
     pub(crate) fn accept_request(
-        self: &Rc<Self>, event: Event, request: UpstreamRequest,
+        self: &Rc<Self>,
+        event: Event,
+        request: UpstreamRequest,
     ) -> Option<oneshot::Receiver<Answer>> {
         let id = request.id.clone();
         if self.requests.contains(&id) || self.attempts.contains(&id) {
@@ -217,7 +227,12 @@
 
     fn record_outcome(&self, pending: &PendingRequest, outcome: RequestOutcome) {
         if let (Some(metrics), Some(kind)) = (&self.metrics, pending.kind) {
-            metrics.record_request(kind.class, kind.plan, outcome, pending.received_at.elapsed());
+            metrics.record_request(
+                kind.class,
+                kind.plan,
+                outcome,
+                pending.received_at.elapsed(),
+            );
         }
     }
 }
--- a/crates/edge-node/src/node/status.rs
+++ b/crates/edge-node/src/node/status.rs
@@ -19,13 +19,16 @@
 impl ClientConnectionGuard {
     fn new(connections: &Rc<Cell<usize>>) -> ClientConnectionGuard {
         connections.set(connections.get() + 1);
-        ClientConnectionGuard { connections: Rc::clone(connections) }
+        ClientConnectionGuard {
+            connections: Rc::clone(connections),
+        }
     }
 }
 
 impl Drop for ClientConnectionGuard {
     fn drop(&mut self) {
-        self.connections.set(self.connections.get().saturating_sub(1));
+        self.connections
+            .set(self.connections.get().saturating_sub(1));
     }
 }
 
@@ -37,7 +40,11 @@
 
     /// The figures at this moment.
     pub(crate) fn status(&self) -> StatusSnapshot {
-        let datagrams = self.peers.as_ref().map(Peers::datagram_counts).unwrap_or_default();
+        let datagrams = self
+            .peers
+            .as_ref()
+            .map(Peers::datagram_counts)
+            .unwrap_or_default();
         let last_list = self.watch.last_list();
         StatusSnapshot {
             open_requests: self.open_requests(),
--- a/crates/edge-node/src/peers.rs
+++ b/crates/edge-node/src/peers.rs
@@ -52,8 +52,13 @@
     /// # Errors
     /// The address can't be bound, or stays in use.
     pub(crate) async fn bind(addresses: PeerAddresses, own_id: GatewayId) -> Result<Peers> {
-        let PeerAddresses { listen, addresses, broadcast: broadcast_address } = addresses;
-        let socket = bind::with_retry(format!("peer_listen {listen}"), || UdpSocket::bind(listen)).await?;
+        let PeerAddresses {
+            listen,
+            addresses,
+            broadcast: broadcast_address,
+        } = addresses;
+        let socket =
+            bind::with_retry(format!("peer_listen {listen}"), || UdpSocket::bind(listen)).await?;
         Ok(Peers {
             socket,
             senders: senders_by_address(&addresses),
@@ -67,7 +72,10 @@
 
     /// Datagrams sent and received so far.
     pub(crate) fn datagram_counts(&self) -> DatagramCounts {
-        DatagramCounts { sent: self.sent.get(), received: self.received.get() }
+        DatagramCounts {
+            sent: self.sent.get(),
+            received: self.received.get(),
+        }
     }
 
     /// Sends a datagram to one peer; to nobody if there is no edge node of that number.
@@ -114,7 +122,10 @@
             return None;
         }
         self.received.set(self.received.get() + 1);
-        Some(Datagram { from, bytes: buffer[..length].to_vec() })
+        Some(Datagram {
+            from,
+            bytes: buffer[..length].to_vec(),
+        })
     }
 }
 
--- a/crates/edge-node/src/reload.rs
+++ b/crates/edge-node/src/reload.rs
@@ -45,8 +45,15 @@
         // Also sent if the address is the same: discovery may have restarted and count its lists anew.
         self.discovery.send_replace(address);
         let level = config.operator.log.level;
-        let waits = self.started_with.changed_keys(&config.restart_values).join(", ");
-        let waiting = if waits.is_empty() { "" } else { "; waiting for a restart: " };
+        let waits = self
+            .started_with
+            .changed_keys(&config.restart_values)
+            .join(", ");
+        let waiting = if waits.is_empty() {
+            ""
+        } else {
+            "; waiting for a restart: "
+        };
         info!(
             event = "config_reloaded",
             discovery = %address,
--- a/crates/edge-node/src/shutdown.rs
+++ b/crates/edge-node/src/shutdown.rs
@@ -53,10 +53,16 @@
     /// the wait ends when the last deadline has passed.
     async fn wait_for_clients(self) {
         match tokio::time::timeout(self.longest_deadline, self.clients).await {
-            Ok(_) => info!(event = "shutdown_complete", "left: every client has its answer"),
+            Ok(_) => info!(
+                event = "shutdown_complete",
+                "left: every client has its answer"
+            ),
             Err(_) => {
                 let open = self.node.open_requests();
-                warn!(event = "shutdown_complete", open, "left: {open} requests open, past every deadline");
+                warn!(
+                    event = "shutdown_complete",
+                    open, "left: {open} requests open, past every deadline"
+                );
             }
         }
     }
--- a/crates/edge-node/src/startup.rs
+++ b/crates/edge-node/src/startup.rs
@@ -45,7 +45,9 @@
 /// served, it does not fail any more.
 pub(crate) fn run(config: Config) -> Result<()> {
     let log = Log::start(config.operator.log)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, serve(config, log))
 }
 
@@ -53,7 +55,10 @@
     let mut signals = Signals::install()?;
     let sockets = Sockets::bind(&mut config).await?;
     let limits = ResourceLimits::of(&config);
-    let metrics = sockets.admin.as_ref().map(|_| Rc::new(Metrics::new(&config.settings)));
+    let metrics = sockets
+        .admin
+        .as_ref()
+        .map(|_| Rc::new(Metrics::new(&config.settings)));
     let node = Node::new(NodeParts {
         seed: config.seed,
         upstream: limits.upstream(&config.settings),
@@ -65,10 +70,18 @@
 
     let (phase, phase_seen) = watch::channel(Phase::Starting);
     if let (Some(listener), Some(metrics)) = (sockets.admin, metrics) {
-        start_admin(listener, Admin::new(config.name, Rc::clone(&node), metrics, phase_seen.clone()))?;
+        start_admin(
+            listener,
+            Admin::new(config.name, Rc::clone(&node), metrics, phase_seen.clone()),
+        )?;
     }
     let (discovery, discovery_seen) = watch::channel(config.discovery);
-    let reload = Reload { path: config.path, started_with: config.restart_values, discovery, log };
+    let reload = Reload {
+        path: config.path,
+        started_with: config.restart_values,
+        discovery,
+        log,
+    };
     spawn_local(reload.run(signals.hangup));
     let first_list = start_discovery(&node, discovery_seen, config.initial_endpoints);
     spawn_local(node::receive_peer_messages(Rc::clone(&node)));
@@ -78,11 +91,23 @@
     phase.send_replace(Phase::Serving);
     // The task ends by itself once the phase is `Closing` and each client has its answer; the shutdown waits for that.
     let max_clients = limits.connections_per_side;
-    let clients = spawn_local(clients::serve(sockets.clients, Rc::clone(&node), max_clients, phase_seen));
+    let clients = spawn_local(clients::serve(
+        sockets.clients,
+        Rc::clone(&node),
+        max_clients,
+        phase_seen,
+    ));
     log_ready(waited);
 
     signals.terminate.recv().await;
-    Shutdown { node, phase, clients, longest_deadline: limits.longest_deadline }.run().await;
+    Shutdown {
+        node,
+        phase,
+        clients,
+        longest_deadline: limits.longest_deadline,
+    }
+    .run()
+    .await;
     Ok(())
 }
 
@@ -124,7 +149,10 @@
     bind::with_retry(format!("listen {address}"), || TcpListener::bind(address)).await
 }
 
-async fn bind_peers(addresses: Option<PeerAddresses>, gateway_id: GatewayId) -> Result<Option<Peers>> {
+async fn bind_peers(
+    addresses: Option<PeerAddresses>,
+    gateway_id: GatewayId,
+) -> Result<Option<Peers>> {
     match addresses {
         Some(addresses) => Ok(Some(Peers::bind(addresses, gateway_id).await?)),
         None => Ok(None),
@@ -135,7 +163,9 @@
     let Some(address) = address else {
         return Ok(None);
     };
-    let listener = TcpListener::bind(address).await.with_context(|| format!("admin.listen {address}"))?;
+    let listener = TcpListener::bind(address)
+        .await
+        .with_context(|| format!("admin.listen {address}"))?;
     Ok(Some(listener))
 }
 
@@ -152,7 +182,8 @@
 impl ResourceLimits {
     fn of(config: &Config) -> ResourceLimits {
         ResourceLimits {
-            connections_per_side: (config.max_file_descriptors - RESERVED_DESCRIPTORS) / CONNECTION_SIDES,
+            connections_per_side: (config.max_file_descriptors - RESERVED_DESCRIPTORS)
+                / CONNECTION_SIDES,
             large_body_bytes: config.max_memory / LARGE_BODY_MEMORY_DIVISOR,
             longest_deadline: Duration::from_micros(config.settings.longest_deadline),
         }
@@ -183,10 +214,17 @@
 
 /// Starts to watch discovery; the receiver gets the word that a first list has been applied.
 fn start_discovery(
-    node: &Rc<Node>, address: watch::Receiver<SocketAddr>, known: Option<EndpointList>,
+    node: &Rc<Node>,
+    address: watch::Receiver<SocketAddr>,
+    known: Option<EndpointList>,
 ) -> oneshot::Receiver<()> {
     let (list_came, first_list) = oneshot::channel();
-    spawn_local(discovery::watch_endpoints(Rc::clone(node), address, known, list_came));
+    spawn_local(discovery::watch_endpoints(
+        Rc::clone(node),
+        address,
+        known,
+        list_came,
+    ));
     first_list
 }
 
@@ -215,7 +253,11 @@
 fn log_ready(first_list: FirstList) {
     match first_list {
         FirstList::Received => {
-            info!(event = "ready", cause = "a list has come", "ready: a list of servers has come");
+            info!(
+                event = "ready",
+                cause = "a list has come",
+                "ready: a list of servers has come"
+            );
         }
         FirstList::DeadlinePassed => {
             warn!(
--- a/crates/edge-node/src/upstream/attempt.rs
+++ b/crates/edge-node/src/upstream/attempt.rs
@@ -51,7 +51,11 @@
 
 impl From<AttemptError> for AttemptResult {
     fn from(error: AttemptError) -> AttemptResult {
-        AttemptResult { outcome: error.outcome(), body: None, reported_load: None }
+        AttemptResult {
+            outcome: error.outcome(),
+            body: None,
+            reported_load: None,
+        }
     }
 }
 
@@ -79,8 +83,14 @@
         match self {
             AttemptError::Connect(error) => error.outcome(),
             AttemptError::Superseded => AttemptOutcome::NotSent,
-            AttemptError::Exchange { source, request_written: true } => source.outcome(),
-            AttemptError::Exchange { source, request_written: false } => source.outcome_if_unwritten(),
+            AttemptError::Exchange {
+                source,
+                request_written: true,
+            } => source.outcome(),
+            AttemptError::Exchange {
+                source,
+                request_written: false,
+            } => source.outcome_if_unwritten(),
         }
     }
 }
@@ -112,7 +122,9 @@
             ExchangeError::Cancelled => AttemptOutcome::Cancelled,
             ExchangeError::DeadlineExceeded => AttemptOutcome::TimedOut,
             ExchangeError::InvalidRequest(_) => AttemptOutcome::NotSent,
-            ExchangeError::ConnectionLost(_) | ExchangeError::Response(_) => AttemptOutcome::ConnectionLost,
+            ExchangeError::ConnectionLost(_) | ExchangeError::Response(_) => {
+                AttemptOutcome::ConnectionLost
+            }
         }
     }
 
@@ -138,7 +150,8 @@
     }
 
     async fn try_attempt(
-        &self, mut attempt: Attempt<'_, impl Fn() -> bool>,
+        &self,
+        mut attempt: Attempt<'_, impl Fn() -> bool>,
     ) -> Result<AttemptResult, AttemptError> {
         let connection = self.obtain_connection(&mut attempt).await?;
         // Much may have changed while the connection came up: the request may have been answered, the server may
@@ -153,7 +166,8 @@
 
     /// An idle connection, or else a new one.
     async fn obtain_connection(
-        &self, attempt: &mut Attempt<'_, impl Fn() -> bool>,
+        &self,
+        attempt: &mut Attempt<'_, impl Fn() -> bool>,
     ) -> Result<PooledConnection, ConnectError> {
         if let Some(connection) = self.take_idle(attempt.server) {
             return Ok(connection);
@@ -170,7 +184,9 @@
     /// Sends the request and reads the response. A connection that has carried a whole response is released, any
     /// other is closed.
     async fn send(
-        &self, attempt: &mut Attempt<'_, impl Fn() -> bool>, mut connection: PooledConnection,
+        &self,
+        attempt: &mut Attempt<'_, impl Fn() -> bool>,
+        mut connection: PooledConnection,
     ) -> Result<AttemptResult, AttemptError> {
         connection.reset_written();
         // The response comes first: a server must not be blamed for a response that this node was late to read.
@@ -189,7 +205,10 @@
             Err(source) => {
                 let request_written = connection.is_written();
                 connection.close().await;
-                Err(AttemptError::Exchange { source, request_written })
+                Err(AttemptError::Exchange {
+                    source,
+                    request_written,
+                })
             }
         }
     }
@@ -197,18 +216,29 @@
 
 /// Writes the request and reads its whole response. If the future is dropped, the connection has to be closed.
 async fn exchange(
-    connection: &mut PooledConnection, request: &UpstreamRequest, deadline: Instant, budget: &BodyBudget,
+    connection: &mut PooledConnection,
+    request: &UpstreamRequest,
+    deadline: Instant,
+    budget: &BodyBudget,
 ) -> Result<AttemptResult, ExchangeError> {
-    let request = build_request(connection, request, deadline).map_err(ExchangeError::InvalidRequest)?;
-    let response = connection.send(request).await.map_err(ExchangeError::ConnectionLost)?;
+    let request =
+        build_request(connection, request, deadline).map_err(ExchangeError::InvalidRequest)?;
+    let response = connection
+        .send(request)
+        .await
+        .map_err(ExchangeError::ConnectionLost)?;
     let result = response::read(response, connection.last_answered(), budget).await?;
     Ok(result)
 }
 
 fn build_request(
-    connection: &PooledConnection, request: &UpstreamRequest, deadline: Instant,
+    connection: &PooledConnection,
+    request: &UpstreamRequest,
+    deadline: Instant,
 ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-    let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_millis();
+    let remaining_ms = deadline
+        .saturating_duration_since(Instant::now())
+        .as_millis();
     let mut builder = Request::builder()
         .method(&request.method)
         .uri(&request.target)
--- a/crates/edge-node/src/upstream/body_budget.rs
+++ b/crates/edge-node/src/upstream/body_budget.rs
@@ -20,7 +20,9 @@
 impl BodyBudget {
     /// A budget of so many bytes for large bodies.
     pub(crate) fn new(bytes: usize) -> BodyBudget {
-        BodyBudget { available: Rc::new(Cell::new(bytes)) }
+        BodyBudget {
+            available: Rc::new(Cell::new(bytes)),
+        }
     }
 
     /// Reserves memory for a body that is declared to have at least `declared` bytes. Only large bodies count against
@@ -29,7 +31,9 @@
     /// # Errors
     /// No body of that size is accepted, or the budget has too little left at the moment.
     pub(crate) fn reserve(&self, declared: u64) -> Result<BodyReservation, BodyBudgetError> {
-        let size = usize::try_from(declared).ok().filter(|size| *size <= MAX_LARGE_BODY);
+        let size = usize::try_from(declared)
+            .ok()
+            .filter(|size| *size <= MAX_LARGE_BODY);
         let size = size.ok_or(BodyBudgetError::TooLarge { declared })?;
         if size <= MAX_SMALL_BODY {
             return Ok(self.reservation(0, MAX_SMALL_BODY));
@@ -41,7 +45,11 @@
     }
 
     fn reservation(&self, reserved: usize, max_bytes: usize) -> BodyReservation {
-        BodyReservation { available: Rc::clone(&self.available), reserved, max_bytes }
+        BodyReservation {
+            available: Rc::clone(&self.available),
+            reserved,
+            max_bytes,
+        }
     }
 }
 
--- a/crates/edge-node/src/upstream/connection.rs
+++ b/crates/edge-node/src/upstream/connection.rs
@@ -25,8 +25,13 @@
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// Errors of the operating system by which this process, not the server, lacks something: descriptors of the process
 /// or of the whole system, local addresses, buffers or memory.
-const LOCAL_RESOURCE_ERRORS: [i32; 5] =
-    [libc::EMFILE, libc::ENFILE, libc::EADDRNOTAVAIL, libc::ENOBUFS, libc::ENOMEM];
+const LOCAL_RESOURCE_ERRORS: [i32; 5] = [
+    libc::EMFILE,
+    libc::ENFILE,
+    libc::EADDRNOTAVAIL,
+    libc::ENOBUFS,
+    libc::ENOMEM,
+];
 
 /// Why there is no connection to a server. Nothing was sent.
 #[derive(Debug, Error)]
@@ -76,7 +81,9 @@
 impl From<io::Error> for ConnectError {
     fn from(error: io::Error) -> ConnectError {
         match error.raw_os_error() {
-            Some(code) if LOCAL_RESOURCE_ERRORS.contains(&code) => ConnectError::LocalResources(error),
+            Some(code) if LOCAL_RESOURCE_ERRORS.contains(&code) => {
+                ConnectError::LocalResources(error)
+            }
             _ => ConnectError::Failed(error),
         }
     }
@@ -106,7 +113,9 @@
     /// # Errors
     /// The connection was refused, did not come up within `connect_timeout`, or lacked local resources.
     pub(super) async fn open(
-        address: SocketAddr, connect_timeout: Duration, guard: OpenSocketGuard,
+        address: SocketAddr,
+        connect_timeout: Duration,
+        guard: OpenSocketGuard,
     ) -> Result<PooledConnection, ConnectError> {
         let stream = connect_tcp(address, connect_timeout).await?;
         let stream = Rc::new(RefCell::new(TokioIo::new(stream)));
@@ -114,12 +123,17 @@
     }
 
     async fn handshake(
-        address: SocketAddr, stream: SharedStream, guard: OpenSocketGuard,
+        address: SocketAddr,
+        stream: SharedStream,
+        guard: OpenSocketGuard,
     ) -> Result<PooledConnection, ConnectError> {
         let request_written = Rc::new(Cell::new(false));
         let weak_stream = Rc::downgrade(&stream);
         let io = ObservedStream::new(stream, Rc::clone(&request_written), guard);
-        let handshake = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(io).await;
+        let handshake = http1::Builder::new()
+            .max_buf_size(MAX_HEAD_BYTES)
+            .handshake(io)
+            .await;
         let (sender, connection) = handshake.map_err(ConnectError::Handshake)?;
         let driver = tokio::task::spawn_local(async move {
             // An error of the connection is also reported to the exchange that it ends.
@@ -213,7 +227,10 @@
 
     /// Sends a request and returns the head of its response. If the future is dropped, the connection cannot be used
     /// any more: the response would be read as that of the next request.
-    pub(super) async fn send(&mut self, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
+    pub(super) async fn send(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> hyper::Result<Response<Incoming>> {
         self.sender.send_request(request).await
     }
 }
--- a/crates/edge-node/src/upstream/mod.rs
+++ b/crates/edge-node/src/upstream/mod.rs
@@ -54,14 +54,18 @@
     /// No servers yet. `max_sockets` connections may be open at a time; both timeouts are in µs, and the idle timeout
     /// is the one after which a server closes a connection.
     pub(crate) fn new(
-        body_budget: BodyBudget, max_sockets: usize, connection_idle_timeout: Micros, connect_timeout: Micros,
+        body_budget: BodyBudget,
+        max_sockets: usize,
+        connection_idle_timeout: Micros,
+        connect_timeout: Micros,
     ) -> Upstream {
         Upstream {
             body_budget,
             pools: RefCell::default(),
             open_sockets: OpenSockets::default(),
             max_sockets,
-            idle_timeout: Duration::from_micros(connection_idle_timeout).mul_f64(IDLE_TIMEOUT_SHARE),
+            idle_timeout: Duration::from_micros(connection_idle_timeout)
+                .mul_f64(IDLE_TIMEOUT_SHARE),
             connect_timeout: Duration::from_micros(connect_timeout),
         }
     }
@@ -79,7 +83,9 @@
     /// Follows the endpoint list. The idle connections of a server are closed if it is no longer ready, has moved, or
     /// is missing from a snapshot; those in use are closed when their attempt ends.
     pub(crate) fn update_endpoints(
-        &self, kind: EndpointUpdate, endpoints: impl Iterator<Item = ServerAddress>,
+        &self,
+        kind: EndpointUpdate,
+        endpoints: impl Iterator<Item = ServerAddress>,
     ) {
         let mut pools = self.pools.borrow_mut();
         let mut previous = match kind {
@@ -111,11 +117,17 @@
     /// Whether a connection reaches the server at its current address. An address may pass from one server to
     /// another.
     fn leads_to(&self, server: ServerId, connection: &PooledConnection) -> bool {
-        self.pools.borrow().get(&server).is_some_and(|pool| pool.address() == connection.address())
+        self.pools
+            .borrow()
+            .get(&server)
+            .is_some_and(|pool| pool.address() == connection.address())
     }
 
     fn take_idle(&self, server: ServerId) -> Option<PooledConnection> {
-        self.pools.borrow_mut().get_mut(&server)?.take_idle(self.idle_timeout)
+        self.pools
+            .borrow_mut()
+            .get_mut(&server)?
+            .take_idle(self.idle_timeout)
     }
 
     /// Returns a connection to its pool, or closes it if it does not belong there any more.
@@ -151,7 +163,9 @@
 
     fn take_oldest_idle(&self) -> Option<PooledConnection> {
         let mut pools = self.pools.borrow_mut();
-        let with_idle = pools.values_mut().filter_map(|pool| Some((pool.oldest_idle_since()?, pool)));
+        let with_idle = pools
+            .values_mut()
+            .filter_map(|pool| Some((pool.oldest_idle_since()?, pool)));
         let (_since, pool) = with_idle.min_by_key(|(since, _pool)| *since)?;
         pool.take_oldest()
     }
--- a/crates/edge-node/src/upstream/pool.rs
+++ b/crates/edge-node/src/upstream/pool.rs
@@ -23,7 +23,10 @@
 impl ServerPool {
     /// A pool without connections.
     pub(super) fn new(address: SocketAddr) -> ServerPool {
-        ServerPool { address, idle: Vec::new() }
+        ServerPool {
+            address,
+            idle: Vec::new(),
+        }
     }
 
     /// Where the server is reached.
@@ -35,7 +38,10 @@
     /// Connections that turn out to be unusable are closed.
     pub(super) fn take_idle(&mut self, idle_timeout: Duration) -> Option<PooledConnection> {
         loop {
-            let settled = self.idle.iter().rposition(|connection| connection.idle_time() >= SETTLING_TIME)?;
+            let settled = self
+                .idle
+                .iter()
+                .rposition(|connection| connection.idle_time() >= SETTLING_TIME)?;
             let connection = self.idle.remove(settled);
             if connection.is_fresh(idle_timeout) && connection.has_received_nothing() {
                 return Some(connection);
--- a/crates/edge-node/src/upstream/response.rs
+++ b/crates/edge-node/src/upstream/response.rs
@@ -44,7 +44,9 @@
 /// # Errors
 /// The response is not for this request, is not complete, or is too large.
 pub(super) async fn read(
-    response: Response<Incoming>, previous: Option<&RequestId>, budget: &BodyBudget,
+    response: Response<Incoming>,
+    previous: Option<&RequestId>,
+    budget: &BodyBudget,
 ) -> Result<AttemptResult, ResponseError> {
     check_head(&response, previous)?;
     let reservation = budget.reserve(response.body().size_hint().lower())?;
@@ -53,11 +55,18 @@
     let body = Limited::new(response.into_body(), reservation.max_bytes());
     let body = body.collect().await.map_err(ResponseError::Body)?;
     let body = (outcome == AttemptOutcome::Success).then(|| body.to_bytes());
-    Ok(AttemptResult { outcome, body, reported_load })
+    Ok(AttemptResult {
+        outcome,
+        body,
+        reported_load,
+    })
 }
 
 /// Checks what can be checked before the body is read.
-fn check_head<B>(response: &Response<B>, previous: Option<&RequestId>) -> Result<(), ResponseError> {
+fn check_head<B>(
+    response: &Response<B>,
+    previous: Option<&RequestId>,
+) -> Result<(), ResponseError> {
     // A late copy of the previous response would pass for the response to this request. Only an id that was sent on
     // this connection tells: a server may use the header as it likes.
     if let (Some(previous), Some(id)) = (previous, response.headers().get(REQUEST_ID)) {
@@ -82,7 +91,10 @@
 
 /// How an attempt with this response has ended.
 fn classify<B>(response: &Response<B>) -> AttemptOutcome {
-    let not_run = response.headers().get(NOT_RUN).is_some_and(|value| value == "1");
+    let not_run = response
+        .headers()
+        .get(NOT_RUN)
+        .is_some_and(|value| value == "1");
     match response.status() {
         StatusCode::OK => AttemptOutcome::Success,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => {
--- a/crates/edge-node/src/upstream/socket.rs
+++ b/crates/edge-node/src/upstream/socket.rs
@@ -24,7 +24,9 @@
     /// Counts one more socket for as long as the guard lives.
     pub(super) fn add(&self) -> OpenSocketGuard {
         self.count.set(self.count.get() + 1);
-        OpenSocketGuard { count: Rc::clone(&self.count) }
+        OpenSocketGuard {
+            count: Rc::clone(&self.count),
+        }
     }
 }
 
@@ -53,8 +55,16 @@
 
 impl ObservedStream {
     /// Sets `request_written` when a byte is written to `stream`.
-    pub(super) fn new(stream: SharedStream, request_written: Rc<Cell<bool>>, guard: OpenSocketGuard) -> Self {
-        ObservedStream { stream, request_written, _guard: guard }
+    pub(super) fn new(
+        stream: SharedStream,
+        request_written: Rc<Cell<bool>>,
+        guard: OpenSocketGuard,
+    ) -> Self {
+        ObservedStream {
+            stream,
+            request_written,
+            _guard: guard,
+        }
     }
 
     fn record(&self, written: &Poll<io::Result<usize>>) {
@@ -66,21 +76,29 @@
 
 impl Read for ObservedStream {
     fn poll_read(
-        self: Pin<&mut Self>, context: &mut Context<'_>, buffer: ReadBufCursor<'_>,
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         Pin::new(&mut *self.stream.borrow_mut()).poll_read(context, buffer)
     }
 }
 
 impl Write for ObservedStream {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write(context, bytes);
         self.record(&written);
         written
     }
 
     fn poll_write_vectored(
-        self: Pin<&mut Self>, context: &mut Context<'_>, parts: &[IoSlice<'_>],
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write_vectored(context, parts);
         self.record(&written);
--- a/crates/edge-node/tests/admin.rs
+++ b/crates/edge-node/tests/admin.rs
@@ -21,7 +21,10 @@
         .replace("127.0.0.1:8500", &discovery.to_string())
         .replacen("listen = \"127.0.0.1:7946\"", "listen = \"127.0.0.1:0\"", 1)
         .replace("deadline_ms = 4_000", "deadline_ms = 60_000")
-        .replace("drain_grace_ms = 500", &format!("drain_grace_ms = {millis}"))
+        .replace(
+            "drain_grace_ms = 500",
+            &format!("drain_grace_ms = {millis}"),
+        )
         .replacen("[limits]", "admin.listen = \"127.0.0.1:0\"\n[limits]", 1)
 }
 
@@ -36,12 +39,17 @@
 /// Where the admin listener of an edge node is.
 fn admin_address(node: &EdgeNode) -> SocketAddr {
     let line = node.wait_for_log("admin listener on ");
-    line.rsplit(' ').next().and_then(|word| word.parse().ok()).expect("an address")
+    line.rsplit(' ')
+        .next()
+        .and_then(|word| word.parse().ok())
+        .expect("an address")
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("it listens");
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     stream
 }
 
@@ -49,7 +57,10 @@
     let mut stream = connect(address);
     write!(stream, "GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").expect("it is open");
     let answer = HttpMessage::read(&mut BufReader::new(stream)).expect("an answer");
-    (answer.status(), String::from_utf8(answer.body).expect("it is text"))
+    (
+        answer.status(),
+        String::from_utf8(answer.body).expect("it is text"),
+    )
 }
 
 /// The body of an answer from the admin listener, whose status has to be 200.
@@ -61,8 +72,12 @@
 
 /// The value of a time series in the text of the metrics.
 fn metric_value(text: &str, series: &str) -> f64 {
-    let line = text.lines().find_map(|line| line.strip_prefix(series)?.strip_prefix(' '));
-    line.unwrap_or_else(|| panic!("no {series}: {text}")).parse().expect("a number")
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(series)?.strip_prefix(' '));
+    line.unwrap_or_else(|| panic!("no {series}: {text}"))
+        .parse()
+        .expect("a number")
 }
 
 /// Polls until there is a value; fails after the timeout.
@@ -96,8 +111,18 @@
 impl BusyNode {
     fn start(tag: &str) -> BusyNode {
         let servers = FakeServers::new();
-        let behaviors = [RESPONDS_OK, RESPONDS_OVERLOADED, RESPONDS_OK, ServerBehavior::NeverRespond];
-        let entries = [endpoint_entry("s-1", servers.start("s-1", &behaviors), 1, "ready")];
+        let behaviors = [
+            RESPONDS_OK,
+            RESPONDS_OVERLOADED,
+            RESPONDS_OK,
+            ServerBehavior::NeverRespond,
+        ];
+        let entries = [endpoint_entry(
+            "s-1",
+            servers.start("s-1", &behaviors),
+            1,
+            "ready",
+        )];
         let discovery = FakeDiscovery::start(&entries);
         let node = EdgeNode::start_with_toml(tag, &config(discovery.address));
         let admin_address = admin_address(&node);
@@ -117,7 +142,14 @@
         servers.next_request();
         // A connection without an open request may be closed at any time; only the waiting client's stays.
         drop(client);
-        BusyNode { discovery, watch, waiting_client, admin_address, _servers: servers, _node: node }
+        BusyNode {
+            discovery,
+            watch,
+            waiting_client,
+            admin_address,
+            _servers: servers,
+            _node: node,
+        }
     }
 
     /// Waits until the edge node has noticed that its other client disconnected; returns its state.
@@ -134,7 +166,10 @@
     assert_eq!(state["phase"], "serving");
     assert_eq!(state["open_requests"], 1);
     assert_eq!(state["oldest_requests"][0]["id"], "open");
-    assert_eq!((&state["list"]["sequence"], &state["list"]["servers_ready"]), (&1.into(), &1.into()));
+    assert_eq!(
+        (&state["list"]["sequence"], &state["list"]["servers_ready"]),
+        (&1.into(), &1.into())
+    );
 }
 
 /// Waits until the metrics show that all clients have disconnected, one of them before its answer.
@@ -149,12 +184,28 @@
 }
 
 fn assert_request_and_attempt_metrics(text: &str) {
-    assert_eq!(metric_value(text, &requests_total("balance-read", "premier", "served")), 2.0);
-    assert_eq!(metric_value(text, &requests_total("post-payment", "basic", "refused")), 0.0);
-    assert_eq!(metric_value(text, "edge_node_attempts_total{outcome=\"ok\"}"), 2.0);
-    assert_eq!(metric_value(text, "edge_node_attempts_total{outcome=\"full\"}"), 1.0);
+    assert_eq!(
+        metric_value(text, &requests_total("balance-read", "premier", "served")),
+        2.0
+    );
+    assert_eq!(
+        metric_value(text, &requests_total("post-payment", "basic", "refused")),
+        0.0
+    );
+    assert_eq!(
+        metric_value(text, "edge_node_attempts_total{outcome=\"ok\"}"),
+        2.0
+    );
+    assert_eq!(
+        metric_value(text, "edge_node_attempts_total{outcome=\"full\"}"),
+        1.0
+    );
     let latency = "edge_node_request_duration_seconds_count{class=\"balance-read\"}";
-    assert_eq!(metric_value(text, latency), 2.0, "an abandoned request has no duration");
+    assert_eq!(
+        metric_value(text, latency),
+        2.0,
+        "an abandoned request has no duration"
+    );
     assert_eq!(metric_value(text, "edge_node_open_requests"), 0.0);
 }
 
@@ -186,7 +237,10 @@
     // The last watch may have timed out by now, and so may those after it.
     let opened = 4 + busy.discovery.unseen_watches();
     let resets = metric_value(&text, "edge_node_watch_resets_total");
-    assert!(resets >= 3.0 && resets <= opened as f64, "{resets} resets of {opened} watches");
+    assert!(
+        resets >= 3.0 && resets <= opened as f64,
+        "{resets} resets of {opened} watches"
+    );
     assert_process_metrics(&text);
     assert_whole_and_without_identifiers(&text);
 }
@@ -194,14 +248,24 @@
 #[test]
 fn the_readiness_probe_follows_the_phase() {
     let servers = FakeServers::new();
-    let entries = [endpoint_entry("s-1", servers.start("s-1", &[ServerBehavior::NeverRespond]), 1, "ready")];
+    let entries = [endpoint_entry(
+        "s-1",
+        servers.start("s-1", &[ServerBehavior::NeverRespond]),
+        1,
+        "ready",
+    )];
     let discovery = FakeDiscovery::silent();
-    let mut node = EdgeNode::start_with_toml("ready", &config_with_drain_grace(discovery.address, 3_000_000));
+    let mut node = EdgeNode::start_with_toml(
+        "ready",
+        &config_with_drain_grace(discovery.address, 3_000_000),
+    );
     let address = admin_address(&node);
     assert_eq!(get(address, "/readyz"), (503, "starting\n".to_owned()));
     assert_eq!(get(address, "/healthz").0, 200);
     let (_, mut watch) = discovery.next_watch();
-    watch.write_all(WATCH_RESPONSE_HEAD.as_bytes()).expect("it is open");
+    watch
+        .write_all(WATCH_RESPONSE_HEAD.as_bytes())
+        .expect("it is open");
     send_list(&mut watch, &endpoint_list(1, true, &entries));
     node.wait_for_log("ready: ");
     assert_eq!(get(address, "/readyz"), (200, "serving\n".to_owned()));
@@ -213,7 +277,10 @@
     node.terminate();
     node.wait_for_log("leaving on SIGTERM");
     let (status, phase) = get(address, "/readyz");
-    assert!(status == 503 && ["leaving\n", "closing\n"].contains(&phase.as_str()), "{status} {phase}");
+    assert!(
+        status == 503 && ["leaving\n", "closing\n"].contains(&phase.as_str()),
+        "{status} {phase}"
+    );
     assert!(node.is_running());
 }
 
@@ -240,7 +307,10 @@
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
     let answer = String::from_utf8_lossy(&answer);
-    assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
+    assert!(
+        answer.is_empty() || answer.starts_with("HTTP/1.1 4"),
+        "{answer}"
+    );
     answer.split(' ').nth(1).unwrap_or("closed").to_owned()
 }
 
@@ -267,19 +337,34 @@
 #[test]
 fn nothing_on_the_admin_port_affects_client_requests() {
     let servers = FakeServers::new();
-    let entries = [endpoint_entry("s-1", servers.start("s-1", &[RESPONDS_OK]), 1, "ready")];
+    let entries = [endpoint_entry(
+        "s-1",
+        servers.start("s-1", &[RESPONDS_OK]),
+        1,
+        "ready",
+    )];
     let discovery = FakeDiscovery::start(&entries);
     let mut node = EdgeNode::start_with_toml("noise", &config(discovery.address));
     let address = admin_address(&node);
     send_malformed_requests(address);
     let before = node.open_descriptors();
-    let silent: Vec<_> = (0..TOO_MANY_CONNECTIONS).map(|_| connect(address)).collect();
+    let silent: Vec<_> = (0..TOO_MANY_CONNECTIONS)
+        .map(|_| connect(address))
+        .collect();
     let mut client = node.client();
     for number in 0..10 {
-        assert_eq!(client.exchange(&read_request(&format!("r{number}"))).status(), 200);
+        assert_eq!(
+            client
+                .exchange(&read_request(&format!("r{number}")))
+                .status(),
+            200
+        );
     }
     let after = node.open_descriptors();
-    assert!(after <= before + MAX_ADDED_DESCRIPTORS, "{after} of {before}");
+    assert!(
+        after <= before + MAX_ADDED_DESCRIPTORS,
+        "{after} of {before}"
+    );
     for stream in silent {
         final_status(stream);
     }
@@ -296,7 +381,10 @@
     node.terminate();
     assert!(node.wait().success());
     assert!(
-        !node.remaining_log().iter().any(|line| line.contains("admin")),
+        !node
+            .remaining_log()
+            .iter()
+            .any(|line| line.contains("admin")),
         "the platform's form has no such key"
     );
 }
@@ -312,11 +400,21 @@
         1,
     );
     let path = write_config_file("taken.toml", &text);
-    let output = edge_node_command(&["serve", "--config"]).arg(&path).output().expect("it runs");
+    let output = edge_node_command(&["serve", "--config"])
+        .arg(&path)
+        .output()
+        .expect("it runs");
     let _ = std::fs::remove_file(path);
     let error = String::from_utf8_lossy(&output.stderr);
-    assert_eq!((output.status.code(), error.lines().count()), (Some(1), 1), "{error}");
-    assert!(error.contains(&format!("admin.listen {address}")), "{error}");
+    assert_eq!(
+        (output.status.code(), error.lines().count()),
+        (Some(1), 1),
+        "{error}"
+    );
+    assert!(
+        error.contains(&format!("admin.listen {address}")),
+        "{error}"
+    );
 }
 
 #[test]
@@ -327,9 +425,13 @@
     let typed = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let mut exposed: Vec<_> = typed.map(|line| line.replace(' ', "` | ")).collect();
     let page = std::fs::read_to_string("../../docs/OPERATING.md").expect("the page");
-    let rows = page.lines().filter_map(|line| line.strip_prefix("| `edge_node_"));
+    let rows = page
+        .lines()
+        .filter_map(|line| line.strip_prefix("| `edge_node_"));
     let first_two = |row: &str| row.split(" | ").take(2).collect::<Vec<_>>().join(" | ");
-    let mut documented: Vec<_> = rows.map(|row| format!("edge_node_{}", first_two(row))).collect();
+    let mut documented: Vec<_> = rows
+        .map(|row| format!("edge_node_{}", first_two(row)))
+        .collect();
     exposed.sort();
     documented.sort();
     assert!(exposed.len() > 10);
--- a/crates/edge-node/tests/configuration.rs
+++ b/crates/edge-node/tests/configuration.rs
@@ -21,18 +21,28 @@
 /// Runs `check` on a configuration in a file of that name.
 fn check(name: &str, config: &str) -> Checked {
     let path = write_config_file(name, config);
-    let output = edge_node_command(&["check"]).arg(&path).stdin(Stdio::null()).output().expect("it runs");
+    let output = edge_node_command(&["check"])
+        .arg(&path)
+        .stdin(Stdio::null())
+        .output()
+        .expect("it runs");
     let _ = std::fs::remove_file(&path);
     let printed = String::from_utf8([output.stdout, output.stderr].concat()).expect("it is text");
     let file = format!("{}:", path.display());
     let lines = printed.lines().filter_map(|line| line.strip_prefix(&file));
     let lines = lines.map(|line| line.trim_start().to_owned()).collect();
-    Checked { is_valid: output.status.success(), lines }
+    Checked {
+        is_valid: output.status.success(),
+        lines,
+    }
 }
 
 /// The number, from 1, of the first line that contains these words.
 fn line_of(text: &str, words: &str) -> usize {
-    1 + text.lines().position(|line| line.contains(words)).expect("it is there")
+    1 + text
+        .lines()
+        .position(|line| line.contains(words))
+        .expect("it is there")
 }
 
 #[test]
@@ -53,9 +63,15 @@
 
 impl DiagnosticCase {
     const fn new(
-        original: &'static str, replacement: &'static str, diagnostic: &'static str,
+        original: &'static str,
+        replacement: &'static str,
+        diagnostic: &'static str,
     ) -> DiagnosticCase {
-        DiagnosticCase { original, replacement, diagnostic }
+        DiagnosticCase {
+            original,
+            replacement,
+            diagnostic,
+        }
     }
 
     /// Checks the valid configuration after the replacement, in a file of that name.
@@ -68,9 +84,21 @@
 
 const NAME_AND_ADDRESS_DIAGNOSTICS: &[DiagnosticCase] = &[
     DiagnosticCase::new("name = \"edge-0\"", "name = 3", "name: has to be a text"),
-    DiagnosticCase::new("name = \"edge-0\"", "name = \"\"", "name: has to be a text that is not empty"),
-    DiagnosticCase::new("127.0.0.1:8443", "127.0.0.1", "listen: has to be an address"),
-    DiagnosticCase::new("127.0.0.1:8500", "localhost:8500", "discovery: has to be an address"),
+    DiagnosticCase::new(
+        "name = \"edge-0\"",
+        "name = \"\"",
+        "name: has to be a text that is not empty",
+    ),
+    DiagnosticCase::new(
+        "127.0.0.1:8443",
+        "127.0.0.1",
+        "listen: has to be an address",
+    ),
+    DiagnosticCase::new(
+        "127.0.0.1:8500",
+        "localhost:8500",
+        "discovery: has to be an address",
+    ),
 ];
 
 const LIMIT_DIAGNOSTICS: &[DiagnosticCase] = &[
@@ -89,27 +117,47 @@
         "memory_mb = 192",
         "limits.memory_mb: no such key; the nearest known name is limits.memory_mib",
     ),
-    DiagnosticCase::new("memory_mib = 192", "memory_mib = -1", "limits.memory_mib: is -1"),
+    DiagnosticCase::new(
+        "memory_mib = 192",
+        "memory_mib = -1",
+        "limits.memory_mib: is -1",
+    ),
 ];
 
 const FLEET_DIAGNOSTICS: &[DiagnosticCase] = &[
-    DiagnosticCase::new("number = 0", "number = 3", "fleet.number: there are only the numbers below 3"),
+    DiagnosticCase::new(
+        "number = 0",
+        "number = 3",
+        "fleet.number: there are only the numbers below 3",
+    ),
     DiagnosticCase::new(
         "zone = \"block-a\"",
         "zone = \"block-d\"",
         "fleet.zone: has to be one of block-a, block-b, block-c",
     ),
-    DiagnosticCase::new("zones = [", "zones = [1, ", "fleet.zones: has to be a list of texts"),
+    DiagnosticCase::new(
+        "zones = [",
+        "zones = [1, ",
+        "fleet.zones: has to be a list of texts",
+    ),
 ];
 
 const PEER_DIAGNOSTICS: &[DiagnosticCase] = &[
-    DiagnosticCase::new("\"127.0.0.3:7946\"", "\"x\"", "peers.addresses: has to be a list of addresses"),
+    DiagnosticCase::new(
+        "\"127.0.0.3:7946\"",
+        "\"x\"",
+        "peers.addresses: has to be a list of addresses",
+    ),
     DiagnosticCase::new(
         "\"127.0.0.2:7946\", \"127.0.0.3:7946\"]",
         "\"127.0.0.2:7946\"]",
         "peers.addresses: has 2 addresses for 3 edge nodes",
     ),
-    DiagnosticCase::new("messages_per_s = 40", "messages_per_s = nan", "peers.messages_per_s: is NaN"),
+    DiagnosticCase::new(
+        "messages_per_s = 40",
+        "messages_per_s = nan",
+        "peers.messages_per_s: is NaN",
+    ),
     DiagnosticCase::new(
         "messages_per_s = 40",
         "messages_per_s = 1979-05-27",
@@ -156,7 +204,11 @@
         "\"balance-read\"",
         "classes[1].name: \"balance-read\" stands twice",
     ),
-    DiagnosticCase::new("\"premier\"", "\"basic\"", "plans[1].name: \"basic\" stands twice"),
+    DiagnosticCase::new(
+        "\"premier\"",
+        "\"basic\"",
+        "plans[1].name: \"basic\" stands twice",
+    ),
     DiagnosticCase::new(
         "units_per_s = 50",
         "units_per_second = 50\nunits_per_s = 50",
@@ -191,11 +243,19 @@
 #[test]
 fn each_diagnostic_has_its_line_and_key() {
     for (number, case) in EXAMPLE_DIAGNOSTICS.into_iter().flatten().enumerate() {
-        let Checked { is_valid, lines } = case.check(&format!("diagnostic-{number}.toml"), &example());
-        let before = example().split(case.original).next().map_or(0, |before| before.matches('\n').count());
+        let Checked { is_valid, lines } =
+            case.check(&format!("diagnostic-{number}.toml"), &example());
+        let before = example()
+            .split(case.original)
+            .next()
+            .map_or(0, |before| before.matches('\n').count());
         let expected = format!("{}: {}", before + 1, case.diagnostic);
         let is_reported = lines.iter().any(|line| line.starts_with(&expected));
-        assert!(!is_valid && is_reported && lines.len() == 1, "{}: {lines:?}", case.replacement);
+        assert!(
+            !is_valid && is_reported && lines.len() == 1,
+            "{}: {lines:?}",
+            case.replacement
+        );
     }
 }
 
@@ -204,25 +264,52 @@
     for (line, expected) in [
         ("name = \"edge-0\"", "name: is missing"),
         ("gateways = 3", "fleet.gateways: is missing"),
-        ("cold_start_ms = 16_000", "servers.cold_start_ms: is missing"),
+        (
+            "cold_start_ms = 16_000",
+            "servers.cold_start_ms: is missing",
+        ),
         ("value = 3", "classes[0].value: is missing"),
         ("burst_units = 10", "plans[0].burst_units: is missing"),
     ] {
         let Checked { is_valid, lines } = check("missing.toml", &example().replacen(line, "", 1));
-        assert!(!is_valid && lines.len() == 1 && lines[0].ends_with(expected), "{line}: {lines:?}");
+        assert!(
+            !is_valid && lines.len() == 1 && lines[0].ends_with(expected),
+            "{line}: {lines:?}"
+        );
     }
     let keyed = example().replacen("repeat = \"never\"", "repeat = \"idempotency_key\"", 1);
     let lines = check("keyed.toml", &keyed).lines;
-    assert!(lines.len() == 1 && lines[0].contains("classes[1].idempotency_scope: is missing"), "{lines:?}");
+    assert!(
+        lines.len() == 1 && lines[0].contains("classes[1].idempotency_scope: is missing"),
+        "{lines:?}"
+    );
     let lines = check("none.toml", "").lines;
-    for key in
-        ["name", "listen", "discovery", "fleet.gateways", "servers.overload_factor", "classes", "plans"]
-    {
-        assert!(lines.contains(&format!("{key}: is missing")), "{key}: {lines:?}");
+    for key in [
+        "name",
+        "listen",
+        "discovery",
+        "fleet.gateways",
+        "servers.overload_factor",
+        "classes",
+        "plans",
+    ] {
+        assert!(
+            lines.contains(&format!("{key}: is missing")),
+            "{key}: {lines:?}"
+        );
     }
-    let before = example().split("[[plans]]").next().expect("the part before").to_owned();
+    let before = example()
+        .split("[[plans]]")
+        .next()
+        .expect("the part before")
+        .to_owned();
     let lines = check("list.toml", &format!("{before}[plans]\nname = \"p\"\n")).lines;
-    assert!(lines.iter().any(|line| line.contains("plans: has to be a list of tables")), "{lines:?}");
+    assert!(
+        lines
+            .iter()
+            .any(|line| line.contains("plans: has to be a list of tables")),
+        "{lines:?}"
+    );
 }
 
 #[test]
@@ -234,11 +321,21 @@
     let Checked { is_valid, lines } = check("several.toml", &config);
     assert!(!is_valid && lines.len() == 3, "{lines:?}");
     let path = write_config_file("serve-several.toml", &config);
-    let output = edge_node_command(&[]).env("LB_CONFIG", &path).output().expect("it runs");
+    let output = edge_node_command(&[])
+        .env("LB_CONFIG", &path)
+        .output()
+        .expect("it runs");
     let _ = std::fs::remove_file(&path);
     let error = String::from_utf8_lossy(&output.stderr);
-    assert_eq!((output.status.code(), error.lines().count()), (Some(1), 1), "{error}");
-    assert!(error.contains("listen") && error.contains("2 more"), "{error}");
+    assert_eq!(
+        (output.status.code(), error.lines().count()),
+        (Some(1), 1),
+        "{error}"
+    );
+    assert!(
+        error.contains("listen") && error.contains("2 more"),
+        "{error}"
+    );
 }
 
 /// Text that is neither TOML nor JSON.
@@ -246,19 +343,31 @@
 fn syntax_errors_are_reported_with_their_line() {
     let config = example().replacen("gateways = 3", "gateways = = 3", 1);
     let Checked { is_valid, lines } = check("grammar.toml", &config);
-    assert!(!is_valid && lines[0].starts_with(&format!("{}: ", line_of(&config, "= = 3"))), "{lines:?}");
+    assert!(
+        !is_valid && lines[0].starts_with(&format!("{}: ", line_of(&config, "= = 3"))),
+        "{lines:?}"
+    );
     let twice = example().replacen("number = 0", "number = 0\nnumber = 1", 1);
     let Checked { is_valid, lines } = check("twice.toml", &twice);
-    assert!(!is_valid && lines[0].starts_with(&format!("{}: ", line_of(&twice, "number = 1"))), "{lines:?}");
+    assert!(
+        !is_valid && lines[0].starts_with(&format!("{}: ", line_of(&twice, "number = 1"))),
+        "{lines:?}"
+    );
     let Checked { is_valid, lines } = check("grammar.json", "{\n\"name\": \"n0\",\n\"listen\": }");
-    assert!(!is_valid && lines.len() == 1 && lines[0].starts_with("3: "), "{lines:?}");
+    assert!(
+        !is_valid && lines.len() == 1 && lines[0].starts_with("3: "),
+        "{lines:?}"
+    );
     let open = "[".repeat(20_000);
     let close = "]".repeat(20_000);
     for (name, deep) in [
         ("deep.toml", format!("name = {open}{close}")),
         ("open.json", open.clone()),
         ("deep.json", format!("{open}{close}")),
-        ("deeper.json", PLATFORM.replacen("\"n3\"", &format!("{open}{close}"), 1)),
+        (
+            "deeper.json",
+            PLATFORM.replacen("\"n3\"", &format!("{open}{close}"), 1),
+        ),
     ] {
         let Checked { is_valid, lines } = check(name, &deep);
         assert!(!is_valid && lines.len() == 1, "{name}: {lines:?}");
@@ -288,14 +397,26 @@
         "\"sockets\": 63",
         "3: limits.sockets: is 63, and has to be 64 or more",
     ),
-    DiagnosticCase::new("127.0.0.1:3", "x", "4: peers: has to be a list of addresses"),
-    DiagnosticCase::new("\"me\": 0", "\"me\": 2", "6: settings.me: there are only the numbers below 2"),
+    DiagnosticCase::new(
+        "127.0.0.1:3",
+        "x",
+        "4: peers: has to be a list of addresses",
+    ),
+    DiagnosticCase::new(
+        "\"me\": 0",
+        "\"me\": 2",
+        "6: settings.me: there are only the numbers below 2",
+    ),
     DiagnosticCase::new(
         "\"periodUs\": 2000",
         "\"periodUs\": 2.5",
         "6: settings.periodUs: has to be a whole number",
     ),
-    DiagnosticCase::new("\"zone\": \"a\"", "\"zone\": \"b\"", "6: settings.zone: has to be one of a"),
+    DiagnosticCase::new(
+        "\"zone\": \"a\"",
+        "\"zone\": \"b\"",
+        "6: settings.zone: has to be one of a",
+    ),
     DiagnosticCase::new(
         "\"automatic\"",
         "\"never\"",
@@ -330,14 +451,22 @@
 
 #[test]
 fn diagnostics_of_the_platform_s_json_have_its_own_names() {
-    assert!(check("valid.json", PLATFORM).is_valid, "unknown keys are ignored there");
-    assert!(check("valid.conf", PLATFORM).is_valid, "its content shows its format");
+    assert!(
+        check("valid.json", PLATFORM).is_valid,
+        "unknown keys are ignored there"
+    );
+    assert!(
+        check("valid.conf", PLATFORM).is_valid,
+        "its content shows its format"
+    );
     for (number, case) in PLATFORM_DIAGNOSTICS.iter().enumerate() {
         let Checked { is_valid, lines } = case.check(&format!("platform-{number}.json"), PLATFORM);
         let is_reported = lines.len() == 1 && lines[0].starts_with(case.diagnostic);
         assert!(!is_valid && is_reported, "{}: {lines:?}", case.replacement);
     }
-    let several = PLATFORM.replace("\"sendCap\": 4, ", "").replace("\"name\": \"n3\"", "\"name\": []");
+    let several = PLATFORM
+        .replace("\"sendCap\": 4, ", "")
+        .replace("\"name\": \"n3\"", "\"name\": []");
     assert_eq!(check("platform-several.json", &several).lines.len(), 2);
 }
 
@@ -351,8 +480,11 @@
 
 /// A request of the example's classes and plans.
 fn example_request(id: &str, class: &str, units: &str, deadline: &str) -> String {
-    let (method, more) =
-        if class == "post-payment" { ("POST", "Content-Length: 4\r\n") } else { ("GET", "") };
+    let (method, more) = if class == "post-payment" {
+        ("POST", "Content-Length: 4\r\n")
+    } else {
+        ("GET", "")
+    };
     let body = if more.is_empty() { "" } else { "time" };
     format!(
         "{method} /{class}/00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: {id}\r\n\
@@ -364,16 +496,32 @@
 #[test]
 fn values_of_operators_files_reach_the_edge_node_in_its_own_units() {
     let servers = FakeServers::new();
-    let discovery =
-        FakeDiscovery::start(&[endpoint_entry("s-1", servers.start("s-1", &[RESPONDS_OK]), 1, "ready")]);
+    let discovery = FakeDiscovery::start(&[endpoint_entry(
+        "s-1",
+        servers.start("s-1", &[RESPONDS_OK]),
+        1,
+        "ready",
+    )]);
     let node = EdgeNode::start_with_toml("figures", &served(&discovery));
     let status = |words: String| node.client().exchange(&words).status();
     for (id, class) in [("a", "balance-read"), ("b", "post-payment")] {
         assert_eq!(status(example_request(id, class, "8", "4000m")), 200);
-        let left = servers.next_request().message.header("x-deadline").trim_end_matches('m').parse::<u64>();
-        assert!((1..=4000).contains(&left.expect("a number")), "a deadline in the right unit");
+        let left = servers
+            .next_request()
+            .message
+            .header("x-deadline")
+            .trim_end_matches('m')
+            .parse::<u64>();
+        assert!(
+            (1..=4000).contains(&left.expect("a number")),
+            "a deadline in the right unit"
+        );
     }
-    assert_eq!(status(example_request("c", "balance-read", "9", "4000m")), 400, "max_units is 8");
+    assert_eq!(
+        status(example_request("c", "balance-read", "9", "4000m")),
+        400,
+        "max_units is 8"
+    );
     assert_eq!(
         status(example_request("d", "balance-read", "8", "4001m")),
         400,
@@ -409,7 +557,9 @@
     let _ = std::fs::remove_file(&path);
     let said = String::from_utf8_lossy(&output.stderr);
     assert!(
-        said.lines().next().is_some_and(|line| line.contains("other: listening on 127.0.0.1:")),
+        said.lines()
+            .next()
+            .is_some_and(|line| line.contains("other: listening on 127.0.0.1:")),
         "{said}"
     );
     let bad = edge_node_command(&["serve", "--config", EXAMPLE])
@@ -435,11 +585,8 @@
     node.reload(|text| to_new(text).replacen("max_attempts = 5", "max_attempts = 0", 1));
     node.wait_for_log("the old configuration stays");
     node.reload(|text| {
-        text.replacen("max_attempts = 0", "max_attempts = 4", 1).replacen(
-            "units_per_s = 2.5",
-            "units_per_s = 3.5",
-            1,
-        )
+        text.replacen("max_attempts = 0", "max_attempts = 4", 1)
+            .replacen("units_per_s = 2.5", "units_per_s = 3.5", 1)
     });
     let said = node.wait_for_log("reloaded");
     let waits = format!(
@@ -450,14 +597,14 @@
     new.next_watch();
     // The file is as it was at the start, so nothing requires a restart any more.
     node.reload(|text| {
-        text.replacen("max_attempts = 4", "max_attempts = 5", 1).replacen(
-            "units_per_s = 3.5",
-            "units_per_s = 2.5",
-            1,
-        )
+        text.replacen("max_attempts = 4", "max_attempts = 5", 1)
+            .replacen("units_per_s = 3.5", "units_per_s = 2.5", 1)
     });
     let said = node.wait_for_log("reloaded");
-    assert!(said.ends_with(&format!("discovery at {}", new.address)), "{said}");
+    assert!(
+        said.ends_with(&format!("discovery at {}", new.address)),
+        "{said}"
+    );
     assert!(node.is_running());
 }
 
@@ -468,10 +615,16 @@
     let keys = String::from_utf8(keys.stdout).expect("it is text");
     assert!(keys.lines().count() > 40);
     for row in keys.lines() {
-        assert!(page.lines().any(|line| line == row), "docs/CONFIGURATION.md lacks: {row}");
+        assert!(
+            page.lines().any(|line| line == row),
+            "docs/CONFIGURATION.md lacks: {row}"
+        );
     }
     let rows = page.lines().filter(|line| line.starts_with("| `")).count();
     // The first two lines are the table's header.
     let keys = keys.lines().count() - 2;
-    assert_eq!(rows, keys, "docs/CONFIGURATION.md has a key that the program lacks");
+    assert_eq!(
+        rows, keys,
+        "docs/CONFIGURATION.md has a key that the program lacks"
+    );
 }
--- a/crates/edge-node/tests/edge/client_disconnect.rs
+++ b/crates/edge-node/tests/edge/client_disconnect.rs
@@ -13,7 +13,9 @@
 
 /// So many requests, one right behind the other.
 fn pipelined_requests(count: usize) -> String {
-    (0..count).map(|number| request_text(&format!("b{number}"), "pay", "20000m")).collect()
+    (0..count)
+        .map(|number| request_text(&format!("b{number}"), "pay", "20000m"))
+        .collect()
 }
 
 /// Time within which a close has to be noticed. Behind what the edge node reads ahead it is noticed at once.
@@ -30,18 +32,29 @@
 
 /// Returns once the edge node has read what came on any connection before the call.
 fn wait_until_read(node: &EdgeNode) {
-    assert_eq!(node.client().exchange("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
+    assert_eq!(
+        node.client()
+            .exchange("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
+            .status(),
+        200
+    );
 }
 
 #[test]
 fn a_disconnect_cancels_the_attempt_in_flight() {
-    let (servers, _discovery, node) = with_one("gone", &[ServerBehavior::NeverRespond, RESPONDS_OK]);
+    let (servers, _discovery, node) =
+        with_one("gone", &[ServerBehavior::NeverRespond, RESPONDS_OK]);
     let mut client = node.client();
     client.send(&request_text("a", "pay", "20000m"));
     let got = servers.next_request();
     client.close();
     assert!(is_closed_in_time(&got));
-    assert_eq!(node.client().exchange(&request_text("b", "pay", "20000m")).status(), 200);
+    assert_eq!(
+        node.client()
+            .exchange(&request_text("b", "pay", "20000m"))
+            .status(),
+        200
+    );
 }
 
 /// A client pipelines requests and disconnects: its attempt is cancelled, and none of the other requests is begun.
@@ -52,13 +65,20 @@
     let got = servers.next_request();
     client.send(&pipelined_requests(count));
     client.close();
-    got.stream.set_read_timeout(Some(TEST_TIMEOUT / 6)).expect("a time-out");
+    got.stream
+        .set_read_timeout(Some(TEST_TIMEOUT / 6))
+        .expect("a time-out");
     let ends = got.stream.peek(&mut [0]);
     assert!(
         !ends.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock),
         "the attempt is still in flight"
     );
-    assert_eq!(node.client().exchange(&request_text("c", "pay", "20000m")).status(), 200);
+    assert_eq!(
+        node.client()
+            .exchange(&request_text("c", "pay", "20000m"))
+            .status(),
+        200
+    );
     assert_eq!(servers.next_request().message.header("x-request-id"), "c");
     servers.assert_no_more_requests();
 }
@@ -74,7 +94,12 @@
 /// then the lease is granted.
 fn disconnects_during_a_lease_request(tag: &str, pipelined: usize) {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry("s-1", servers.start("s-1", &[RESPONDS_OK]), 1, "ready")];
+    let hosts = [endpoint_entry(
+        "s-1",
+        servers.start("s-1", &[RESPONDS_OK]),
+        1,
+        "ready",
+    )];
     let discovery = FakeDiscovery::start(&hosts);
     let large_fleet = |config: String| config.replace(r#""balancers":2"#, r#""balancers":300"#);
     let node = EdgeNode::start_with(tag, discovery.address, &hosts, large_fleet);
@@ -82,7 +107,9 @@
     let owned_by_peer = |id: &str| request_text(id, "pay", "20000m").replace("first=0", "first=1");
     let receive_lease_request = || {
         let mut message = [0; 2000];
-        node.peer.recv_from(&mut message).expect("a lease is requested");
+        node.peer
+            .recv_from(&mut message)
+            .expect("a lease is requested");
         assert_eq!(message[..2], [4, 1], "a lease request");
         [message[2], message[3]]
     };
@@ -122,7 +149,11 @@
 #[test]
 fn no_attempt_starts_after_a_disconnect_while_queued() {
     for pipelined in PIPELINED_COUNTS {
-        let silent = [ServerBehavior::NeverRespond, ServerBehavior::NeverRespond, RESPONDS_OK];
+        let silent = [
+            ServerBehavior::NeverRespond,
+            ServerBehavior::NeverRespond,
+            RESPONDS_OK,
+        ];
         let (servers, _discovery, node) = with_one(&format!("queued-{pipelined}"), &silent);
         let mut staying = [node.client(), node.client()];
         let in_flight = ["a", "b"].iter().zip(&mut staying).map(|(id, client)| {
@@ -137,10 +168,17 @@
         servers.assert_no_more_requests();
         disconnect(leaving, pipelined, &node);
         for (mut got, client) in in_flight.into_iter().zip(&mut staying) {
-            got.stream.write_all(OK_RESPONSE).expect("the attempt is still in flight");
+            got.stream
+                .write_all(OK_RESPONSE)
+                .expect("the attempt is still in flight");
             assert_eq!(client.read_response().expect("an answer").status(), 200);
         }
-        assert_eq!(node.client().exchange(&request_text("d", "pay", "20000m")).status(), 200);
+        assert_eq!(
+            node.client()
+                .exchange(&request_text("d", "pay", "20000m"))
+                .status(),
+            200
+        );
         assert_eq!(servers.next_request().message.header("x-request-id"), "d");
         servers.assert_no_more_requests();
     }
@@ -149,8 +187,14 @@
 /// An attempt has failed and the request is queued for the next; its client disconnects.
 #[test]
 fn no_retry_starts_after_a_disconnect_while_queued() {
-    let (servers, _discovery, node) =
-        with_one("again", &[ServerBehavior::NeverRespond, ServerBehavior::NeverRespond, RESPONDS_OK]);
+    let (servers, _discovery, node) = with_one(
+        "again",
+        &[
+            ServerBehavior::NeverRespond,
+            ServerBehavior::NeverRespond,
+            RESPONDS_OK,
+        ],
+    );
     let mut staying = node.client();
     staying.send(&request_text("a", "pay", "20000m"));
     let mut first = servers.next_request();
@@ -168,12 +212,20 @@
         .expect("the attempt is still in flight");
     wait_until_read(&node);
     disconnect(leaving, 0, &node);
-    first.stream.write_all(OK_RESPONSE).expect("the attempt is still in flight");
+    first
+        .stream
+        .write_all(OK_RESPONSE)
+        .expect("the attempt is still in flight");
     for client in [&mut staying, &mut queued_first] {
         assert_eq!(client.read_response().expect("an answer").status(), 200);
     }
     assert_eq!(servers.next_request().message.header("x-request-id"), "d");
-    assert_eq!(staying.exchange(&request_text("e", "pay", "20000m")).status(), 200);
+    assert_eq!(
+        staying
+            .exchange(&request_text("e", "pay", "20000m"))
+            .status(),
+        200
+    );
     assert_eq!(servers.next_request().message.header("x-request-id"), "e");
     servers.assert_no_more_requests();
 }
@@ -194,12 +246,21 @@
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("an address");
         let filler = TcpStream::connect(address).expect("there is room for one");
-        (LateServer { listener, _backlog_filler: filler }, address)
+        (
+            LateServer {
+                listener,
+                _backlog_filler: filler,
+            },
+            address,
+        )
     }
 
     /// Accepts connections from now on: how many came up, and what was written on them.
     fn accept_all(self) -> Accepted {
-        let mut accepted = Accepted { connections: 0, written: Vec::new() };
+        let mut accepted = Accepted {
+            connections: 0,
+            written: Vec::new(),
+        };
         drop(self.listener.accept().expect("what filled the backlog"));
         self.listener.set_nonblocking(true).expect("a mode");
         // The operating system sends its connection request again after a second, then after two.
@@ -210,7 +271,9 @@
             };
             accepted.connections += 1;
             stream.set_nonblocking(false).expect("a mode");
-            stream.set_read_timeout(Some(Duration::from_millis(500))).expect("a time-out");
+            stream
+                .set_read_timeout(Some(Duration::from_millis(500)))
+                .expect("a time-out");
             // It ends at the edge node's close, or at the time-out.
             let _ = stream.read_to_end(&mut accepted.written);
         }
@@ -233,13 +296,20 @@
 
 /// Settings under which a connection may come up late, and attempts may be cancelled or not.
 fn with_slow_connect(config: String, cancel: bool) -> String {
-    let config = config.replace(r#""connectTimeoutUs":250000"#, r#""connectTimeoutUs":30000000"#);
+    let config = config.replace(
+        r#""connectTimeoutUs":250000"#,
+        r#""connectTimeoutUs":30000000"#,
+    );
     config.replace(r#""cancel":true"#, &format!(r#""cancel":{cancel}"#))
 }
 
 /// The client stays or disconnects, then the server accepts: something is written to it only if the client is still there.
 fn assert_written_only_if_client_stays(
-    action: ClientAction, client: Client, node: &EdgeNode, server: LateServer, tag: &str,
+    action: ClientAction,
+    client: Client,
+    node: &EdgeNode,
+    server: LateServer,
+    tag: &str,
 ) {
     let staying = match action {
         ClientAction::Stays => Some(client),
@@ -257,8 +327,11 @@
 }
 
 /// Whether attempts may be cancelled, and what the client does.
-const CASES: [(bool, ClientAction); 3] =
-    [(true, ClientAction::Disconnects), (false, ClientAction::Disconnects), (true, ClientAction::Stays)];
+const CASES: [(bool, ClientAction); 3] = [
+    (true, ClientAction::Disconnects),
+    (false, ClientAction::Disconnects),
+    (true, ClientAction::Stays),
+];
 
 #[test]
 fn nothing_is_written_once_the_client_has_disconnected_while_connecting() {
@@ -301,8 +374,10 @@
                 let mut client = node.client();
                 client.send(&request_text("a", "read", "20000m"));
                 let mut got = servers.next_request();
-                let moved =
-                    [endpoint_entry("s-1", first, 1, "draining"), endpoint_entry("late", dial, 1, "ready")];
+                let moved = [
+                    endpoint_entry("s-1", first, 1, "draining"),
+                    endpoint_entry("late", dial, 1, "ready"),
+                ];
                 send_list(&mut watch, &endpoint_list(2, false, &moved));
                 wait_until_read(&node);
                 got.stream
@@ -336,8 +411,16 @@
     std::thread::sleep(CLOSE_NOTICED_WITHIN);
     node.resume();
     wait_until_read(&node);
-    assert_eq!(node.client().exchange(&request_text("stays", "pay", "20000m")).status(), 200);
-    assert_eq!(servers.next_request().message.header("x-request-id"), "stays");
+    assert_eq!(
+        node.client()
+            .exchange(&request_text("stays", "pay", "20000m"))
+            .status(),
+        200
+    );
+    assert_eq!(
+        servers.next_request().message.header("x-request-id"),
+        "stays"
+    );
     servers.assert_no_more_requests();
 }
 
@@ -346,14 +429,30 @@
 fn an_id_stays_in_use_while_the_attempt_of_a_disconnected_client_is_in_flight() {
     let servers = FakeServers::new();
     let behaviors = [ServerBehavior::NeverRespond, RESPONDS_OK];
-    let hosts = [endpoint_entry("s-1", servers.start("s-1", &behaviors), 1, "ready")];
+    let hosts = [endpoint_entry(
+        "s-1",
+        servers.start("s-1", &behaviors),
+        1,
+        "ready",
+    )];
     let discovery = FakeDiscovery::start(&hosts);
-    let node =
-        EdgeNode::start_with("in-use", discovery.address, &hosts, |config| with_slow_connect(config, false));
+    let node = EdgeNode::start_with("in-use", discovery.address, &hosts, |config| {
+        with_slow_connect(config, false)
+    });
     let mut client = node.client();
     client.send(&request_text("a", "pay", "20000m"));
     let _in_flight = servers.next_request();
     disconnect(client, 0, &node);
-    assert_eq!(node.client().exchange(&request_text("a", "pay", "20000m")).status(), 400);
-    assert_eq!(node.client().exchange(&request_text("b", "pay", "20000m")).status(), 200);
+    assert_eq!(
+        node.client()
+            .exchange(&request_text("a", "pay", "20000m"))
+            .status(),
+        400
+    );
+    assert_eq!(
+        node.client()
+            .exchange(&request_text("b", "pay", "20000m"))
+            .status(),
+        200
+    );
 }
--- a/crates/edge-node/tests/edge/descriptors.rs
+++ b/crates/edge-node/tests/edge/descriptors.rs
@@ -20,15 +20,28 @@
 #[test]
 fn idle_clients_shut_out_nobody() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry("s-1", servers.start("s-1", &[RESPONDS_OK]), 1, "ready")];
+    let hosts = [endpoint_entry(
+        "s-1",
+        servers.start("s-1", &[RESPONDS_OK]),
+        1,
+        "ready",
+    )];
     let discovery = FakeDiscovery::start(&hosts);
     let node = EdgeNode::start_with_descriptor_limit("idle", discovery.address, &hosts, 64);
     let mut clients = Vec::new();
     for number in 0..60 {
         let mut client = node.client();
-        client.stream.set_read_timeout(Some(TEST_TIMEOUT / 3)).expect("a time-out");
+        client
+            .stream
+            .set_read_timeout(Some(TEST_TIMEOUT / 3))
+            .expect("a time-out");
         if number < MAX_DESCRIPTORS / 2 {
-            assert_eq!(client.exchange(&request_text(&format!("r{number}"), "read", "20000m")).status(), 200);
+            assert_eq!(
+                client
+                    .exchange(&request_text(&format!("r{number}"), "read", "20000m"))
+                    .status(),
+                200
+            );
         }
         clients.push(client);
     }
@@ -38,7 +51,12 @@
 #[test]
 fn the_edge_node_survives_a_lack_of_descriptors() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry("s-1", servers.start("s-1", &[RESPONDS_OK]), 1, "ready")];
+    let hosts = [endpoint_entry(
+        "s-1",
+        servers.start("s-1", &[RESPONDS_OK]),
+        1,
+        "ready",
+    )];
     let discovery = FakeDiscovery::start(&hosts);
     let node = EdgeNode::start_with_descriptor_limit("sockets", discovery.address, &hosts, 64);
     let idle: Vec<_> = (0..60).map(|_| node.client()).collect();
@@ -52,9 +70,15 @@
 #[test]
 fn clients_that_connect_with_a_request_together_are_all_answered() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry("s-1", servers.start("s-1", &[RESPONDS_OK]), 1, "ready")];
+    let hosts = [endpoint_entry(
+        "s-1",
+        servers.start("s-1", &[RESPONDS_OK]),
+        1,
+        "ready",
+    )];
     let discovery = FakeDiscovery::start(&hosts);
-    let node = EdgeNode::start_with_descriptor_limit("moment", discovery.address, &hosts, MAX_DESCRIPTORS);
+    let node =
+        EdgeNode::start_with_descriptor_limit("moment", discovery.address, &hosts, MAX_DESCRIPTORS);
     assert_eq!(node.client().exchange(READY).status(), 200);
     node.suspend();
     let connect = |number: usize| {
@@ -69,7 +93,10 @@
     let clients: Vec<_> = (0..MAX_DESCRIPTORS).map(connect).collect();
     node.resume();
     for mut client in clients {
-        assert_eq!(client.read_response().map(|answer| answer.status()), Some(200));
+        assert_eq!(
+            client.read_response().map(|answer| answer.status()),
+            Some(200)
+        );
     }
 }
 
@@ -82,8 +109,10 @@
     let open = |number: usize| {
         let mut stream = TcpStream::connect(address).expect("it connects");
         // It may have been closed by then.
-        let _ =
-            std::io::Write::write_all(&mut stream, IDLE_PREFIXES[number % IDLE_PREFIXES.len()].as_bytes());
+        let _ = std::io::Write::write_all(
+            &mut stream,
+            IDLE_PREFIXES[number % IDLE_PREFIXES.len()].as_bytes(),
+        );
         stream.set_nonblocking(true).expect("a mode");
         stream
     };
@@ -136,13 +165,20 @@
         // Ends that thread also where this one panics.
         let _stop_guard = StopGuard(&stop);
         assert_answered(&node, |_| READY.to_owned());
-        assert_answered(&node, |number| request_text(&format!("a{number}"), "read", "20000m"));
+        assert_answered(&node, |number| {
+            request_text(&format!("a{number}"), "read", "20000m")
+        });
         assert_eq!(servers.next_request().server, "old");
         // So long that all have connected, have been closed and have connected again.
         std::thread::sleep(Duration::from_millis(500));
         let new: Vec<_> = (0..8)
             .map(|number| {
-                endpoint_entry(&format!("new-{number}"), servers.start("new", &[RESPONDS_OK]), 1, "ready")
+                endpoint_entry(
+                    &format!("new-{number}"),
+                    servers.start("new", &[RESPONDS_OK]),
+                    1,
+                    "ready",
+                )
             })
             .collect();
         let discovery = FakeDiscovery::restart_at(address, endpoint_list(7, true, &new));
@@ -151,7 +187,9 @@
         let mut number = 0;
         while {
             number += 1;
-            assert_answered(&node, |again| request_text(&format!("b{number}-{again}"), "read", "20000m"));
+            assert_answered(&node, |again| {
+                request_text(&format!("b{number}-{again}"), "read", "20000m")
+            });
             servers.next_request().server != "new"
         } {}
         assert_answered(&node, |_| READY.to_owned());
@@ -176,15 +214,24 @@
         "r".repeat(LARGE_BODY_BYTES)
     );
     let answers = ServerBehavior::Respond(Box::leak(response.into_boxed_str()));
-    let hosts = [endpoint_entry("s-1", servers.start("s-1", &[answers]), 1, "ready")];
+    let hosts = [endpoint_entry(
+        "s-1",
+        servers.start("s-1", &[answers]),
+        1,
+        "ready",
+    )];
     let discovery = FakeDiscovery::start(&hosts);
-    let node = EdgeNode::start_with_descriptor_limit("slowly", discovery.address, &hosts, MAX_DESCRIPTORS);
+    let node =
+        EdgeNode::start_with_descriptor_limit("slowly", discovery.address, &hosts, MAX_DESCRIPTORS);
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(1).expect("the least there is");
-    socket.connect(&node.address.into()).expect("the edge node accepts");
+    socket
+        .connect(&node.address.into())
+        .expect("the edge node accepts");
     let mut slow = Client::new(socket.into());
-    let pipelined: String =
-        (0..PIPELINED_COUNT).map(|number| request_text(&format!("r{number}"), "read", "20000m")).collect();
+    let pipelined: String = (0..PIPELINED_COUNT)
+        .map(|number| request_text(&format!("r{number}"), "read", "20000m"))
+        .collect();
     slow.send(&pipelined);
     servers.next_request();
     // Until the operating system takes no more of what is written.
@@ -197,7 +244,9 @@
     };
     let others: Vec<_> = (0..MAX_DESCRIPTORS).map(connect).collect();
     for number in 0..PIPELINED_COUNT {
-        let answer = slow.read_response().map(|answer| (answer.status(), answer.body.len()));
+        let answer = slow
+            .read_response()
+            .map(|answer| (answer.status(), answer.body.len()));
         assert_eq!(answer, Some((200, LARGE_BODY_BYTES)), "{number}");
     }
     drop(others);
--- a/crates/edge-node/tests/edge/discovery_deadline.rs
+++ b/crates/edge-node/tests/edge/discovery_deadline.rs
@@ -22,10 +22,20 @@
 impl Setup {
     fn start(tag: &str) -> Setup {
         let servers = FakeServers::new();
-        let entries = vec![endpoint_entry("s-1", servers.start("s-1", &[RESPONDS_OK]), 1, "ready")];
+        let entries = vec![endpoint_entry(
+            "s-1",
+            servers.start("s-1", &[RESPONDS_OK]),
+            1,
+            "ready",
+        )];
         let discovery = FakeDiscovery::silent();
         let node = EdgeNode::start_with(tag, discovery.address, &entries, with_long_drain_grace);
-        Setup { servers, entries, discovery, node }
+        Setup {
+            servers,
+            entries,
+            discovery,
+            node,
+        }
     }
 
     /// A list of one server that is new.
@@ -37,7 +47,9 @@
     /// Answers the next watch with a new server, and waits until requests are sent to it.
     fn next_watch_is_applied(&self) {
         let (_, mut watch) = self.discovery.next_watch();
-        watch.write_all(WATCH_RESPONSE_HEAD.as_bytes()).expect("open");
+        watch
+            .write_all(WATCH_RESPONSE_HEAD.as_bytes())
+            .expect("open");
         send_list(&mut watch, &self.list_with_new_server());
         self.wait_for_new_server();
     }
@@ -76,14 +88,18 @@
 #[test]
 fn an_answer_that_stops_in_its_head_is_given_up() {
     assert_given_up("t-head", |watch, _| {
-        watch.write_all(&WATCH_RESPONSE_HEAD.as_bytes()[..30]).expect("open");
+        watch
+            .write_all(&WATCH_RESPONSE_HEAD.as_bytes()[..30])
+            .expect("open");
     });
 }
 
 #[test]
 fn an_answer_without_a_list_is_given_up() {
     assert_given_up("t-empty", |watch, _| {
-        watch.write_all(WATCH_RESPONSE_HEAD.as_bytes()).expect("open");
+        watch
+            .write_all(WATCH_RESPONSE_HEAD.as_bytes())
+            .expect("open");
     });
 }
 
@@ -102,7 +118,9 @@
 #[test]
 fn heartbeats_without_a_list_are_given_up() {
     assert_given_up("t-life", |watch, _| {
-        watch.write_all(WATCH_RESPONSE_HEAD.as_bytes()).expect("open");
+        watch
+            .write_all(WATCH_RESPONSE_HEAD.as_bytes())
+            .expect("open");
         let mut watch = watch.try_clone().expect("a clone");
         std::thread::spawn(move || {
             // Ends with the edge node's side of the connection.
@@ -116,7 +134,9 @@
 #[test]
 fn a_watch_that_falls_silent_after_its_list_is_given_up() {
     assert_given_up("t-fallen", |watch, entries| {
-        watch.write_all(WATCH_RESPONSE_HEAD.as_bytes()).expect("open");
+        watch
+            .write_all(WATCH_RESPONSE_HEAD.as_bytes())
+            .expect("open");
         send_list(watch, &endpoint_list(2, true, entries));
     });
 }
--- a/crates/edge-node/tests/edge/endpoints.rs
+++ b/crates/edge-node/tests/edge/endpoints.rs
@@ -14,7 +14,11 @@
 
 impl<'a> RequestSequence<'a> {
     fn new(node: &EdgeNode, servers: &'a FakeServers) -> RequestSequence<'a> {
-        RequestSequence { servers, client: node.client(), sent: 0 }
+        RequestSequence {
+            servers,
+            client: node.client(),
+            sent: 0,
+        }
     }
 
     /// Sends a request, which has to succeed; returns the name of the app server that received it.
@@ -39,7 +43,10 @@
 /// The next watch, which has to ask for a snapshot: it names no list from which to continue.
 fn next_snapshot_watch(discovery: &FakeDiscovery) -> TcpStream {
     let (request_line, watch) = discovery.next_watch();
-    assert!(request_line.contains("watch=1") && !request_line.contains("from"), "{request_line}");
+    assert!(
+        request_line.contains("watch=1") && !request_line.contains("from"),
+        "{request_line}"
+    );
     watch
 }
 
@@ -60,7 +67,10 @@
     requests.wait_until_received_by("s-1");
     let mut watch = next_snapshot_watch(&discovery);
     // A change: one server drains, another is added.
-    let changed = [endpoint_entry("s-1", one, 1, "draining"), endpoint_entry("s-2", two, 2, "ready")];
+    let changed = [
+        endpoint_entry("s-1", one, 1, "draining"),
+        endpoint_entry("s-2", two, 2, "ready"),
+    ];
     send_list(&mut watch, &endpoint_list(2, false, &changed));
     requests.wait_until_received_by("s-2");
     // The last list stays in use after the break, and the next watch begins with a snapshot.
@@ -69,20 +79,31 @@
     let mut watch = next_snapshot_watch(&discovery);
     requests.wait_until_received_by("s-2");
     // An outdated change is ignored; a server that is missing from a snapshot is gone.
-    let outdated = [endpoint_entry("s-2", two, 2, "gone"), endpoint_entry("s-1", one, 1, "ready")];
+    let outdated = [
+        endpoint_entry("s-2", two, 2, "gone"),
+        endpoint_entry("s-1", one, 1, "ready"),
+    ];
     send_list(&mut watch, &endpoint_list(1, false, &outdated));
-    send_list(&mut watch, &endpoint_list(4, true, &[endpoint_entry("s-3", three, 3, "ready")]));
+    send_list(
+        &mut watch,
+        &endpoint_list(4, true, &[endpoint_entry("s-3", three, 3, "ready")]),
+    );
     requests.wait_until_received_by("s-3");
     // The server's address changes.
     let moved = servers.start("s-3 moved", &[RESPONDS_OK]);
-    send_list(&mut watch, &endpoint_list(5, false, &[endpoint_entry("s-3", moved, 3, "ready")]));
+    send_list(
+        &mut watch,
+        &endpoint_list(5, false, &[endpoint_entry("s-3", moved, 3, "ready")]),
+    );
     requests.wait_until_received_by("s-3 moved");
 }
 
 /// The edge node has to close a watch at once.
 fn assert_watch_closed(mut watch: TcpStream) {
     let mut rest = Vec::new();
-    watch.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+    watch
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     watch.read_to_end(&mut rest).expect("the old watch ends");
 }
 
@@ -106,8 +127,13 @@
     assert_watch_closed(old_watch);
     assert_eq!(requests.next_server(), "s-1");
     let two = servers.start("s-2", &[RESPONDS_OK]);
-    new_watch.write_all(WATCH_RESPONSE_HEAD.as_bytes()).expect("open");
-    send_list(&mut new_watch, &endpoint_list(1, true, &[endpoint_entry("s-2", two, 2, "ready")]));
+    new_watch
+        .write_all(WATCH_RESPONSE_HEAD.as_bytes())
+        .expect("open");
+    send_list(
+        &mut new_watch,
+        &endpoint_list(1, true, &[endpoint_entry("s-2", two, 2, "ready")]),
+    );
     while requests.next_server() != "s-2" {}
     node.terminate();
     // A reload during the shutdown is harmless.
--- a/crates/edge-node/tests/edge/forwarding.rs
+++ b/crates/edge-node/tests/edge/forwarding.rs
@@ -9,7 +9,12 @@
 fn requests_are_forwarded_unchanged_and_answered_over_pooled_connections() {
     let (servers, _discovery, node) = with_one("plain", &[RESPONDS_OK]);
     let mut client = node.client();
-    assert_eq!(client.exchange("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
+    assert_eq!(
+        client
+            .exchange("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
+            .status(),
+        200
+    );
     for (number, class) in ["read", "submit", "pay"].into_iter().enumerate() {
         let answer = client.exchange(&request_text(class, class, "20000m"));
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"ranks"[..]));
@@ -19,10 +24,16 @@
         assert_eq!(received.message.start, start);
         assert_eq!(received.message.header("x-request-id"), class);
         assert!(received.message.header("x-deadline").ends_with('m'));
-        assert_eq!(received.message.body, if class == "read" { &b""[..] } else { b"time" });
+        assert_eq!(
+            received.message.body,
+            if class == "read" { &b""[..] } else { b"time" }
+        );
         let key = if class == "submit" { "5c0f6e1a" } else { "" };
         assert_eq!(received.message.header("idempotency-key"), key);
-        assert_eq!(received.connection, 0, "request {number} opened a connection of its own");
+        assert_eq!(
+            received.connection, 0,
+            "request {number} opened a connection of its own"
+        );
         // A connection is not used again right after an answer.
         std::thread::sleep(Duration::from_millis(100));
     }
@@ -46,35 +57,69 @@
 fn malformed_answers_are_not_forwarded() {
     let cases = [
         ("noise", "\u{1}\u{2}noise\r\n\r\n"),
-        ("status", "HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nranks"),
-        ("length", "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nranks"),
-        ("lengths", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nranks"),
-        ("huge", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nranks"),
-        ("chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nranks"),
+        (
+            "status",
+            "HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nranks",
+        ),
+        (
+            "length",
+            "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nranks",
+        ),
+        (
+            "lengths",
+            "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nranks",
+        ),
+        (
+            "huge",
+            "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nranks",
+        ),
+        (
+            "chunk",
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nranks",
+        ),
         ("unframed", "HTTP/1.1 200 OK\r\n\r\nranks"),
-        ("switch", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: noise\r\n\r\n"),
+        (
+            "switch",
+            "HTTP/1.1 101 Switching Protocols\r\nUpgrade: noise\r\n\r\n",
+        ),
     ];
     for (tag, words) in cases {
-        let (servers, _discovery, node) = with_one(tag, &[ServerBehavior::Respond(words), RESPONDS_OK]);
+        let (servers, _discovery, node) =
+            with_one(tag, &[ServerBehavior::Respond(words), RESPONDS_OK]);
         let mut client = node.client();
-        assert_eq!(client.exchange(&request_text("a", "pay", "20000m")).status(), 502, "{tag}");
+        assert_eq!(
+            client
+                .exchange(&request_text("a", "pay", "20000m"))
+                .status(),
+            502,
+            "{tag}"
+        );
         assert!(is_closed_in_time(&servers.next_request()), "{tag}");
         let answer = client.exchange(&request_text("b", "pay", "20000m"));
-        assert_eq!((answer.status(), servers.next_request().connection), (200, 1), "{tag}");
+        assert_eq!(
+            (answer.status(), servers.next_request().connection),
+            (200, 1),
+            "{tag}"
+        );
     }
 }
 
 /// Large bodies are accepted in both directions while the memory budget allows.
 #[test]
 fn large_bodies_are_accepted_in_both_directions() {
-    let words = format!("HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n{}", "r".repeat(400_000));
-    let (servers, _discovery, node) =
-        with_one("large", &[ServerBehavior::Respond(Box::leak(words.into_boxed_str()))]);
+    let words = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n{}",
+        "r".repeat(400_000)
+    );
+    let (servers, _discovery, node) = with_one(
+        "large",
+        &[ServerBehavior::Respond(Box::leak(words.into_boxed_str()))],
+    );
     let mut client = node.client();
     let large = format!("Length: 300000\r\n\r\n{}", "t".repeat(300_000));
     for id in ["a", "b"] {
-        let answer =
-            client.exchange(&request_text(id, "pay", "20000m").replace("Length: 4\r\n\r\ntime", &large));
+        let answer = client
+            .exchange(&request_text(id, "pay", "20000m").replace("Length: 4\r\n\r\ntime", &large));
         assert_eq!((answer.status(), answer.body.len()), (200, 400_000));
         assert_eq!(servers.next_request().message.body.len(), 300_000);
     }
@@ -85,11 +130,22 @@
 fn an_idle_connection_that_the_server_closed_is_not_used_again() {
     let (servers, _discovery, node) = with_one("idle", &[RESPONDS_OK]);
     let mut client = node.client();
-    assert_eq!(client.exchange(&request_text("a", "pay", "20000m")).status(), 200);
+    assert_eq!(
+        client
+            .exchange(&request_text("a", "pay", "20000m"))
+            .status(),
+        200
+    );
     let received = servers.next_request();
-    received.stream.shutdown(Shutdown::Both).expect("it is open");
+    received
+        .stream
+        .shutdown(Shutdown::Both)
+        .expect("it is open");
     // The edge node closes its side as soon as it sees the close.
     assert!(is_closed_in_time(&received));
     let answer = client.exchange(&request_text("b", "pay", "20000m"));
-    assert_eq!((answer.status(), servers.next_request().connection), (200, 1));
+    assert_eq!(
+        (answer.status(), servers.next_request().connection),
+        (200, 1)
+    );
 }
--- a/crates/edge-node/tests/edge/invalid_requests.rs
+++ b/crates/edge-node/tests/edge/invalid_requests.rs
@@ -14,7 +14,11 @@
 
 impl InvalidRequest {
     const fn bad_request(original: &'static str, replacement: &'static str) -> InvalidRequest {
-        InvalidRequest { original, replacement, status: 400 }
+        InvalidRequest {
+            original,
+            replacement,
+            status: 400,
+        }
     }
 
     /// Sends the request on a connection of its own, which has to be closed after the answer.
@@ -65,7 +69,10 @@
 ];
 
 const INVALID_CONTENT_LENGTHS: &[InvalidRequest] = &[
-    InvalidRequest::bad_request("X-Tier: p", "X-Tier: p\r\nContent-Length: 4\r\nContent-Length: 5"),
+    InvalidRequest::bad_request(
+        "X-Tier: p",
+        "X-Tier: p\r\nContent-Length: 4\r\nContent-Length: 5",
+    ),
     InvalidRequest::bad_request("X-Tier: p", "X-Tier: p\r\nContent-Length: -4"),
     InvalidRequest::bad_request("X-Tier: p", "X-Tier: p\r\nContent-Length: 4"),
     InvalidRequest {
@@ -110,8 +117,8 @@
 }
 
 fn assert_too_large_body_is_answered_413(node: &EdgeNode) {
-    let large =
-        request_text("c", "pay", "20000m").replace("Length: 4\r\n\r\ntime", "Length: 60000000\r\n\r\n");
+    let large = request_text("c", "pay", "20000m")
+        .replace("Length: 4\r\n\r\ntime", "Length: 60000000\r\n\r\n");
     let mut client = node.client();
     client.send(&large);
     // The edge node may answer, and close, before it has read the whole body.
@@ -140,7 +147,10 @@
     let (half_head, half_body) = (&whole[..60], &whole[..whole.len() - 2]);
     for words in ["", half_head, half_body] {
         let mut client = node.client();
-        client.stream.set_read_timeout(Some(TEST_TIMEOUT / 3)).expect("a time-out");
+        client
+            .stream
+            .set_read_timeout(Some(TEST_TIMEOUT / 3))
+            .expect("a time-out");
         client.send(words);
         if let Some(answer) = client.read_response() {
             assert_eq!(answer.status(), 400);
--- a/crates/edge-node/tests/edge/rejections.rs
+++ b/crates/edge-node/tests/edge/rejections.rs
@@ -10,7 +10,12 @@
     let mut first = node.client();
     first.send(&request_text("same", "pay", "20000m"));
     let received = servers.next_request();
-    assert_eq!(node.client().exchange(&request_text("same", "pay", "20000m")).status(), 400);
+    assert_eq!(
+        node.client()
+            .exchange(&request_text("same", "pay", "20000m"))
+            .status(),
+        400
+    );
     drop(first);
     assert!(is_closed_in_time(&received));
     servers.assert_no_more_requests();
@@ -32,5 +37,8 @@
     assert_eq!(rejection.status(), 503);
     let retry_after: f64 = rejection.header("retry-after").parse().expect("seconds");
     assert!(retry_after > 0.0 && retry_after < 60.0, "{retry_after}");
-    assert!(begun.elapsed().as_secs() < 20, "a rejection does not wait for the deadline");
+    assert!(
+        begun.elapsed().as_secs() < 20,
+        "a rejection does not wait for the deadline"
+    );
 }
--- a/crates/edge-node/tests/edge/retries.rs
+++ b/crates/edge-node/tests/edge/retries.rs
@@ -7,7 +7,10 @@
 
 /// An edge node with two app servers in these cells. The first attempt meets one behavior, all others meet another.
 fn with_two(
-    tag: &str, cells: [u32; 2], first: ServerBehavior, others: ServerBehavior,
+    tag: &str,
+    cells: [u32; 2],
+    first: ServerBehavior,
+    others: ServerBehavior,
 ) -> (FakeServers, FakeDiscovery, EdgeNode) {
     let servers = FakeServers::new();
     let behaviors = SharedBehaviors::new(vec![first, others].into());
@@ -33,7 +36,13 @@
         ("reset-unsafe", reset.clone(), "pay", 502, 1),
         ("cut-safe", cut.clone(), "read", 200, 2),
         ("cut-unsafe", cut, "pay", 502, 1),
-        ("unframed-unsafe", ServerBehavior::RespondAndClose("HTTP/1.1 200 OK\r\n\r\nran"), "pay", 502, 1),
+        (
+            "unframed-unsafe",
+            ServerBehavior::RespondAndClose("HTTP/1.1 200 OK\r\n\r\nran"),
+            "pay",
+            502,
+            1,
+        ),
         ("error-safe", RESPONDS_ERROR, "read", 200, 2),
         ("error-unsafe", RESPONDS_ERROR, "pay", 502, 1),
         ("reset-keyed", reset, "submit", 200, 2),
@@ -52,9 +61,15 @@
 
 #[test]
 fn a_request_with_an_idempotency_key_is_retried_in_its_own_cell() {
-    let (servers, _discovery, node) =
-        with_two("cell", [1, 2], ServerBehavior::RespondAndClose(""), RESPONDS_OK);
-    let answer = node.client().exchange(&request_text("a", "submit", "20000m"));
+    let (servers, _discovery, node) = with_two(
+        "cell",
+        [1, 2],
+        ServerBehavior::RespondAndClose(""),
+        RESPONDS_OK,
+    );
+    let answer = node
+        .client()
+        .exchange(&request_text("a", "submit", "20000m"));
     let (first, second) = (servers.next_request(), servers.next_request());
     assert_eq!((answer.status(), first.server), (200, second.server));
     servers.assert_no_more_requests();
@@ -66,12 +81,20 @@
     let refusing = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
     let refusing = refusing.expect("an address");
     let accepting = servers.start("s-2", &[RESPONDS_OK]);
-    let entries = [endpoint_entry("s-1", refusing, 1, "ready"), endpoint_entry("s-2", accepting, 2, "ready")];
+    let entries = [
+        endpoint_entry("s-1", refusing, 1, "ready"),
+        endpoint_entry("s-2", accepting, 2, "ready"),
+    ];
     let discovery = FakeDiscovery::start(&entries);
     let node = EdgeNode::start("refused", discovery.address, &entries);
     let mut client = node.client();
     for number in 0..6 {
-        assert_eq!(client.exchange(&request_text(&format!("r{number}"), "pay", "20000m")).status(), 200);
+        assert_eq!(
+            client
+                .exchange(&request_text(&format!("r{number}"), "pay", "20000m"))
+                .status(),
+            200
+        );
     }
 }
 
@@ -80,18 +103,34 @@
     let (servers, _discovery, node) = with_one("silent", &[ServerBehavior::NeverRespond]);
     let begun = Instant::now();
     let answer = node.client().exchange(&request_text("a", "pay", "700m"));
-    assert_eq!(answer.status(), 502, "a non-idempotent request that may have been executed is not rejected");
-    assert!(begun.elapsed().as_millis() < 20_000, "the deadline is enforced");
-    assert!(is_closed_in_time(&servers.next_request()), "the attempt is given up");
+    assert_eq!(
+        answer.status(),
+        502,
+        "a non-idempotent request that may have been executed is not rejected"
+    );
+    assert!(
+        begun.elapsed().as_millis() < 20_000,
+        "the deadline is enforced"
+    );
+    assert!(
+        is_closed_in_time(&servers.next_request()),
+        "the attempt is given up"
+    );
     servers.assert_no_more_requests();
 }
 
 /// A stalled attempt is cancelled and its connection closed before the next attempt is written.
 #[test]
 fn two_attempts_of_a_request_are_never_in_flight_at_once() {
-    let (servers, _discovery, node) = with_two("stalled", [1, 1], ServerBehavior::NeverRespond, RESPONDS_OK);
+    let (servers, _discovery, node) =
+        with_two("stalled", [1, 1], ServerBehavior::NeverRespond, RESPONDS_OK);
     for (number, class) in ["read", "submit"].into_iter().enumerate() {
-        assert_eq!(node.client().exchange(&request_text(class, class, "20000m")).status(), 200);
+        assert_eq!(
+            node.client()
+                .exchange(&request_text(class, class, "20000m"))
+                .status(),
+            200
+        );
         servers.next_request();
         // Whether the first attempt had ended shows when the second arrives.
         if number == 0 {
--- a/crates/edge-node/tests/edge/shutdown.rs
+++ b/crates/edge-node/tests/edge/shutdown.rs
@@ -39,8 +39,9 @@
     std::thread::sleep(DRAINED_AFTER);
     node.resume();
     for (id, client) in &mut clients {
-        let answer =
-            client.read_response().map(|answer| (answer.status(), answer.header("connection").to_owned()));
+        let answer = client
+            .read_response()
+            .map(|answer| (answer.status(), answer.header("connection").to_owned()));
         assert_eq!(answer, Some((200, "close".to_owned())), "{id}");
         client.assert_closed();
     }
@@ -52,7 +53,12 @@
 #[test]
 fn more_clients_than_descriptors_are_answered_while_connections_are_closed() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry("s-1", servers.start("s-1", &[RESPONDS_OK]), 1, "ready")];
+    let hosts = [endpoint_entry(
+        "s-1",
+        servers.start("s-1", &[RESPONDS_OK]),
+        1,
+        "ready",
+    )];
     let discovery = FakeDiscovery::start(&hosts);
     let mut node = EdgeNode::start_with_descriptor_limit("s-many", discovery.address, &hosts, 64);
     start_shutdown(&node);
@@ -64,7 +70,11 @@
     std::thread::sleep(DRAINED_AFTER);
     node.resume();
     for (number, client) in clients.iter_mut().enumerate() {
-        assert_eq!(client.read_response().map(|answer| answer.status()), Some(200), "{number}");
+        assert_eq!(
+            client.read_response().map(|answer| answer.status()),
+            Some(200),
+            "{number}"
+        );
     }
     assert!(node.wait().success());
     assert_eq!(servers.unseen_requests().len(), clients.len());
@@ -74,7 +84,8 @@
 /// answered, and none behind it is forwarded.
 #[test]
 fn nothing_is_forwarded_behind_the_last_answer_of_a_connection() {
-    let (servers, _discovery, mut node) = with_one("s-behind", &[ServerBehavior::NeverRespond, RESPONDS_OK]);
+    let (servers, _discovery, mut node) =
+        with_one("s-behind", &[ServerBehavior::NeverRespond, RESPONDS_OK]);
     let mut client = node.client();
     client.send(&request_text("a", "pay", "20000m"));
     let mut got = servers.next_request();
@@ -86,7 +97,10 @@
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
         .expect("the attempt is still in flight");
     let answer = client.read_response().expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, "close")
+    );
     // No answer to the requests behind it: the close says that they were not read.
     client.assert_closed();
     assert!(node.wait().success());
@@ -108,16 +122,28 @@
     start_shutdown(&node);
     std::thread::sleep(FIRST_PART_AFTER);
     for (cut, client) in &mut clients {
-        client
-            .send(&words.replace("Id: a", &format!("Id: {}", char::from(b'a' + (*cut % 26) as u8)))[..*cut]);
+        client.send(
+            &words.replace(
+                "Id: a",
+                &format!("Id: {}", char::from(b'a' + (*cut % 26) as u8)),
+            )[..*cut],
+        );
     }
     std::thread::sleep(REST_AFTER);
     for (cut, client) in &mut clients {
-        client
-            .send(&words.replace("Id: a", &format!("Id: {}", char::from(b'a' + (*cut % 26) as u8)))[*cut..]);
+        client.send(
+            &words.replace(
+                "Id: a",
+                &format!("Id: {}", char::from(b'a' + (*cut % 26) as u8)),
+            )[*cut..],
+        );
     }
     for (cut, client) in &mut clients {
-        assert_eq!(client.read_response().map(|answer| answer.status()), Some(200), "cut at {cut}");
+        assert_eq!(
+            client.read_response().map(|answer| answer.status()),
+            Some(200),
+            "cut at {cut}"
+        );
     }
     assert!(node.wait().success());
     assert_eq!(servers.unseen_requests().len(), cuts.len());
@@ -135,13 +161,17 @@
     got.stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
         .expect("the attempt is still in flight");
-    assert_eq!(client.read_response().map(|answer| answer.status()), Some(200));
+    assert_eq!(
+        client.read_response().map(|answer| answer.status()),
+        Some(200)
+    );
     assert!(node.wait().success());
 }
 
 #[test]
 fn sigterm_completes_the_requests_that_were_accepted() {
-    let (servers, _discovery, mut node) = with_one("term", &[ServerBehavior::NeverRespond, RESPONDS_OK]);
+    let (servers, _discovery, mut node) =
+        with_one("term", &[ServerBehavior::NeverRespond, RESPONDS_OK]);
     let (mut waiting, mut idle) = (node.client(), node.client());
     assert_eq!(idle.exchange(READY).status(), 200);
     waiting.send(&request_text("a", "read", "20000m"));
@@ -156,13 +186,21 @@
     };
     assert_eq!((late.status(), late.header("connection")), (503, "close"));
     let answer = idle.exchange(&request_text("b", "read", "20000m"));
-    assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, "close")
+    );
     idle.assert_closed();
     let mut stream = received.stream;
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
         .expect("the attempt is still in flight");
-    let answer = waiting.read_response().expect("an accepted request is answered");
-    assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+    let answer = waiting
+        .read_response()
+        .expect("an accepted request is answered");
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, "close")
+    );
     assert!(node.wait().success());
 }
--- a/crates/edge-node/tests/edge/start.rs
+++ b/crates/edge-node/tests/edge/start.rs
@@ -12,7 +12,9 @@
 const PROCESSES: usize = 4;
 
 /// A discovery agent that handles each connection in this way, on a thread of its own.
-fn discovery(does: impl Fn(&mut std::net::TcpStream) + Clone + Send + 'static) -> std::net::SocketAddr {
+fn discovery(
+    does: impl Fn(&mut std::net::TcpStream) + Clone + Send + 'static,
+) -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -27,17 +29,37 @@
 /// All processes have to be ready within the limit. The drain grace is so long that a fraction of it would exceed it.
 fn assert_ready_in_time(tag: &str, discovery: std::net::SocketAddr) {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry("s-1", servers.start("s-1", &[RESPONDS_OK]), 1, "ready")];
-    let long = |config: String| config.replace(r#""drainGraceUs":20000000"#, r#""drainGraceUs":600000000"#);
+    let hosts = [endpoint_entry(
+        "s-1",
+        servers.start("s-1", &[RESPONDS_OK]),
+        1,
+        "ready",
+    )];
+    let long = |config: String| {
+        config.replace(r#""drainGraceUs":20000000"#, r#""drainGraceUs":600000000"#)
+    };
     let begun = Instant::now();
     let start = |number| EdgeNode::start_with(&format!("{tag}-{number}"), discovery, &hosts, long);
     let nodes: Vec<_> = (0..PROCESSES).map(start).collect();
     for node in &nodes {
         let mut client = node.client();
-        client.stream.set_read_timeout(Some(READY_WITHIN)).expect("a time-out");
-        assert_eq!(client.exchange("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200, "{tag}");
+        client
+            .stream
+            .set_read_timeout(Some(READY_WITHIN))
+            .expect("a time-out");
+        assert_eq!(
+            client
+                .exchange("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
+                .status(),
+            200,
+            "{tag}"
+        );
     }
-    assert!(begun.elapsed() < READY_WITHIN, "{tag}: {:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < READY_WITHIN,
+        "{tag}: {:?}",
+        begun.elapsed()
+    );
 }
 
 #[test]
@@ -79,24 +101,41 @@
 #[test]
 fn a_process_waits_for_addresses_in_use() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry("s-1", servers.start("s-1", &[RESPONDS_OK]), 1, "ready")];
+    let hosts = [endpoint_entry(
+        "s-1",
+        servers.start("s-1", &[RESPONDS_OK]),
+        1,
+        "ready",
+    )];
     let discovery = FakeDiscovery::start(&hosts);
     let mut before = EdgeNode::start("s-before", discovery.address, &hosts);
     let (listen, datagrams) = (before.address.to_string(), before.datagrams.to_string());
     let taken = |config: String| {
-        let own = config.split(r#""peer_listen":""#).nth(1).and_then(|rest| rest.split('"').next());
+        let own = config
+            .split(r#""peer_listen":""#)
+            .nth(1)
+            .and_then(|rest| rest.split('"').next());
         let own = own.expect("an address").to_owned();
-        config.replace(&own, &datagrams).replace("127.0.0.1:0", &listen)
+        config
+            .replace(&own, &datagrams)
+            .replace("127.0.0.1:0", &listen)
     };
     std::thread::scope(|scope| {
-        let after = scope.spawn(|| EdgeNode::start_with("s-after", discovery.address, &hosts, taken));
+        let after =
+            scope.spawn(|| EdgeNode::start_with("s-after", discovery.address, &hosts, taken));
         // By now the new process has found the addresses in use, or it binds them only after the old one has ended.
         std::thread::sleep(Duration::from_millis(300));
         before.terminate();
         assert!(before.wait().success());
         let after = after.join().expect("it listens");
         assert_eq!(after.address.to_string(), listen);
-        assert_eq!(after.client().exchange(&request_text("a", "pay", "20000m")).status(), 200);
+        assert_eq!(
+            after
+                .client()
+                .exchange(&request_text("a", "pay", "20000m"))
+                .status(),
+            200
+        );
     });
 }
 
@@ -106,16 +145,26 @@
     let holds = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = holds.local_addr().expect("an address");
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry("s-1", servers.start("s-1", &[RESPONDS_OK]), 1, "ready")];
+    let hosts = [endpoint_entry(
+        "s-1",
+        servers.start("s-1", &[RESPONDS_OK]),
+        1,
+        "ready",
+    )];
     let discovery = FakeDiscovery::start(&hosts);
     let free = EdgeNode::start("s-free", discovery.address, &hosts);
-    let config = free.config_text().replace("127.0.0.1:0", &address.to_string());
+    let config = free
+        .config_text()
+        .replace("127.0.0.1:0", &address.to_string());
     drop(free);
     let (child, path) = spawn_edge_node("s-held", &config);
     let output = child.wait_with_output().expect("it ends");
     let _ = std::fs::remove_file(path);
     let error = String::from_utf8_lossy(&output.stderr);
-    assert!(!output.status.success() && error.lines().count() == 1, "{error}");
+    assert!(
+        !output.status.success() && error.lines().count() == 1,
+        "{error}"
+    );
     assert!(error.contains(&format!("listen {address}")), "{error}");
 }
 
@@ -126,6 +175,9 @@
         let output = child.wait_with_output().expect("it ends");
         let _ = std::fs::remove_file(path);
         let error = String::from_utf8_lossy(&output.stderr);
-        assert!(!output.status.success() && error.lines().count() == 1, "{config}: {error}");
+        assert!(
+            !output.status.success() && error.lines().count() == 1,
+            "{config}: {error}"
+        );
     }
 }
