--- a/crates/gateway-core/src/state/token_bucket.rs
+++ b/crates/gateway-core/src/state/token_bucket.rs
@@ -91,15 +91,29 @@
 
     /// An owner's part of the bucket, full, with nothing under its part of the hard limit.
     pub(crate) fn into_part(
-        self, config: BucketConfig<'_>, share: f64, hard_limit_share: f64, grant_lifetime: Micros,
+        self,
+        config: BucketConfig<'_>,
+        share: f64,
+        hard_limit_share: f64,
+        grant_lifetime: Micros,
     ) -> Self {
         let capacity = (config.plan.burst * share).max(config.max_request_units);
-        TokenBucket { share, hard_limit_share, grant_lifetime, capacity, tokens: capacity, ..self }
+        TokenBucket {
+            share,
+            hard_limit_share,
+            grant_lifetime,
+            capacity,
+            tokens: capacity,
+            ..self
+        }
     }
 
     /// The gateways that the customer's requests come through.
     pub(crate) fn gateways(&self) -> GatewaySet {
-        GatewaySet { first: self.first_gateway, count: self.gateway_count as u32 }
+        GatewaySet {
+            first: self.first_gateway,
+            count: self.gateway_count as u32,
+        }
     }
 
     /// Whether it stands for this plan and these gateways.
@@ -188,16 +202,26 @@
 
     /// Units a second that the peers were heard to use.
     pub(crate) fn peer_rate(&mut self, now: Micros) -> f64 {
-        let units: f64 = self.peers.values_mut().fold(0.0, |sum, peer| sum + peer.recent_units(now));
+        let units: f64 = self
+            .peers
+            .values_mut()
+            .fold(0.0, |sum, peer| sum + peer.recent_units(now));
         units / (USAGE_WINDOW as f64 / MICROS_PER_SECOND)
     }
 
     /// µs until it is likely to hold `units`. What a request consumes is off the tokens already, and comes
     /// back if it was never sent.
     pub(crate) fn time_until_available(&self, plan: &Plan, units: f64) -> f64 {
-        let quota = if plan.rate > 0.0 { refill_time(-self.tokens, plan.rate * self.share) } else { 0.0 };
+        let quota = if plan.rate > 0.0 {
+            refill_time(-self.tokens, plan.rate * self.share)
+        } else {
+            0.0
+        };
         let hard_limit = plan.hard_limit.map_or(0.0, |limit| {
-            refill_time(units - self.hard_limit_tokens, limit.rate * self.hard_limit_share)
+            refill_time(
+                units - self.hard_limit_tokens,
+                limit.rate * self.hard_limit_share,
+            )
         });
         quota.max(hard_limit)
     }
@@ -218,13 +242,19 @@
 
     /// Whether dropping it neither gains nor loses anything: it has stood unused, and is full. `silent`
     /// counts the silent ones of the customer's gateways.
-    pub(crate) fn is_idle(&mut self, now: Micros, plan: &Plan, silent: impl Fn(GatewaySet) -> f64) -> bool {
+    pub(crate) fn is_idle(
+        &mut self,
+        now: Micros,
+        plan: &Plan,
+        silent: impl Fn(GatewaySet) -> f64,
+    ) -> bool {
         if self.in_flight > 0 || now.saturating_sub(self.used_at) < MIN_IDLE {
             return false;
         }
         self.refill(now, plan, silent(self.gateways()));
         self.permits.drop_expired(now);
-        let limit_full = |limit: &HardLimit| self.hard_limit_tokens >= self.max_hard_limit_tokens(limit);
+        let limit_full =
+            |limit: &HardLimit| self.hard_limit_tokens >= self.max_hard_limit_tokens(limit);
         let hard_limit_full = plan.hard_limit.as_ref().is_none_or(limit_full);
         let tokens_full = plan.rate <= 0.0 || self.tokens >= self.max_tokens(plan);
         hard_limit_full && tokens_full && self.permits.in_use() == 0 && self.peer_rate(now) <= 0.0
--- a/crates/gateway-core/src/statistics.rs
+++ b/crates/gateway-core/src/statistics.rs
@@ -41,6 +41,10 @@
 
 /// The median of ascending values; of two in the middle the lesser or the greater.
 pub(crate) fn median(ascending: &[f64], lesser: bool) -> Option<f64> {
-    let count = if lesser { ascending.len().saturating_sub(1) } else { ascending.len() };
+    let count = if lesser {
+        ascending.len().saturating_sub(1)
+    } else {
+        ascending.len()
+    };
     ascending.get(count / 2).copied()
 }
--- a/crates/gateway-core/tests/common/fleet.rs
+++ b/crates/gateway-core/tests/common/fleet.rs
@@ -31,7 +31,9 @@
 
 impl Fleet {
     pub(crate) fn new(
-        gateways: u32, servers: u64, change: impl Fn(SettingsBuilder) -> SettingsBuilder,
+        gateways: u32,
+        servers: u64,
+        change: impl Fn(SettingsBuilder) -> SettingsBuilder,
     ) -> Self {
         let gateway = |number| {
             let settings = change(SettingsBuilder::new(number, gateways)).build();
@@ -71,8 +73,10 @@
 
     fn deliver_messages(&mut self) {
         let now = self.now();
-        let (due, later): (Vec<_>, Vec<_>) =
-            self.network.drain(..).partition(|delivery| delivery.arrives_at <= now);
+        let (due, later): (Vec<_>, Vec<_>) = self
+            .network
+            .drain(..)
+            .partition(|delivery| delivery.arrives_at <= now);
         self.network = later;
         for delivery in due {
             *self.messages_received.entry(delivery.to).or_default() += 1;
@@ -91,9 +95,16 @@
             self.messages_sent += 1;
             for copies_of_twenty in [DELIVERED_OF_TWENTY, REPEATED_OF_TWENTY] {
                 if self.random.u8(0..20) < copies_of_twenty {
-                    let event = Event::PeerMessage { from: GatewayId(from as u32), bytes: bytes.clone() };
+                    let event = Event::PeerMessage {
+                        from: GatewayId(from as u32),
+                        bytes: bytes.clone(),
+                    };
                     let arrives_at = gateway.now + self.random.u64(5..40) * MS;
-                    self.network.push(Delivery { arrives_at, to: to.0 as usize, event });
+                    self.network.push(Delivery {
+                        arrives_at,
+                        to: to.0 as usize,
+                        event,
+                    });
                 }
             }
         }
@@ -102,18 +113,27 @@
 
     /// Ends with success what is in flight anywhere, and returns how many attempts that were.
     pub(crate) fn complete_all(&mut self) -> usize {
-        self.gateways.iter_mut().map(GatewayHarness::complete_all).sum()
+        self.gateways
+            .iter_mut()
+            .map(GatewayHarness::complete_all)
+            .sum()
     }
 
     /// Sends requests of one customer through random gateways at a steady rate, and returns how many attempts were
     /// sent and completed.
     pub(crate) fn drive(&mut self, plan: PlanId, rate: u64, seconds: u64) -> usize {
-        self.drive_through(plan, rate, seconds, |random, gateways| random.usize(0..gateways))
+        self.drive_through(plan, rate, seconds, |random, gateways| {
+            random.usize(0..gateways)
+        })
     }
 
     /// The same through gateways that `choose` picks, of so many.
     pub(crate) fn drive_through(
-        &mut self, plan: PlanId, rate: u64, seconds: u64, choose: impl Fn(&mut fastrand::Rng, usize) -> usize,
+        &mut self,
+        plan: PlanId,
+        rate: u64,
+        seconds: u64,
+        choose: impl Fn(&mut fastrand::Rng, usize) -> usize,
     ) -> usize {
         let mut sent = 0;
         for _ in 0..seconds * rate {
@@ -137,7 +157,12 @@
     pub(crate) fn restart_all(&mut self, seed: u64, servers: u64) {
         let count = self.gateways.len();
         for index in 0..count {
-            self.restart(index, seed, super::settings(index as u32, count as u32), servers);
+            self.restart(
+                index,
+                seed,
+                super::settings(index as u32, count as u32),
+                servers,
+            );
         }
     }
 }
--- a/crates/gateway-core/tests/common/harness.rs
+++ b/crates/gateway-core/tests/common/harness.rs
@@ -46,7 +46,10 @@
         GatewayHarness {
             now,
             gateway,
-            customer_gateways: GatewaySet { first: GatewayId(0), count: settings.gateway_count },
+            customer_gateways: GatewaySet {
+                first: GatewayId(0),
+                count: settings.gateway_count,
+            },
             settings,
             timers: Vec::new(),
             endpoints: BTreeMap::new(),
@@ -60,15 +63,24 @@
 
     pub(crate) fn with_servers(seed: u64, settings: Settings, now: Micros, servers: u64) -> Self {
         let mut harness = GatewayHarness::new(seed, settings, now);
-        harness.update_endpoints(EndpointUpdate::Snapshot, (0..servers).map(ready_endpoint).collect());
+        harness.update_endpoints(
+            EndpointUpdate::Snapshot,
+            (0..servers).map(ready_endpoint).collect(),
+        );
         harness
     }
 
     /// The only gateway of its customers, so that it decides on their quotas without another one.
     pub(crate) fn sole_gateway(seed: u64, settings: Settings, now: Micros, servers: u64) -> Self {
-        let customer_gateways = GatewaySet { first: settings.gateway_id, count: 1 };
+        let customer_gateways = GatewaySet {
+            first: settings.gateway_id,
+            count: 1,
+        };
         let harness = GatewayHarness::with_servers(seed, settings, now, servers);
-        GatewayHarness { customer_gateways, ..harness }
+        GatewayHarness {
+            customer_gateways,
+            ..harness
+        }
     }
 
     pub(crate) fn update_endpoints(&mut self, kind: EndpointUpdate, endpoints: Vec<Endpoint>) {
@@ -83,11 +95,16 @@
 
     /// A request of one unit arrives.
     pub(crate) fn request(
-        &mut self, class: ClassId, plan: PlanId, customer: CustomerId, client_timeout: Micros,
+        &mut self,
+        class: ClassId,
+        plan: PlanId,
+        customer: CustomerId,
+        client_timeout: Micros,
     ) -> RequestId {
         self.last_request += 1;
         let id = RequestId(format!("r{}", self.last_request).into());
-        self.requests.received(id.clone(), class, self.now + client_timeout);
+        self.requests
+            .received(id.clone(), class, self.now + client_timeout);
         self.handle(Event::RequestReceived {
             id: id.clone(),
             class,
@@ -102,7 +119,11 @@
 
     /// A request arrives, and succeeds if it is sent at once; returns whether it was.
     pub(crate) fn request_and_complete(
-        &mut self, class: ClassId, plan: PlanId, customer: CustomerId, client_timeout: Micros,
+        &mut self,
+        class: ClassId,
+        plan: PlanId,
+        customer: CustomerId,
+        client_timeout: Micros,
     ) -> bool {
         let id = self.request(class, plan, customer, client_timeout);
         let sent = self.server_of(&id).is_some();
@@ -129,18 +150,33 @@
 
     /// The server at which a request is in flight.
     pub(crate) fn server_of(&self, id: &RequestId) -> Option<ServerId> {
-        let attempt = self.in_flight.iter().find(|attempt| attempt.request == *id)?;
+        let attempt = self
+            .in_flight
+            .iter()
+            .find(|attempt| attempt.request == *id)?;
         Some(attempt.server)
     }
 
     /// Ends the attempt of a request that is in flight.
     pub(crate) fn finish(&mut self, id: &RequestId, outcome: AttemptOutcome) -> Vec<Action> {
-        let index = self.in_flight.iter().position(|attempt| attempt.request == *id);
-        let InFlightAttempt { request, attempt, server } =
-            self.in_flight.remove(index.expect("an attempt in flight"));
+        let index = self
+            .in_flight
+            .iter()
+            .position(|attempt| attempt.request == *id);
+        let InFlightAttempt {
+            request,
+            attempt,
+            server,
+        } = self.in_flight.remove(index.expect("an attempt in flight"));
         let closed = self.requests.attempt_finished(&request, outcome);
         let reported_load = self.reported_loads.get(&server).copied();
-        self.handle(Event::AttemptFinished { id: request, attempt, outcome, closed, reported_load })
+        self.handle(Event::AttemptFinished {
+            id: request,
+            attempt,
+            outcome,
+            closed,
+            reported_load,
+        })
     }
 
     /// Ends with success what is in flight now, and returns how many attempts that were.
@@ -183,10 +219,15 @@
     /// Fires the timers that are due now.
     pub(crate) fn fire_due_timers(&mut self) -> Vec<Action> {
         let now = self.now;
-        let (due, later) = self.timers.drain(..).partition(|timer| timer.fires_at <= now);
+        let (due, later) = self
+            .timers
+            .drain(..)
+            .partition(|timer| timer.fires_at <= now);
         self.timers = later;
         let due: Vec<PendingTimer> = due;
-        due.into_iter().flat_map(|timer| self.handle(Event::TimerFired { token: timer.token })).collect()
+        due.into_iter()
+            .flat_map(|timer| self.handle(Event::TimerFired { token: timer.token }))
+            .collect()
     }
 
     fn carry_out(&mut self, action: &Action) {
@@ -194,12 +235,19 @@
             Action::SendAttempt { id, server, .. } => {
                 let endpoint = &self.endpoints[server];
                 let attempt = self.requests.attempt_sent(id, endpoint, &self.settings);
-                self.in_flight.push(InFlightAttempt { request: id.clone(), attempt, server: *server });
+                self.in_flight.push(InFlightAttempt {
+                    request: id.clone(),
+                    attempt,
+                    server: *server,
+                });
             }
             Action::Reject { id, .. } => self.requests.rejected(id, &self.settings),
             Action::Fail { id } => self.requests.failed(id),
             Action::SetTimer { after, token } => {
-                self.timers.push(PendingTimer { fires_at: self.now + after, token: *token });
+                self.timers.push(PendingTimer {
+                    fires_at: self.now + after,
+                    token: *token,
+                });
             }
             Action::Broadcast { bytes } | Action::SendToPeer { bytes, .. } => {
                 assert!(bytes.len() <= 256, "message too long");
@@ -216,13 +264,18 @@
     /// How many requests have been rejected or have failed.
     pub(crate) fn refused_count(&self) -> usize {
         let refusals = self.actions.iter();
-        refusals.filter(|action| matches!(action, Action::Reject { .. } | Action::Fail { .. })).count()
+        refusals
+            .filter(|action| matches!(action, Action::Reject { .. } | Action::Fail { .. }))
+            .count()
     }
 }
 
 /// How many of these actions send an attempt.
 pub(crate) fn count_sent(actions: &[Action]) -> usize {
-    actions.iter().filter(|action| matches!(action, Action::SendAttempt { .. })).count()
+    actions
+        .iter()
+        .filter(|action| matches!(action, Action::SendAttempt { .. }))
+        .count()
 }
 
 /// A ready server; even and odd numbers are zones and cells apart.
--- a/crates/gateway-core/tests/common/request_log.rs
+++ b/crates/gateway-core/tests/common/request_log.rs
@@ -39,22 +39,42 @@
 
 impl RequestLog {
     pub(crate) fn received(&mut self, id: RequestId, class: ClassId, deadline: Micros) {
-        self.0.insert(id, RequestRecord { class, deadline, open: true, ..RequestRecord::default() });
+        self.0.insert(
+            id,
+            RequestRecord {
+                class,
+                deadline,
+                open: true,
+                ..RequestRecord::default()
+            },
+        );
     }
 
     fn record(&mut self, id: &RequestId) -> &mut RequestRecord {
-        self.0.get_mut(id).expect("a request that the gateway was given")
+        self.0
+            .get_mut(id)
+            .expect("a request that the gateway was given")
     }
 
     /// Checks that an attempt may be sent, and returns its number.
     pub(crate) fn attempt_sent(
-        &mut self, id: &RequestId, endpoint: &Endpoint, settings: &Settings,
+        &mut self,
+        id: &RequestId,
+        endpoint: &Endpoint,
+        settings: &Settings,
     ) -> AttemptNumber {
         let record = self.record(id);
         assert!(record.open, "rule 1: sent after its final answer");
         assert!(!record.in_flight, "rule 2: two attempts in flight at once");
-        assert!(record.attempts < settings.permissions.max_attempts, "more attempts than permitted");
-        assert_eq!(endpoint.state, EndpointState::Ready, "rule 3: sent to a server that is not ready");
+        assert!(
+            record.attempts < settings.permissions.max_attempts,
+            "more attempts than permitted"
+        );
+        assert_eq!(
+            endpoint.state,
+            EndpointState::Ready,
+            "rule 3: sent to a server that is not ready"
+        );
         assert_may_execute(record, endpoint, settings);
         let number = AttemptNumber(record.attempts);
         record.attempts += 1;
@@ -93,7 +113,11 @@
         let record = self.record(id);
         let may_repeat_anywhere = matches!(
             record.idempotency(settings),
-            Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::AllServers, .. }
+            Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: DeduplicationScope::AllServers,
+                    ..
+                }
         );
         assert!(
             !record.possibly_executed() || may_repeat_anywhere,
@@ -105,7 +129,10 @@
     pub(crate) fn assert_answered_in_time(&self, now: Micros) {
         for (id, record) in &self.0 {
             let in_time = now <= record.deadline + TIMER_TOLERANCE;
-            assert!(!record.open || in_time, "rule 1: {id:?} had no final answer in time");
+            assert!(
+                !record.open || in_time,
+                "rule 1: {id:?} had no final answer in time"
+            );
         }
     }
 }
@@ -130,5 +157,8 @@
 
 /// Stated here once more, so that a fault in the library does not hide itself.
 fn possibly_executed(outcome: AttemptOutcome) -> bool {
-    !matches!(outcome, AttemptOutcome::Overloaded | AttemptOutcome::Unreachable | AttemptOutcome::NotSent)
+    !matches!(
+        outcome,
+        AttemptOutcome::Overloaded | AttemptOutcome::Unreachable | AttemptOutcome::NotSent
+    )
 }
--- a/crates/gateway-core/tests/common/settings.rs
+++ b/crates/gateway-core/tests/common/settings.rs
@@ -102,7 +102,10 @@
         priority_weight,
         idempotency,
     };
-    let keyed = |scope| Idempotency::Keyed { scope, window: 500 * MS };
+    let keyed = |scope| Idempotency::Keyed {
+        scope,
+        window: 500 * MS,
+    };
     vec![
         class(1.0, Idempotency::Idempotent),
         class(2.0, keyed(DeduplicationScope::Cell)),
@@ -121,11 +124,27 @@
         over_quota_cost: 0.5,
         hard_limit: None,
     };
-    let hard_limit = Some(HardLimit { rate: 8.0, capacity: 12.0 });
+    let hard_limit = Some(HardLimit {
+        rate: 8.0,
+        capacity: 12.0,
+    });
     vec![
         plan.clone(),
-        Plan { rate: 0.0, ..plan.clone() },
-        Plan { rate: 1000.0, burst: 1000.0, hard_limit, ..plan.clone() },
-        Plan { rate: 1000.0, burst: 1000.0, max_concurrent: Some(2), ..plan },
+        Plan {
+            rate: 0.0,
+            ..plan.clone()
+        },
+        Plan {
+            rate: 1000.0,
+            burst: 1000.0,
+            hard_limit,
+            ..plan.clone()
+        },
+        Plan {
+            rate: 1000.0,
+            burst: 1000.0,
+            max_concurrent: Some(2),
+            ..plan
+        },
     ]
 }
--- a/crates/gateway-core/tests/gateway_pair/mod.rs
+++ b/crates/gateway-core/tests/gateway_pair/mod.rs
@@ -48,7 +48,12 @@
 }
 
 fn class(priority_weight: f64, latency_objective: Micros) -> Class {
-    Class { latency_objective, late_weight: 0.2, priority_weight, idempotency: Idempotency::Idempotent }
+    Class {
+        latency_objective,
+        late_weight: 0.2,
+        priority_weight,
+        idempotency: Idempotency::Idempotent,
+    }
 }
 
 fn plan_without_quota() -> Plan {
@@ -83,12 +88,18 @@
 /// A whole list of so many servers.
 pub(crate) fn snapshot(servers: u64) -> Event {
     let endpoints = (0..servers).map(endpoint).collect();
-    Event::EndpointsUpdated { kind: EndpointUpdate::Snapshot, endpoints }
+    Event::EndpointsUpdated {
+        kind: EndpointUpdate::Snapshot,
+        endpoints,
+    }
 }
 
 /// A change of some entries of the list.
 pub(crate) fn delta(endpoints: Vec<Endpoint>) -> Event {
-    Event::EndpointsUpdated { kind: EndpointUpdate::Delta, endpoints }
+    Event::EndpointsUpdated {
+        kind: EndpointUpdate::Delta,
+        endpoints,
+    }
 }
 
 /// An event for one of the gateways.
@@ -133,7 +144,13 @@
             gateways.push(Gateway::new(9 + u64::from(number), settings(number), MS)?);
         }
         let scheduled = BTreeMap::new();
-        let mut pair = GatewayPair { now: MS, gateways, scheduled, last_sequence: 0, sent: Vec::new() };
+        let mut pair = GatewayPair {
+            now: MS,
+            gateways,
+            scheduled,
+            last_sequence: 0,
+            sent: Vec::new(),
+        };
         for gateway in 0..MEMBERS {
             pair.handle(gateway, snapshot(servers));
         }
@@ -142,7 +159,10 @@
 
     /// Entries of the list of servers that both gateways have visited so far.
     pub(crate) fn entries_visited(&self) -> u64 {
-        self.gateways.iter().map(|gateway| gateway.entries_visited()).sum()
+        self.gateways
+            .iter()
+            .map(|gateway| gateway.entries_visited())
+            .sum()
     }
 
     /// Gives a gateway an event, and delivers the messages that follow from it.
@@ -168,8 +188,14 @@
                 self.schedule(after, gateway, Event::TimerFired { token });
             }
             Action::SendToPeer { to, bytes } if (to.0 as usize) < MEMBERS => {
-                let event = Event::PeerMessage { from: GatewayId(gateway as u32), bytes };
-                return Some(GatewayEvent { gateway: to.0 as usize, event });
+                let event = Event::PeerMessage {
+                    from: GatewayId(gateway as u32),
+                    bytes,
+                };
+                return Some(GatewayEvent {
+                    gateway: to.0 as usize,
+                    event,
+                });
             }
             _ => {}
         }
@@ -178,14 +204,21 @@
 
     fn schedule(&mut self, after: Micros, gateway: usize, event: Event) {
         self.last_sequence += 1;
-        let due = Due { at: self.now + after, sequence: self.last_sequence };
+        let due = Due {
+            at: self.now + after,
+            sequence: self.last_sequence,
+        };
         self.scheduled.insert(due, GatewayEvent { gateway, event });
     }
 
     /// One request, some time after the last one, and all events that are due until then.
     pub(crate) fn request(&mut self, number: u64) {
         self.now += REQUEST_INTERVAL;
-        while let Some(first) = self.scheduled.first_entry().filter(|first| first.key().at <= self.now) {
+        while let Some(first) = self
+            .scheduled
+            .first_entry()
+            .filter(|first| first.key().at <= self.now)
+        {
             let GatewayEvent { gateway, event } = first.remove();
             self.handle(gateway, event);
         }
@@ -195,7 +228,10 @@
             plan: PlanId(0),
             customer: CustomerId(number % CUSTOMERS),
             units: 1.0,
-            gateways: GatewaySet { first: GatewayId(0), count: MEMBERS as u32 },
+            gateways: GatewaySet {
+                first: GatewayId(0),
+                count: MEMBERS as u32,
+            },
             client_timeout: CLIENT_TIMEOUT,
         };
         self.handle(number as usize % MEMBERS, event);
--- a/crates/gateway-core/tests/policy/deadlines.rs
+++ b/crates/gateway-core/tests/policy/deadlines.rs
@@ -25,7 +25,11 @@
     for _ in 0..4 {
         assert_eq!(retry_after(0), None, "the burst is sent on");
     }
-    assert_eq!(retry_after(0), Some(80 * MS), "a whole unit is missing, but the objective would be over");
+    assert_eq!(
+        retry_after(0),
+        Some(80 * MS),
+        "a whole unit is missing, but the objective would be over"
+    );
     let soon = retry_after(950 * MS).expect("still short");
     assert!((49 * MS..51 * MS).contains(&soon), "{soon}");
     assert_eq!(retry_after(50 * MS), None, "it is covered then");
@@ -34,14 +38,22 @@
 /// A rejection has a `Retry-After` where the settings allow one, and none longer than they allow.
 #[test]
 fn retry_after_keeps_to_the_settings() {
-    for (longest, expected) in [(None, None), (Some(5 * MS), Some(5 * MS)), (Some(10 * S), Some(80 * MS))] {
+    for (longest, expected) in [
+        (None, None),
+        (Some(5 * MS), Some(5 * MS)),
+        (Some(10 * S), Some(80 * MS)),
+    ] {
         let settings = SettingsBuilder::new(0, 2).max_retry_after(longest).build();
         let mut gateway = GatewayHarness::with_servers(1, settings, S, 2);
         gateway.actions.clear();
         for _ in 0..20 {
             gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * S);
         }
-        assert_eq!(retry_afters(&gateway.actions).last(), Some(&expected), "at most {longest:?}");
+        assert_eq!(
+            retry_afters(&gateway.actions).last(),
+            Some(&expected),
+            "at most {longest:?}"
+        );
     }
 }
 
@@ -49,11 +61,14 @@
 #[test]
 fn what_is_not_sent_by_half_of_its_time_is_rejected() {
     let mut gateway = GatewayHarness::new(1, settings(0, 2), S);
-    for (class, timeout) in [(IDEMPOTENT, 2 * S), (NON_IDEMPOTENT, S), (KEYED_BY_CELL, 600 * MS)] {
+    for (class, timeout) in [
+        (IDEMPOTENT, 2 * S),
+        (NON_IDEMPOTENT, S),
+        (KEYED_BY_CELL, 600 * MS),
+    ] {
         let id = gateway.request(class, UNLIMITED, CUSTOMER, timeout);
         gateway.advance(timeout / 2);
-        let is_rejection =
-            |action: &Action| matches!(action, Action::Reject { id: of, retry_after: Some(_) } if *of == id);
+        let is_rejection = |action: &Action| matches!(action, Action::Reject { id: of, retry_after: Some(_) } if *of == id);
         assert!(gateway.actions.iter().any(is_rejection), "{class:?}");
     }
 }
@@ -63,7 +78,8 @@
     for timeout in [0, 1, 5 * MS, 19 * MS] {
         let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 0);
         let id = gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, timeout);
-        let is_rejection = |action: &Action| matches!(action, Action::Reject { id: of, .. } if *of == id);
+        let is_rejection =
+            |action: &Action| matches!(action, Action::Reject { id: of, .. } if *of == id);
         assert!(gateway.actions.iter().any(is_rejection), "{timeout} µs");
     }
 }
--- a/crates/gateway-core/tests/policy/gateway.rs
+++ b/crates/gateway-core/tests/policy/gateway.rs
@@ -11,7 +11,11 @@
             let class = ClassId((step % 4) as usize);
             gateway.request(class, UNLIMITED, CustomerId(step % 5), S);
             gateway.advance(10 * MS);
-            let outcome = if step % 3 == 0 { AttemptOutcome::ServerError } else { AttemptOutcome::Success };
+            let outcome = if step % 3 == 0 {
+                AttemptOutcome::ServerError
+            } else {
+                AttemptOutcome::Success
+            };
             let first = gateway.in_flight.first().cloned();
             if let Some(attempt) = first.filter(|_| step % 2 == 0) {
                 gateway.finish(&attempt.request, outcome);
@@ -30,11 +34,23 @@
         Gateway::new(1, settings, 0).err()
     };
     assert_eq!(error_of(|_| {}), None);
-    assert_eq!(error_of(|s| s.classes.clear()), Some(SettingsError::NoClasses));
+    assert_eq!(
+        error_of(|s| s.classes.clear()),
+        Some(SettingsError::NoClasses)
+    );
     assert_eq!(error_of(|s| s.plans.clear()), Some(SettingsError::NoPlans));
-    assert_eq!(error_of(|s| s.gateway_id = GatewayId(4)), Some(SettingsError::UnknownGateway));
-    assert_eq!(error_of(|s| s.plans[0].rate = -1.0), Some(SettingsError::InvalidNumber));
-    assert_eq!(error_of(|s| s.classes[0].priority_weight = f64::NAN), Some(SettingsError::InvalidNumber));
+    assert_eq!(
+        error_of(|s| s.gateway_id = GatewayId(4)),
+        Some(SettingsError::UnknownGateway)
+    );
+    assert_eq!(
+        error_of(|s| s.plans[0].rate = -1.0),
+        Some(SettingsError::InvalidNumber)
+    );
+    assert_eq!(
+        error_of(|s| s.classes[0].priority_weight = f64::NAN),
+        Some(SettingsError::InvalidNumber)
+    );
 }
 
 /// A long day: servers under ever new ids, customers that come once.
@@ -42,7 +58,10 @@
 fn servers_and_customers_that_are_gone_are_evicted() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
     for number in 0..300 {
-        let gone = Endpoint { state: EndpointState::Gone, ..ready_endpoint(number) };
+        let gone = Endpoint {
+            state: EndpointState::Gone,
+            ..ready_endpoint(number)
+        };
         let fresh = ready_endpoint(4 + number);
         gateway.update_endpoints(EndpointUpdate::Delta, vec![gone, fresh]);
         let plan = PlanId(number as usize % PLAN_COUNT);
@@ -119,22 +138,37 @@
     }
 
     fn change_some_endpoint(&mut self) {
-        let states = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone];
+        let states = [
+            EndpointState::Ready,
+            EndpointState::Draining,
+            EndpointState::Gone,
+        ];
         let state = states[self.random.usize(0..states.len())];
         let started_at = self.random.bool().then_some(self.gateway.now);
-        let endpoint = Endpoint { state, started_at, ..ready_endpoint(self.random.u64(0..8)) };
-        self.gateway.update_endpoints(EndpointUpdate::Delta, vec![endpoint]);
+        let endpoint = Endpoint {
+            state,
+            started_at,
+            ..ready_endpoint(self.random.u64(0..8))
+        };
+        self.gateway
+            .update_endpoints(EndpointUpdate::Delta, vec![endpoint]);
     }
 
     fn replace_endpoints(&mut self) {
         let servers = self.random.u64(0..8);
-        self.gateway.update_endpoints(EndpointUpdate::Snapshot, (0..servers).map(ready_endpoint).collect());
+        self.gateway.update_endpoints(
+            EndpointUpdate::Snapshot,
+            (0..servers).map(ready_endpoint).collect(),
+        );
     }
 
     fn receive_noise(&mut self) {
         let length = self.random.usize(0..300);
         let bytes = (0..length).map(|_| self.random.u8(0..3)).collect();
-        self.gateway.handle(Event::PeerMessage { from: GatewayId(1), bytes });
+        self.gateway.handle(Event::PeerMessage {
+            from: GatewayId(1),
+            bytes,
+        });
     }
 }
 
@@ -152,5 +186,8 @@
         sent += day.gateway.sent_count();
         refused += day.gateway.refused_count();
     }
-    assert!(sent > 3000 && refused > 1000, "too little happened: {sent} sent, {refused} refused");
+    assert!(
+        sent > 3000 && refused > 1000,
+        "too little happened: {sent} sent, {refused} refused"
+    );
 }
--- a/crates/gateway-core/tests/policy/gossip.rs
+++ b/crates/gateway-core/tests/policy/gossip.rs
@@ -8,9 +8,15 @@
 fn malformed_messages_are_ignored() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
     for bytes in [vec![], vec![9; 40], vec![1], vec![1; 300], vec![1; 13]] {
-        gateway.handle(Event::PeerMessage { from: GatewayId(1), bytes });
+        gateway.handle(Event::PeerMessage {
+            from: GatewayId(1),
+            bytes,
+        });
     }
-    gateway.handle(Event::PeerMessage { from: GatewayId(77), bytes: vec![1; 12] });
+    gateway.handle(Event::PeerMessage {
+        from: GatewayId(77),
+        bytes: vec![1; 12],
+    });
     let id = gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * S);
     assert_eq!(gateway.in_flight[0].request, id);
 }
@@ -23,7 +29,10 @@
         for size in 0..80 {
             let mut bytes = vec![4, kind];
             bytes.extend((0..size).map(|_| random.u8(..)));
-            gateway.handle(Event::PeerMessage { from: GatewayId(5), bytes });
+            gateway.handle(Event::PeerMessage {
+                from: GatewayId(5),
+                bytes,
+            });
         }
     }
     // The reports of one peer, however many, eject no server: all four are still used.
--- a/crates/gateway-core/tests/policy/lease.rs
+++ b/crates/gateway-core/tests/policy/lease.rs
@@ -18,14 +18,23 @@
 #[test]
 fn a_busy_gateway_sends_fewer_lease_requests_than_it_has_requests() {
     let mut fleet = Fleet::new(60, 40, |settings| {
-        let hard_limit = HardLimit { rate: 120.0, capacity: 120.0 };
-        settings.rate(HARD_LIMITED, 60.0).burst(HARD_LIMITED, 60.0).hard_limit(HARD_LIMITED, hard_limit)
+        let hard_limit = HardLimit {
+            rate: 120.0,
+            capacity: 120.0,
+        };
+        settings
+            .rate(HARD_LIMITED, 60.0)
+            .burst(HARD_LIMITED, 60.0)
+            .hard_limit(HARD_LIMITED, hard_limit)
     });
     fleet.drive_through(HARD_LIMITED, 30, 1, mostly_one); // an owner's part of the hard limit starts empty
     let messages_before = fleet.messages_sent;
     let requests = 30 * 6;
     let sent = fleet.drive_through(HARD_LIMITED, 30, 6, mostly_one);
-    assert!(sent >= 171, "under the hard limit, inside the quota: {sent} of {requests}");
+    assert!(
+        sent >= 171,
+        "under the hard limit, inside the quota: {sent} of {requests}"
+    );
     let messages = fleet.messages_sent - messages_before;
     assert!(
         messages * 4 <= requests * 5,
@@ -52,7 +61,10 @@
         }
         let seconds = (fleet.now() - started_at) as f64 / S as f64;
         let most = 12.0 + 8.0 * seconds;
-        assert!(sent as f64 <= most && sent >= 10, "seed {seed}: {sent}, at most {most} by the hard limit");
+        assert!(
+            sent as f64 <= most && sent >= 10,
+            "seed {seed}: {sent}, at most {most} by the hard limit"
+        );
     }
 }
 
@@ -61,7 +73,13 @@
     SettingsBuilder::new(gateway, LARGE_FLEET)
         .rate(HARD_LIMITED, 20.0)
         .burst(HARD_LIMITED, 1000.0)
-        .hard_limit(HARD_LIMITED, HardLimit { rate: 20.0, capacity: 40.0 })
+        .hard_limit(
+            HARD_LIMITED,
+            HardLimit {
+                rate: 20.0,
+                capacity: 40.0,
+            },
+        )
         .build()
 }
 
@@ -82,7 +100,11 @@
     /// A gateway on its own; the owner's part of the hard limit has had time to fill.
     fn new() -> Self {
         let gateway = GatewayHarness::with_servers(1, hard_limited_settings(3), S, 40);
-        let mut scenario = LeaseScenario { gateway, owner: None, sent: 0 };
+        let mut scenario = LeaseScenario {
+            gateway,
+            owner: None,
+            sent: 0,
+        };
         scenario.request(1);
         scenario.gateway.advance(5 * S);
         scenario.sent = 0;
@@ -94,7 +116,9 @@
     /// was sent at once, without an answer of the owner.
     fn request(&mut self, copies: usize) -> bool {
         let actions_before = self.gateway.actions.len();
-        let id = self.gateway.request(IDEMPOTENT, HARD_LIMITED, CUSTOMER, 2 * S);
+        let id = self
+            .gateway
+            .request(IDEMPOTENT, HARD_LIMITED, CUSTOMER, 2 * S);
         let sent_at_once = self.gateway.server_of(&id).is_some();
         let actions = self.gateway.actions[actions_before..].to_vec();
         for action in actions {
@@ -119,7 +143,10 @@
         });
         assert_eq!(owner.id, to, "a customer with one owner");
         owner.harness.now = now;
-        for answer in owner.harness.handle(Event::PeerMessage { from, bytes: bytes.to_vec() }) {
+        for answer in owner.harness.handle(Event::PeerMessage {
+            from,
+            bytes: bytes.to_vec(),
+        }) {
             let Action::SendToPeer { bytes, .. } = answer else {
                 continue;
             };
@@ -134,7 +161,10 @@
             sent_on_lease += u32::from(self.request(1));
             self.gateway.advance(50 * MS);
         }
-        assert!(sent_on_lease >= 12, "{sent_on_lease} of 24 were sent on a lease");
+        assert!(
+            sent_on_lease >= 12,
+            "{sent_on_lease} of 24 were sent on a lease"
+        );
         self.gateway.advance(520 * MS);
     }
 
@@ -155,7 +185,10 @@
     let mut scenario = LeaseScenario::new();
     scenario.let_lease_expire();
     scenario.request_from_others(100..115); // so that what is returned finds room
-    assert!(!scenario.request(copies), "an expired lease covers no request");
+    assert!(
+        !scenario.request(copies),
+        "an expired lease covers no request"
+    );
     scenario.request_from_others(115..200);
     scenario.sent
 }
@@ -165,11 +198,17 @@
 fn an_expired_lease_is_returned_once() {
     let once = sent_until_owner_is_short(1);
     let twice = sent_until_owner_is_short(2);
-    assert!(twice <= once, "{once} requests were sent, and {twice} where the lease was returned twice");
+    assert!(
+        twice <= once,
+        "{once} requests were sent, and {twice} where the lease was returned twice"
+    );
     // The owner's part of 40 units, a quarter kept back, and of 20 a second over 1.72 s is 0.7. What was on lease and
     // not used goes to others.
     let most = 0.7 * (0.75 * 40.0 + 20.0 * 1.72);
-    assert!((most - 3.0..=most).contains(&(once as f64)), "{once} of {most}");
+    assert!(
+        (most - 3.0..=most).contains(&(once as f64)),
+        "{once} of {most}"
+    );
 }
 
 /// In a partition, or where more is sent than can be taken in, more lease requests make it worse.
@@ -180,7 +219,10 @@
     gateway.advance(3900 * MS);
     let is_message = |action: &&Action| matches!(action, Action::SendToPeer { .. });
     let lease_requests = gateway.actions.iter().filter(is_message).count();
-    assert!((4..=8).contains(&lease_requests), "{lease_requests} lease requests in 3.9 s");
+    assert!(
+        (4..=8).contains(&lease_requests),
+        "{lease_requests} lease requests in 3.9 s"
+    );
 }
 
 /// A message to another gateway.
@@ -193,7 +235,10 @@
 /// The messages among these actions.
 fn sent_messages(actions: &[Action]) -> Vec<SentMessage> {
     let message = |action: &Action| match action {
-        Action::SendToPeer { to, bytes } => Some(SentMessage { to: *to, bytes: bytes.clone() }),
+        Action::SendToPeer { to, bytes } => Some(SentMessage {
+            to: *to,
+            bytes: bytes.clone(),
+        }),
         _ => None,
     };
     actions.iter().filter_map(message).collect()
@@ -203,7 +248,10 @@
 #[test]
 fn an_owner_that_answers_in_between_is_asked_again_and_not_its_standby() {
     let settings = |gateway| {
-        let nothing_to_grant = HardLimit { rate: 0.1, capacity: 12.0 };
+        let nothing_to_grant = HardLimit {
+            rate: 0.1,
+            capacity: 12.0,
+        };
         SettingsBuilder::new(gateway, LARGE_FLEET)
             .rate(HARD_LIMITED, 20.0)
             .hard_limit(HARD_LIMITED, nothing_to_grant)
@@ -217,11 +265,18 @@
         let sent = sent_messages(&gateway.actions);
         let SentMessage { to, bytes } = sent.last().expect("a lease request").clone();
         let owner = owner.get_or_insert_with(|| GatewayHarness::new(1, settings(to.0).build(), S));
-        assert!(sent.iter().all(|message| message.to == owner.settings.gateway_id), "the same owner");
+        assert!(
+            sent.iter()
+                .all(|message| message.to == owner.settings.gateway_id),
+            "the same owner"
+        );
         owner.now = gateway.now;
         let from = gateway.settings.gateway_id;
         for answer in sent_messages(&owner.handle(Event::PeerMessage { from, bytes })) {
-            gateway.handle(Event::PeerMessage { from: to, bytes: answer.bytes });
+            gateway.handle(Event::PeerMessage {
+                from: to,
+                bytes: answer.bytes,
+            });
         }
     }
 }
--- a/crates/gateway-core/tests/policy/load_balancing.rs
+++ b/crates/gateway-core/tests/policy/load_balancing.rs
@@ -7,12 +7,18 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_missing_server() {
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 2);
-    let draining = Endpoint { state: EndpointState::Draining, ..ready_endpoint(0) };
+    let draining = Endpoint {
+        state: EndpointState::Draining,
+        ..ready_endpoint(0)
+    };
     gateway.update_endpoints(EndpointUpdate::Delta, vec![draining]);
     for _ in 0..3 {
         gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, S);
     }
-    assert!(gateway.in_flight.iter().all(|attempt| attempt.server == ServerId(1)));
+    assert!(gateway
+        .in_flight
+        .iter()
+        .all(|attempt| attempt.server == ServerId(1)));
     gateway.update_endpoints(EndpointUpdate::Snapshot, Vec::new());
     let before = gateway.sent_count();
     gateway.request(IDEMPOTENT, UNLIMITED, CustomerId(8), S);
@@ -49,11 +55,17 @@
     const FULL: ServerId = ServerId(0);
     let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), S, 4);
     let load = |server| if server == FULL { 30.0 } else { 0.0 };
-    gateway.reported_loads = (0..4).map(ServerId).map(|server| (server, load(server))).collect();
+    gateway.reported_loads = (0..4)
+        .map(ServerId)
+        .map(|server| (server, load(server)))
+        .collect();
     let servers = gateway.request_in_turn(200, 100 * MS);
     let sent = servers.len();
     let to_full = servers.iter().filter(|server| **server == FULL).count();
-    assert!(sent >= 190 && to_full <= 20, "{to_full} of {sent} went to the full one");
+    assert!(
+        sent >= 190 && to_full <= 20,
+        "{to_full} of {sent} went to the full one"
+    );
 }
 
 /// Few servers are used by one gateway, and all by the fleet.
@@ -70,7 +82,11 @@
             gateway.advance(100 * MS); // as long as is expected of a server that is not known yet
             gateway.finish(&id, AttemptOutcome::Success);
         }
-        assert!((4..=20).contains(&used.len()), "gateway {number} used {}", used.len());
+        assert!(
+            (4..=20).contains(&used.len()),
+            "gateway {number} used {}",
+            used.len()
+        );
         used_by_fleet.extend(used);
     }
     assert_eq!(used_by_fleet.len(), 60);
@@ -81,7 +97,8 @@
 fn every_server_is_in_the_subset_of_a_gateway() {
     let mut used = BTreeSet::new();
     for number in 0..23 {
-        let mut gateway = GatewayHarness::sole_gateway(u64::from(number), settings(number, 23), S, 200);
+        let mut gateway =
+            GatewayHarness::sole_gateway(u64::from(number), settings(number, 23), S, 200);
         for _ in 0..400 {
             let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
             used.extend(gateway.in_flight.iter().map(|attempt| attempt.server));
--- a/crates/gateway-core/tests/policy/load_shedding.rs
+++ b/crates/gateway-core/tests/policy/load_shedding.rs
@@ -9,14 +9,21 @@
 #[test]
 fn a_large_fleet_sheds_by_reported_load() {
     let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), S, 8);
-    let report =
-        |full: u64| (0..8).map(move |server| (ServerId(server), if server < full { FULL } else { 0.0 }));
+    let report = |full: u64| {
+        (0..8).map(move |server| (ServerId(server), if server < full { FULL } else { 0.0 }))
+    };
     gateway.reported_loads = report(2).collect();
-    assert!(gateway.request_in_turn(60, 100 * MS).len() >= 58, "two of eight are full");
+    assert!(
+        gateway.request_in_turn(60, 100 * MS).len() >= 58,
+        "two of eight are full"
+    );
     gateway.reported_loads = report(8).collect();
     gateway.request_in_turn(30, 100 * MS);
     let sent = gateway.request_in_turn(60, 100 * MS).len();
-    assert!((1..30).contains(&sent), "all are full, yet some are sent so that loads are reported: {sent}");
+    assert!(
+        (1..30).contains(&sent),
+        "all are full, yet some are sent so that loads are reported: {sent}"
+    );
 }
 
 /// One request that hangs must not look like many.
@@ -26,7 +33,11 @@
     gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, 6 * S);
     let mut sent = 0;
     for number in 0..55 {
-        let class = if number % 2 == 0 { NON_IDEMPOTENT } else { IDEMPOTENT };
+        let class = if number % 2 == 0 {
+            NON_IDEMPOTENT
+        } else {
+            IDEMPOTENT
+        };
         sent += usize::from(gateway.request_and_complete(class, UNLIMITED, CUSTOMER, 2 * S));
         gateway.advance(100 * MS);
     }
--- a/crates/gateway-core/tests/policy/outlier_detection.rs
+++ b/crates/gateway-core/tests/policy/outlier_detection.rs
@@ -4,7 +4,9 @@
 use gateway_core::*;
 
 fn cancels(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::CancelAttempt { .. }))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::CancelAttempt { .. }))
 }
 
 /// A gateway that had no CPU for a while first reads what has come, before it calls a server stalled.
@@ -25,8 +27,14 @@
     let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 3 * S);
     let stalled = gateway.server_of(&id);
     let actions = gateway.advance(700 * MS);
-    assert!(actions.contains(&Action::CancelAttempt { id: id.clone(), attempt: AttemptNumber(0) }));
-    assert!(gateway.actions.iter().any(|action| matches!(action, Action::Warn(_))));
+    assert!(actions.contains(&Action::CancelAttempt {
+        id: id.clone(),
+        attempt: AttemptNumber(0)
+    }));
+    assert!(gateway
+        .actions
+        .iter()
+        .any(|action| matches!(action, Action::Warn(_))));
     gateway.finish(&id, AttemptOutcome::Cancelled);
     let second = gateway.server_of(&id);
     assert!(second.is_some(), "sent again");
@@ -59,7 +67,10 @@
         }
         gateway.advance(40 * MS);
     }
-    assert!(to_neighbour > 60, "{to_neighbour} of 300 went to the healthy server of that zone");
+    assert!(
+        to_neighbour > 60,
+        "{to_neighbour} of 300 went to the healthy server of that zone"
+    );
 }
 
 /// A server that takes no connection is left alone, also where most are so, and costs no request its answer.
@@ -82,5 +93,8 @@
         gateway.advance(50 * MS);
     }
     // In 5 s each of the six is tried some four times, its backoff doubling from 0.5 s on.
-    assert!(served >= 97 && unreachable <= 36, "{served} served, {unreachable} unreachable");
+    assert!(
+        served >= 97 && unreachable <= 36,
+        "{served} served, {unreachable} unreachable"
+    );
 }
--- a/crates/gateway-core/tests/policy/quota.rs
+++ b/crates/gateway-core/tests/policy/quota.rs
@@ -15,7 +15,10 @@
 
 /// Shows only that the peer is alive.
 fn heartbeat(incarnation: u32) -> Event {
-    Event::PeerMessage { from: PEER, bytes: usage_bytes(incarnation) }
+    Event::PeerMessage {
+        from: PEER,
+        bytes: usage_bytes(incarnation),
+    }
 }
 
 /// The peer's running count of a customer's units.
@@ -28,7 +31,8 @@
 
 /// Requests of a plan on end, each completed at once if it was sent; returns how many were.
 fn admitted(gateway: &mut GatewayHarness, plan: PlanId, requests: usize) -> usize {
-    let sent = (0..requests).map(|_| gateway.request_and_complete(IDEMPOTENT, plan, CUSTOMER, 2 * S));
+    let sent =
+        (0..requests).map(|_| gateway.request_and_complete(IDEMPOTENT, plan, CUSTOMER, 2 * S));
     sent.filter(|sent| *sent).count()
 }
 
@@ -53,7 +57,11 @@
         gateway.now += 700 * MS;
     }
     gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * S);
-    assert_eq!(gateway.sent_count(), before + 1, "1.4 units later one is covered");
+    assert_eq!(
+        gateway.sent_count(),
+        before + 1,
+        "1.4 units later one is covered"
+    );
 }
 
 #[test]
@@ -64,7 +72,10 @@
         gateway.now += S;
         sent += admitted(&mut gateway, SMALL_QUOTA, 1);
     }
-    assert!((6..=9).contains(&sent), "burst share 2 and half of 1 a second: {sent}");
+    assert!(
+        (6..=9).contains(&sent),
+        "burst share 2 and half of 1 a second: {sent}"
+    );
 }
 
 /// Requests out of six that are sent after a peer's counts, where ten units were known before.
@@ -87,7 +98,11 @@
     assert_eq!(admitted_after(&[]), 4, "nothing new: the whole burst");
     let in_order = admitted_after(&[11, 12]);
     assert!(in_order < 3, "the two units that the peer used are gone");
-    for (case, counts) in [("lost", &[12][..]), ("repeated", &[11, 11, 12, 12]), ("late", &[12, 11, 10])] {
+    for (case, counts) in [
+        ("lost", &[12][..]),
+        ("repeated", &[11, 11, 12, 12]),
+        ("late", &[12, 11, 10]),
+    ] {
         assert_eq!(admitted_after(counts), in_order, "{case}");
     }
 }
@@ -101,7 +116,10 @@
     gateway.handle(usage(5, CUSTOMER, 90));
     receive_for_ten_seconds(&mut gateway, &usage(5, CustomerId(8), 1));
     gateway.handle(usage(5, CUSTOMER, 3));
-    assert!(admitted(&mut gateway, SMALL_QUOTA, 6) < 2, "the three units that the peer used are gone");
+    assert!(
+        admitted(&mut gateway, SMALL_QUOTA, 6) < 2,
+        "the three units that the peer used are gone"
+    );
 }
 
 /// Peers of a much older incarnation show a gateway that it has restarted: what it has not seen may have been used.
@@ -112,7 +130,11 @@
         gateway.handle(usage(incarnation, CustomerId(8), 1));
         admitted(&mut gateway, SMALL_QUOTA, 6)
     };
-    assert_eq!((sent(99_000), sent(50_000)), (4, 2), "a burst of 4, and its even share");
+    assert_eq!(
+        (sent(99_000), sent(50_000)),
+        (4, 2),
+        "a burst of 4, and its even share"
+    );
 }
 
 /// One request that names a wrong plan neither fixes it for good, coming first, nor takes the right one away.
@@ -120,7 +142,11 @@
 fn one_request_with_a_wrong_plan_does_not_change_the_plan() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
     assert_eq!(admitted(&mut gateway, SMALL_QUOTA, 1), 1);
-    assert_eq!(admitted(&mut gateway, UNLIMITED, 20), 20, "a burst of 4 there, no limit here");
+    assert_eq!(
+        admitted(&mut gateway, UNLIMITED, 20),
+        20,
+        "a burst of 4 there, no limit here"
+    );
     admitted(&mut gateway, SMALL_QUOTA, 2);
     assert_eq!(admitted(&mut gateway, UNLIMITED, 20), 20);
 }
@@ -131,14 +157,22 @@
     for _ in 0..5 {
         gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 2 * S);
     }
-    assert_eq!(gateway.in_flight.len(), 1, "two in flight over two gateways");
+    assert_eq!(
+        gateway.in_flight.len(),
+        1,
+        "two in flight over two gateways"
+    );
     let id = gateway.in_flight[0].request.clone();
     gateway.finish(&id, AttemptOutcome::Success);
     assert_eq!(gateway.in_flight.len(), 1, "the next one follows");
 }
 
 /// Requests on end of a customer with a hard limit; returns how many were sent.
-fn hard_limited_burst(gateway: &mut GatewayHarness, customer: CustomerId, timeout: Micros) -> usize {
+fn hard_limited_burst(
+    gateway: &mut GatewayHarness,
+    customer: CustomerId,
+    timeout: Micros,
+) -> usize {
     let before = gateway.sent_count();
     for _ in 0..20 {
         gateway.request(IDEMPOTENT, HARD_LIMITED, customer, timeout);
@@ -154,13 +188,21 @@
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
     for (rest, expected) in [(0, 0), (10 * S, 6), (90 * S, 6)] {
         gateway.advance(rest);
-        assert_eq!(hard_limited_burst(&mut gateway, CUSTOMER, 300 * MS), expected, "after {rest} µs");
+        assert_eq!(
+            hard_limited_burst(&mut gateway, CUSTOMER, 300 * MS),
+            expected,
+            "after {rest} µs"
+        );
         gateway.advance(400 * MS); // what waits is rejected
     }
     // An unknown customer has used nothing since the start.
     let mut fresh = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
     fresh.now += 500 * MS;
-    assert_eq!(hard_limited_burst(&mut fresh, CustomerId(8), S), 2, "4 a second");
+    assert_eq!(
+        hard_limited_burst(&mut fresh, CustomerId(8), S),
+        2,
+        "4 a second"
+    );
 }
 
 const STEP: Micros = 5 * MS;
@@ -190,7 +232,8 @@
         self.left = (self.left + 8.0 * 0.005).min(12.0);
         if self.random.u32(0..300) == 0 {
             let number = self.random.u32(0..3);
-            self.gateways[number as usize] = GatewayHarness::with_servers(seed, settings(number, 3), now, 6);
+            self.gateways[number as usize] =
+                GatewayHarness::with_servers(seed, settings(number, 3), now, 6);
         }
         for gateway in &mut self.gateways {
             gateway.now = now;
@@ -215,7 +258,11 @@
             scenario.step(S + step * STEP, seed + step);
             assert!(scenario.left > -1e-6, "rule 5: {}", scenario.left);
         }
-        assert!(scenario.sent > 50, "the hard limit lets its rate through: {}", scenario.sent);
+        assert!(
+            scenario.sent > 50,
+            "the hard limit lets its rate through: {}",
+            scenario.sent
+        );
     }
 }
 
--- a/crates/gateway-core/tests/policy/quota_owner.rs
+++ b/crates/gateway-core/tests/policy/quota_owner.rs
@@ -11,8 +11,15 @@
     // A burst of 4 and 4 a second over 10 s, of 200 requests.
     assert!((30..=54).contains(&sent), "{sent}");
     let busiest = fleet.most_received();
-    assert!(busiest <= 600, "messages to one gateway stay under its intake: {busiest} in 10 s");
-    assert!(fleet.messages_sent <= 1400, "and are few: {}", fleet.messages_sent);
+    assert!(
+        busiest <= 600,
+        "messages to one gateway stay under its intake: {busiest} in 10 s"
+    );
+    assert!(
+        fleet.messages_sent <= 1400,
+        "and are few: {}",
+        fleet.messages_sent
+    );
 }
 
 /// Requests at a steady rate that is inside the quota.
@@ -60,7 +67,11 @@
         });
         let sent = fleet.drive(SMALL_QUOTA, demand.request_rate, demand.seconds);
         let requests = demand.request_rate * demand.seconds;
-        assert!(sent >= demand.least_sent, "{}: {sent} of {requests}", demand.name);
+        assert!(
+            sent >= demand.least_sent,
+            "{}: {sent} of {requests}",
+            demand.name
+        );
     }
 }
 
@@ -99,8 +110,13 @@
 /// Otherwise requests that wait for a server would take the permits from themselves.
 #[test]
 fn the_permit_of_an_expired_grant_is_released_before_the_request_asks_again() {
-    let hard_limit = HardLimit { rate: 8.0, capacity: 12.0 };
-    let settings = SettingsBuilder::new(0, LARGE_FLEET).hard_limit(TWO_CONCURRENT, hard_limit).build();
+    let hard_limit = HardLimit {
+        rate: 8.0,
+        capacity: 12.0,
+    };
+    let settings = SettingsBuilder::new(0, LARGE_FLEET)
+        .hard_limit(TWO_CONCURRENT, hard_limit)
+        .build();
     let mut gateway = GatewayHarness::sole_gateway(1, settings, S, 0);
     gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 4 * S); // the owner's part of the hard limit starts empty
     gateway.advance(2 * S);
--- a/crates/gateway-core/tests/policy/retry.rs
+++ b/crates/gateway-core/tests/policy/retry.rs
@@ -2,13 +2,23 @@
 
 use crate::common::*;
 use gateway_core::*;
-use AttemptOutcome::{Cancelled, ConnectionLost, NotSent, Overloaded, ServerError, TimedOut, Unreachable};
+use AttemptOutcome::{
+    Cancelled, ConnectionLost, NotSent, Overloaded, ServerError, TimedOut, Unreachable,
+};
 
 /// Every outcome but success against every class: what may follow at once.
 #[test]
 fn retries_by_outcome_and_idempotency() {
     for class in [IDEMPOTENT, KEYED_BY_CELL, NON_IDEMPOTENT, KEYED] {
-        for outcome in [ServerError, Overloaded, TimedOut, Unreachable, ConnectionLost, Cancelled, NotSent] {
+        for outcome in [
+            ServerError,
+            Overloaded,
+            TimedOut,
+            Unreachable,
+            ConnectionLost,
+            Cancelled,
+            NotSent,
+        ] {
             assert_retry(class, outcome);
         }
     }
@@ -53,7 +63,10 @@
         }
     }
     let retries = gateway.sent_count() - 60;
-    assert!((20..=32).contains(&retries), "20 saved up and a fifth of 60: {retries}");
+    assert!(
+        (20..=32).contains(&retries),
+        "20 saved up and a fifth of 60: {retries}"
+    );
 }
 
 /// A server forgets the key a window after it saw the request first.
@@ -62,7 +75,11 @@
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
     let id = gateway.request(KEYED, UNLIMITED, CUSTOMER, 2 * S);
     gateway.now += 300 * MS;
-    assert_eq!(count_sent(&gateway.finish(&id, ServerError)), 1, "within the window of 500 ms");
+    assert_eq!(
+        count_sent(&gateway.finish(&id, ServerError)),
+        1,
+        "within the window of 500 ms"
+    );
     gateway.now += 300 * MS;
     assert_eq!(count_sent(&gateway.finish(&id, ServerError)), 0, "after it");
 }
--- a/crates/gateway-core/tests/policy/slow_start.rs
+++ b/crates/gateway-core/tests/policy/slow_start.rs
@@ -13,7 +13,10 @@
             gateway.finish(&id, AttemptOutcome::Success);
         }
     }
-    let cold = Endpoint { started_at: Some(gateway.now), ..ready_endpoint(9) };
+    let cold = Endpoint {
+        started_at: Some(gateway.now),
+        ..ready_endpoint(9)
+    };
     gateway.update_endpoints(EndpointUpdate::Snapshot, vec![cold]);
     let mut sent = 0;
     for _ in 0..50 {
@@ -33,9 +36,19 @@
 fn sent_by_second(number: u32) -> [usize; SECONDS] {
     let mut gateway =
         Gateway::new(u64::from(number), settings(number, LARGE_FLEET), S).expect("valid settings");
-    let endpoints = vec![Endpoint { started_at: Some(S), ..ready_endpoint(0) }];
+    let endpoints = vec![Endpoint {
+        started_at: Some(S),
+        ..ready_endpoint(0)
+    }];
     let mut actions = Vec::new();
-    gateway.handle(S, Event::EndpointsUpdated { kind: EndpointUpdate::Snapshot, endpoints }, &mut actions);
+    gateway.handle(
+        S,
+        Event::EndpointsUpdated {
+            kind: EndpointUpdate::Snapshot,
+            endpoints,
+        },
+        &mut actions,
+    );
     let mut sent = [0; SECONDS];
     for step in 0..SECONDS as u64 * 100 {
         let now = S + step * 10 * MS;
@@ -47,7 +60,10 @@
                 plan: UNLIMITED,
                 customer: CustomerId(9),
                 units: 1.0,
-                gateways: GatewaySet { first: GatewayId(number), count: 1 },
+                gateways: GatewaySet {
+                    first: GatewayId(number),
+                    count: 1,
+                },
                 client_timeout: S,
             };
             gateway.handle(now, request, &mut actions);
@@ -69,5 +85,8 @@
     // Without knowledge of each other, a fifth to half warm: a part of 1.5 a second for all gateways, and what chance
     // adds.
     assert!(by_second.iter().all(|sent| *sent <= 5), "{by_second:?}");
-    assert!(by_second.iter().sum::<usize>() >= 1, "it is used all the same");
+    assert!(
+        by_second.iter().sum::<usize>() >= 1,
+        "it is used all the same"
+    );
 }
--- a/crates/gateway-core/tests/reconnect.rs
+++ b/crates/gateway-core/tests/reconnect.rs
@@ -53,12 +53,21 @@
     fn new(grace: u64) -> Simulation {
         let mut policy = ReconnectPolicy::new(grace);
         policy.attempt_started(Duration::ZERO);
-        Simulation { policy, now: Duration::ZERO, list_received: false, last_known_at: Duration::ZERO }
+        Simulation {
+            policy,
+            now: Duration::ZERO,
+            list_received: false,
+            last_known_at: Duration::ZERO,
+        }
     }
 
     /// The longest that a change may have waited for the next attempt, once this step is done.
     fn step(&mut self, step: Step, jitter: f64) -> Duration {
-        let last = self.policy.deadline().saturating_sub(JUST_BEFORE).max(self.now);
+        let last = self
+            .policy
+            .deadline()
+            .saturating_sub(JUST_BEFORE)
+            .max(self.now);
         match step {
             Step::Receives(event) => self.receives(event),
             Step::ReceivesLate(event) => {
@@ -87,7 +96,10 @@
     }
 
     fn fails(&mut self, failure: WatchFailure, jitter: f64) -> Duration {
-        self.now = self.policy.attempt_failed(self.now, failure, jitter).max(self.now);
+        self.now = self
+            .policy
+            .attempt_failed(self.now, failure, jitter)
+            .max(self.now);
         self.start_attempt()
     }
 
@@ -102,7 +114,9 @@
 
 /// Runs all orders of steps and inspects each; returns their number.
 fn in_all_orders(
-    simulation: &Simulation, steps: u32, inspect: &mut impl FnMut(&Simulation, Duration),
+    simulation: &Simulation,
+    steps: u32,
+    inspect: &mut impl FnMut(&Simulation, Duration),
 ) -> u64 {
     if steps == 0 {
         return 1;
@@ -113,7 +127,10 @@
         inspect(&next, waited);
         in_all_orders(&next, steps - 1, inspect)
     };
-    ALL.into_iter().flat_map(|step| jitters(step).iter().map(move |jitter| (step, *jitter))).map(run_on).sum()
+    ALL.into_iter()
+        .flat_map(|step| jitters(step).iter().map(move |jitter| (step, *jitter)))
+        .map(run_on)
+        .sum()
 }
 
 /// The jitter of the shortest and of the longest backoff, where there is one.
@@ -132,7 +149,10 @@
             longest = longest.max(waited);
         });
         assert!(orders > 500_000, "{orders}");
-        assert!(longest < CHANGE_KNOWN_WITHIN - ANSWER_TIME, "{longest:?} with a grace of {grace} µs");
+        assert!(
+            longest < CHANGE_KNOWN_WITHIN - ANSWER_TIME,
+            "{longest:?} with a grace of {grace} µs"
+        );
     }
 }
 
@@ -158,7 +178,10 @@
                 }
             }
         });
-        assert!(longest < CHANGE_KNOWN_WITHIN - ANSWER_TIME, "{longest:?} with a grace of {grace} µs");
+        assert!(
+            longest < CHANGE_KNOWN_WITHIN - ANSWER_TIME,
+            "{longest:?} with a grace of {grace} µs"
+        );
     }
 }
 
@@ -192,10 +215,16 @@
     policy.attempt_started(now);
     let end = now + Duration::from_millis(1001);
     assert!(policy.was_stable(end));
-    assert_eq!((policy.attempt_failed(end, WatchFailure::ConnectionLost, 0.5) - end).as_millis(), 100);
+    assert_eq!(
+        (policy.attempt_failed(end, WatchFailure::ConnectionLost, 0.5) - end).as_millis(),
+        100
+    );
     policy.address_changed();
     policy.attempt_started(end);
-    assert_eq!((policy.attempt_failed(end, WatchFailure::ConnectionLost, 0.0) - end).as_millis(), 50);
+    assert_eq!(
+        (policy.attempt_failed(end, WatchFailure::ConnectionLost, 0.0) - end).as_millis(),
+        50
+    );
 }
 
 #[test]
@@ -208,8 +237,14 @@
             // Jitter makes the backoff up to half as long again; the list comes within one answer.
             let answer_timeout = policy.deadline() - now;
             let backoff = policy.attempt_failed(now, WatchFailure::ConnectionLost, 1.0) - now;
-            assert!(answer_timeout + backoff < Duration::from_micros(grace) / 2, "{policy:?}");
-            assert!(first_list_timeout(grace) >= answer_timeout, "one answer at the least is waited for");
+            assert!(
+                answer_timeout + backoff < Duration::from_micros(grace) / 2,
+                "{policy:?}"
+            );
+            assert!(
+                first_list_timeout(grace) >= answer_timeout,
+                "one answer at the least is waited for"
+            );
             now += answer_timeout + backoff;
         }
     }
@@ -222,6 +257,9 @@
         assert!(first_list_timeout(grace) <= Duration::from_secs(2));
         let mut policy = ReconnectPolicy::new(grace);
         policy.attempt_started(Duration::ZERO);
-        assert!(first_list_timeout(grace) >= policy.deadline(), "one answer at the least is waited for");
+        assert!(
+            first_list_timeout(grace) >= policy.deadline(),
+            "one answer at the least is waited for"
+        );
     }
 }
--- a/crates/gateway-core/tests/recovery.rs
+++ b/crates/gateway-core/tests/recovery.rs
@@ -48,7 +48,12 @@
 
     /// Requests come at a steady rate, a third of them of the lowest class, while a server takes `service_time` for one
     /// alone.
-    fn drive(&mut self, seconds: u64, rate: u64, service_time: impl Fn(ServerId) -> Micros) -> DriveResult {
+    fn drive(
+        &mut self,
+        seconds: u64,
+        rate: u64,
+        service_time: impl Fn(ServerId) -> Micros,
+    ) -> DriveResult {
         let end = self.gateway.now + seconds * S;
         self.next_request_at = self.gateway.now;
         self.lowest_class.clear();
@@ -75,8 +80,14 @@
         while self.next_request_at <= self.gateway.now {
             self.next_request_at += S / rate;
             self.requests += 1;
-            let class = if self.requests.is_multiple_of(3) { IDEMPOTENT } else { NON_IDEMPOTENT };
-            let id = self.gateway.request(class, UNLIMITED, CustomerId(self.requests), 3 * S);
+            let class = if self.requests.is_multiple_of(3) {
+                IDEMPOTENT
+            } else {
+                NON_IDEMPOTENT
+            };
+            let id = self
+                .gateway
+                .request(class, UNLIMITED, CustomerId(self.requests), 3 * S);
             if class == IDEMPOTENT {
                 self.lowest_class.insert(id);
             }
@@ -95,7 +106,9 @@
             let held = in_flight[&attempt.server];
             let slowdown = (held / CORES).max(1.0) * (held / THRASHING_FROM).max(1.0);
             let latency = service_time(attempt.server) as f64 * work * slowdown;
-            self.answers_at.entry(attempt.request.clone()).or_insert(now + latency as Micros);
+            self.answers_at
+                .entry(attempt.request.clone())
+                .or_insert(now + latency as Micros);
         }
     }
 
@@ -145,10 +158,16 @@
         let mut simulation = Simulation::new(seed);
         let before = simulation.drive(5, 250, healthy).lowest_class_sent;
         let overloaded = simulation.drive(10, 250, half_are_slow).lowest_class_sent;
-        assert!(before > 0.95 && overloaded < 0.5, "seed {seed}: no overload, {before} and {overloaded}");
+        assert!(
+            before > 0.95 && overloaded < 0.5,
+            "seed {seed}: no overload, {before} and {overloaded}"
+        );
         simulation.drive(5, 250, healthy);
         let after = simulation.drive(5, 250, healthy).lowest_class_sent;
-        assert!(after > 0.95, "seed {seed}: {after} of the lowest class sent on");
+        assert!(
+            after > 0.95,
+            "seed {seed}: {after} of the lowest class sent on"
+        );
     }
 }
 
@@ -160,6 +179,9 @@
         simulation.drive(10, 150, first_is_slow);
         simulation.drive(5, 150, healthy);
         let share = simulation.drive(5, 150, healthy).to_first_server;
-        assert!(share > 0.25 / SERVERS as f64, "seed {seed}: {share} of what was sent");
+        assert!(
+            share > 0.25 / SERVERS as f64,
+            "seed {seed}: {share} of what was sent"
+        );
     }
 }
--- a/crates/gateway-core/tests/replay.rs
+++ b/crates/gateway-core/tests/replay.rs
@@ -33,14 +33,27 @@
 }
 
 const fn digest(gateways: u32, servers: u64, seed: u64, digest: u64) -> RecordedDigest {
-    RecordedDigest { gateways, servers, seed, digest }
+    RecordedDigest {
+        gateways,
+        servers,
+        seed,
+        digest,
+    }
 }
 
 impl fmt::Display for RecordedDigest {
     /// As its line in [`RECORDED`].
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let RecordedDigest { gateways, servers, seed, digest } = self;
-        write!(f, "    digest({gateways}, {servers}, {seed}, {digest:#018x}),")
+        let RecordedDigest {
+            gateways,
+            servers,
+            seed,
+            digest,
+        } = self;
+        write!(
+            f,
+            "    digest({gateways}, {servers}, {seed}, {digest:#018x}),"
+        )
     }
 }
 
@@ -65,13 +78,34 @@
 
 /// Every fleet that is simulated, whatever was recorded, and with which seeds.
 const FLEETS: [FleetSize; 7] = [
-    FleetSize { gateways: 3, servers: 14 },
-    FleetSize { gateways: 3, servers: 60 },
-    FleetSize { gateways: 3, servers: 200 },
-    FleetSize { gateways: 30, servers: 200 },
-    FleetSize { gateways: 300, servers: 14 },
-    FleetSize { gateways: 300, servers: 60 },
-    FleetSize { gateways: 300, servers: 200 },
+    FleetSize {
+        gateways: 3,
+        servers: 14,
+    },
+    FleetSize {
+        gateways: 3,
+        servers: 60,
+    },
+    FleetSize {
+        gateways: 3,
+        servers: 200,
+    },
+    FleetSize {
+        gateways: 30,
+        servers: 200,
+    },
+    FleetSize {
+        gateways: 300,
+        servers: 14,
+    },
+    FleetSize {
+        gateways: 300,
+        servers: 60,
+    },
+    FleetSize {
+        gateways: 300,
+        servers: 200,
+    },
 ];
 const SEEDS: [u64; 2] = [1, 2];
 
@@ -114,8 +148,15 @@
             occurred.extend(result.occurred);
         }
     }
-    let missing: Vec<_> = EXPECTED_TO_OCCUR.iter().filter(|name| !occurred.contains(**name)).collect();
+    let missing: Vec<_> = EXPECTED_TO_OCCUR
+        .iter()
+        .filter(|name| !occurred.contains(**name))
+        .collect();
     assert!(missing.is_empty(), "the log holds none of {missing:?}");
     let lines: Vec<_> = digests.iter().map(RecordedDigest::to_string).collect();
-    assert!(digests == RECORDED, "the actions differ; now they are\n{}", lines.join("\n"));
+    assert!(
+        digests == RECORDED,
+        "the actions differ; now they are\n{}",
+        lines.join("\n")
+    );
 }
--- a/crates/gateway-core/tests/replay/action_digest.rs
+++ b/crates/gateway-core/tests/replay/action_digest.rs
@@ -9,7 +9,11 @@
 pub(crate) fn write_action(digest: &mut FnvHasher, gateway: usize, action: &Action) {
     digest.write(&(gateway as u64).to_le_bytes());
     match action {
-        Action::SendAttempt { id, server, timeout } => {
+        Action::SendAttempt {
+            id,
+            server,
+            timeout,
+        } => {
             write_kind_and_id(digest, 0, id);
             digest.write(&server.0.to_le_bytes());
             write_optional(digest, *timeout);
--- a/crates/gateway-core/tests/replay/simulated_server.rs
+++ b/crates/gateway-core/tests/replay/simulated_server.rs
@@ -22,7 +22,11 @@
 
 impl SimulatedServer {
     pub(crate) fn healthy(endpoint: Endpoint) -> Self {
-        SimulatedServer { endpoint, health: ServerHealth::Healthy, in_flight: 0 }
+        SimulatedServer {
+            endpoint,
+            health: ServerHealth::Healthy,
+            in_flight: 0,
+        }
     }
 
     /// Takes an attempt in: how long it takes, and how it ends.
--- a/crates/gateway-core/tests/replay/simulation.rs
+++ b/crates/gateway-core/tests/replay/simulation.rs
@@ -84,13 +84,18 @@
         let simulated = 0..SIMULATED_GATEWAYS.min(gateways);
         let server = |number| {
             let weight = 1.0 + (number % 3) as f64;
-            let endpoint = Endpoint { weight, ..ready_endpoint(number * 7919 + seed) };
+            let endpoint = Endpoint {
+                weight,
+                ..ready_endpoint(number * 7919 + seed)
+            };
             (endpoint.server, SimulatedServer::healthy(endpoint))
         };
         let mut simulation = Simulation {
             now: STARTED_AT,
             random: Rng::with_seed(seed),
-            gateways: simulated.map(|number| simulated_gateway(number, gateways, seed)).collect(),
+            gateways: simulated
+                .map(|number| simulated_gateway(number, gateways, seed))
+                .collect(),
             is_large_fleet: gateways > LARGEST_SMALL_FLEET,
             servers: (0..servers).map(server).collect(),
             schedule: BTreeMap::new(),
@@ -107,7 +112,10 @@
 
     fn schedule(&mut self, after: Micros, scheduled: Scheduled) -> ScheduleKey {
         self.last_sequence += 1;
-        let key = ScheduleKey { at: self.now + after, sequence: self.last_sequence };
+        let key = ScheduleKey {
+            at: self.now + after,
+            sequence: self.last_sequence,
+        };
         self.schedule.insert(key, scheduled);
         key
     }
@@ -117,7 +125,11 @@
     }
 
     fn send_snapshot(&mut self) {
-        let endpoints = self.servers.values().map(|server| server.endpoint).collect();
+        let endpoints = self
+            .servers
+            .values()
+            .map(|server| server.endpoint)
+            .collect();
         self.send_endpoints(EndpointUpdate::Snapshot, endpoints);
     }
 
@@ -125,7 +137,10 @@
         for gateway in 0..self.gateways.len() {
             // In order: a delta that comes after a later snapshot would list more servers than there are.
             let after = 15 * MS * gateway as u64;
-            let event = Event::EndpointsUpdated { kind, endpoints: endpoints.clone() };
+            let event = Event::EndpointsUpdated {
+                kind,
+                endpoints: endpoints.clone(),
+            };
             self.schedule_event(after, gateway, event);
         }
     }
@@ -154,7 +169,9 @@
     fn send_snapshot_without_one(&mut self) {
         let left_out = self.some_server();
         let endpoints = self.servers.values().map(|server| server.endpoint);
-        let kept = endpoints.filter(|endpoint| Some(endpoint.server) != left_out).collect();
+        let kept = endpoints
+            .filter(|endpoint| Some(endpoint.server) != left_out)
+            .collect();
         self.send_endpoints(EndpointUpdate::Snapshot, kept);
     }
 
@@ -178,15 +195,23 @@
 
     /// A server goes, and another one starts in its place.
     fn replace_server(&mut self, id: ServerId) -> [Endpoint; 2] {
-        let before = self.servers.remove(&id).expect("a server that is there").endpoint;
-        let gone = Endpoint { state: EndpointState::Gone, ..before };
+        let before = self
+            .servers
+            .remove(&id)
+            .expect("a server that is there")
+            .endpoint;
+        let gone = Endpoint {
+            state: EndpointState::Gone,
+            ..before
+        };
         let fresh = Endpoint {
             server: ServerId(id.0 + 1_000_003),
             started_at: Some(self.now),
             state: EndpointState::Ready,
             ..before
         };
-        self.servers.insert(fresh.server, SimulatedServer::healthy(fresh));
+        self.servers
+            .insert(fresh.server, SimulatedServer::healthy(fresh));
         [gone, fresh]
     }
 
@@ -228,7 +253,10 @@
             plan: PlanId(customer as usize % PLAN_COUNT),
             customer: CustomerId(customer),
             units: 0.25 + self.random.f64() / 2.0,
-            gateways: GatewaySet { first: GatewayId(0), count: self.gateways_of(customer) },
+            gateways: GatewaySet {
+                first: GatewayId(0),
+                count: self.gateways_of(customer),
+            },
             client_timeout: self.random.u64(200 * MS..3 * S),
         };
         self.handle(gateway, event);
@@ -236,7 +264,13 @@
             0 => self.handle(gateway, Event::ClientDisconnected { id }),
             1 => self.handle(gateway, Event::StreamStarted { id }),
             2 => self.handle(gateway, Event::WatchFailed),
-            3 => self.handle(gateway, Event::PeerMessage { from: GatewayId(1), bytes: vec![3, 2, 9] }),
+            3 => self.handle(
+                gateway,
+                Event::PeerMessage {
+                    from: GatewayId(1),
+                    bytes: vec![3, 2, 9],
+                },
+            ),
             _ => {}
         }
     }
@@ -256,7 +290,11 @@
         match action {
             Action::SendAttempt { id, server, .. } => self.send_attempt(gateway, id, server),
             Action::CancelAttempt { id, attempt } => {
-                self.cancel_attempt(AttemptKey { gateway, request: id, attempt });
+                self.cancel_attempt(AttemptKey {
+                    gateway,
+                    request: id,
+                    attempt,
+                });
             }
             Action::Broadcast { bytes } => {
                 for to in (0..self.gateways.len()).filter(|to| *to != gateway) {
@@ -265,19 +303,40 @@
             }
             Action::SendToPeer { to, bytes } => self.send_message(gateway, to.0 as usize, bytes),
             Action::SetTimer { after, token } => {
-                let delay = if self.random.u8(0..200) == 0 { 80 * MS } else { 0 };
+                let delay = if self.random.u8(0..200) == 0 {
+                    80 * MS
+                } else {
+                    0
+                };
                 self.schedule_event(after + delay, gateway, Event::TimerFired { token });
             }
-            Action::Reject { .. } | Action::Fail { .. } | Action::WatchEndpoints | Action::Warn(_) => {}
+            Action::Reject { .. }
+            | Action::Fail { .. }
+            | Action::WatchEndpoints
+            | Action::Warn(_) => {}
         }
     }
 
     fn send_attempt(&mut self, gateway: usize, request: RequestId, server: ServerId) {
-        let sent = self.attempts_sent.entry((gateway, request.clone())).or_default();
-        let key = AttemptKey { gateway, request, attempt: AttemptNumber(*sent) };
+        let sent = self
+            .attempts_sent
+            .entry((gateway, request.clone()))
+            .or_default();
+        let key = AttemptKey {
+            gateway,
+            request,
+            attempt: AttemptNumber(*sent),
+        };
         *sent += 1;
         let ServedAttempt { latency, outcome } = self.serve(server);
-        self.finish_after(latency, FinishedAttempt { key, server, outcome });
+        self.finish_after(
+            latency,
+            FinishedAttempt {
+                key,
+                server,
+                outcome,
+            },
+        );
     }
 
     fn cancel_attempt(&mut self, key: AttemptKey) {
@@ -287,7 +346,10 @@
         let Some(Scheduled::AttemptFinished(attempt)) = self.schedule.remove(&scheduled) else {
             return;
         };
-        let cancelled = FinishedAttempt { outcome: AttemptOutcome::Cancelled, ..attempt };
+        let cancelled = FinishedAttempt {
+            outcome: AttemptOutcome::Cancelled,
+            ..attempt
+        };
         self.finish_after(MS, cancelled);
     }
 
@@ -301,7 +363,10 @@
         let lost = self.random.u8(0..20) == 0 || to >= self.gateways.len();
         let after = self.random.u64(MS..25 * MS);
         if !lost {
-            let event = Event::PeerMessage { from: GatewayId(from as u32), bytes };
+            let event = Event::PeerMessage {
+                from: GatewayId(from as u32),
+                bytes,
+            };
             self.schedule_event(after, to, event);
         }
     }
@@ -309,7 +374,10 @@
     fn serve(&mut self, server: ServerId) -> ServedAttempt {
         match self.servers.get_mut(&server) {
             Some(server) => server.serve(&mut self.random),
-            None => ServedAttempt { latency: MS, outcome: AttemptOutcome::Unreachable },
+            None => ServedAttempt {
+                latency: MS,
+                outcome: AttemptOutcome::Unreachable,
+            },
         }
     }
 
@@ -320,7 +388,14 @@
         }
     }
 
-    fn finish_attempt(&mut self, FinishedAttempt { key, server, outcome }: FinishedAttempt) {
+    fn finish_attempt(
+        &mut self,
+        FinishedAttempt {
+            key,
+            server,
+            outcome,
+        }: FinishedAttempt,
+    ) {
         self.occurred.insert(name_of(&outcome));
         self.in_flight.remove(&key);
         let in_flight = self.servers.get_mut(&server).map_or(0, |server| {
@@ -333,8 +408,21 @@
         );
         let reported_load = (answered && self.random.bool()).then_some(f64::from(in_flight));
         let closed = outcome == AttemptOutcome::Success || self.random.u8(0..10) == 0;
-        let AttemptKey { gateway, request: id, attempt } = key;
-        self.handle(gateway, Event::AttemptFinished { id, attempt, outcome, closed, reported_load });
+        let AttemptKey {
+            gateway,
+            request: id,
+            attempt,
+        } = key;
+        self.handle(
+            gateway,
+            Event::AttemptFinished {
+                id,
+                attempt,
+                outcome,
+                closed,
+                reported_load,
+            },
+        );
     }
 
     /// Runs for the whole span, with few requests and many by turns.
@@ -347,13 +435,23 @@
         while self.now < STARTED_AT + SPAN {
             self.step(&mut next);
         }
-        SimulationResult { digest: self.digest.finish(), occurred: self.occurred }
+        SimulationResult {
+            digest: self.digest.finish(),
+            occurred: self.occurred,
+        }
     }
 
     /// What comes first: something scheduled, a request, or a change of endpoints or of health.
     fn step(&mut self, next: &mut NextSteps) {
-        let scheduled = self.schedule.keys().next().map_or(Micros::MAX, |key| key.at);
-        let first = scheduled.min(next.request).min(next.endpoint_change).min(next.health_change);
+        let scheduled = self
+            .schedule
+            .keys()
+            .next()
+            .map_or(Micros::MAX, |key| key.at);
+        let first = scheduled
+            .min(next.request)
+            .min(next.endpoint_change)
+            .min(next.health_change);
         self.now = self.now.max(first);
         if first == scheduled {
             if let Some((_, scheduled)) = self.schedule.pop_first() {
--- a/crates/gateway-core/tests/server_table.rs
+++ b/crates/gateway-core/tests/server_table.rs
@@ -30,7 +30,10 @@
 fn a_second_of_requests_visits_little_more_entries_of_a_long_list() {
     let few = entries_visited_in_a_second(14);
     let many = entries_visited_in_a_second(MANY);
-    assert!(few > 200 && many <= 2 * few, "{few} of 14 servers, {many} of {MANY}");
+    assert!(
+        few > 200 && many <= 2 * few,
+        "{few} of 14 servers, {many} of {MANY}"
+    );
 }
 
 #[test]
@@ -40,9 +43,18 @@
     for number in 0..1_000 {
         let server = endpoint(number / 3 * 331);
         let changed = match number % 3 {
-            0 => Endpoint { state: EndpointState::Draining, ..server },
-            1 => Endpoint { state: EndpointState::Gone, ..server },
-            _ => Endpoint { started_at: Some(pair.now), ..server },
+            0 => Endpoint {
+                state: EndpointState::Draining,
+                ..server
+            },
+            1 => Endpoint {
+                state: EndpointState::Gone,
+                ..server
+            },
+            _ => Endpoint {
+                started_at: Some(pair.now),
+                ..server
+            },
         };
         let before = pair.gateways[0].entries_visited();
         pair.gateways[0].handle(pair.now, delta(vec![changed]), &mut Vec::new());
@@ -69,8 +81,10 @@
         "{} of a subset of {subset_size}",
         used.len()
     );
-    let remove =
-        |server: &ServerId| Endpoint { state: EndpointState::Gone, ..endpoint(server_number(*server)) };
+    let remove = |server: &ServerId| Endpoint {
+        state: EndpointState::Gone,
+        ..endpoint(server_number(*server))
+    };
     let removed: Vec<_> = used.iter().take(subset_size / 2).map(remove).collect();
     pair.handle(0, delta(removed.clone()));
     pair.sent.clear();
@@ -78,9 +92,20 @@
     let later = servers_of_first_gateway(&pair);
     assert!(later.len() > 500, "{} attempts were sent", later.len());
     let is_used = |endpoint: &Endpoint| later.contains(&endpoint.server);
-    assert!(!removed.iter().any(is_used), "a server that is gone was used");
-    let replacements: BTreeSet<_> = later.iter().filter(|server| !used.contains(server)).collect();
-    assert!(replacements.len() >= removed.len() / 2, "{} replaced {}", replacements.len(), removed.len());
+    assert!(
+        !removed.iter().any(is_used),
+        "a server that is gone was used"
+    );
+    let replacements: BTreeSet<_> = later
+        .iter()
+        .filter(|server| !used.contains(server))
+        .collect();
+    assert!(
+        replacements.len() >= removed.len() / 2,
+        "{} replaced {}",
+        replacements.len(),
+        removed.len()
+    );
 }
 
 /// Servers that a snapshot does not list are gone, used or not; those that it lists are there again.
@@ -93,16 +118,28 @@
     }
     pair.sent.clear();
     pair.requests(400..800);
-    assert!(pair.sent.len() > 300, "{} attempts were sent", pair.sent.len());
+    assert!(
+        pair.sent.len() > 300,
+        "{} attempts were sent",
+        pair.sent.len()
+    );
     let is_listed = |server: ServerId, servers: u64| server_number(server) < servers;
-    assert!(pair.sent.iter().all(|attempt| is_listed(attempt.server, 1_000)), "one that was not listed");
+    assert!(
+        pair.sent
+            .iter()
+            .all(|attempt| is_listed(attempt.server, 1_000)),
+        "one that was not listed"
+    );
     for gateway in 0..2 {
         pair.handle(gateway, snapshot(14));
     }
     pair.sent.clear();
     pair.requests(800..1_200);
     let used: BTreeSet<_> = pair.sent.iter().map(|attempt| attempt.server).collect();
-    assert!(used.len() >= 10 && used.iter().all(|server| is_listed(*server, 14)), "{used:?}");
+    assert!(
+        used.len() >= 10 && used.iter().all(|server| is_listed(*server, 14)),
+        "{used:?}"
+    );
 }
 
 /// A keyed request whose repeats are only recognized in one cell is repeated among the few servers of that cell.
@@ -116,7 +153,10 @@
         let first = gateway.server_of(&id).expect("a first attempt");
         gateway.finish(&id, AttemptOutcome::ConnectionLost);
         let repeat = gateway.server_of(&id).expect("a repeat");
-        assert_eq!(gateway.endpoints[&first].cell, gateway.endpoints[&repeat].cell);
+        assert_eq!(
+            gateway.endpoints[&first].cell,
+            gateway.endpoints[&repeat].cell
+        );
         gateway.finish(&id, AttemptOutcome::Success);
     }
 }
--- a/crates/gateway-core/tests/unit/fuzzy_controller.rs
+++ b/crates/gateway-core/tests/unit/fuzzy_controller.rs
@@ -10,8 +10,18 @@
     limit: Option<f64>,
 }
 
-const fn tick(latency_ratio: f64, lowest_in_flight: f64, total_in_flight: f64, limit: Option<f64>) -> Tick {
-    Tick { latency_ratio, lowest_in_flight, total_in_flight, limit }
+const fn tick(
+    latency_ratio: f64,
+    lowest_in_flight: f64,
+    total_in_flight: f64,
+    limit: Option<f64>,
+) -> Tick {
+    Tick {
+        latency_ratio,
+        lowest_in_flight,
+        total_in_flight,
+        limit,
+    }
 }
 
 /// Calm, a growing disturbance, a large error that corrects itself, and rest.
--- a/crates/gateway-core/tests/unit/hash_ring.rs
+++ b/crates/gateway-core/tests/unit/hash_ring.rs
@@ -8,7 +8,8 @@
 }
 
 fn subset(ring: &HashRing, gateway: u32, size: usize) -> impl Iterator<Item = ServerId> + '_ {
-    ring.iter_from(ring.position_of(GatewayId(gateway))).take(size)
+    ring.iter_from(ring.position_of(GatewayId(gateway)))
+        .take(size)
 }
 
 #[test]
@@ -36,7 +37,9 @@
     let (before, after) = (ring(0..60), ring(1..60));
     for gateway in 0..100 {
         let old: Vec<_> = subset(&before, gateway, 12).collect();
-        let kept = subset(&after, gateway, 12).filter(|server| old.contains(server)).count();
+        let kept = subset(&after, gateway, 12)
+            .filter(|server| old.contains(server))
+            .count();
         assert!(kept >= 10, "gateway {gateway} keeps {kept} of 12");
     }
 }
--- a/crates/gateway-core/tests/unit/lease.rs
+++ b/crates/gateway-core/tests/unit/lease.rs
@@ -3,7 +3,13 @@
 use super::*;
 
 fn lease() -> Lease {
-    Lease { units: 3.0, expires_at: 100, owner_index: 1, sequence: 7, ..Lease::default() }
+    Lease {
+        units: 3.0,
+        expires_at: 100,
+        owner_index: 1,
+        sequence: 7,
+        ..Lease::default()
+    }
 }
 
 #[test]
@@ -17,10 +23,26 @@
 
 #[test]
 fn it_is_given_back_to_its_own_owner_alone() {
-    assert_eq!(lease().give_back(1), ReturnedLease { sequence: 7, units: 3.0 });
+    assert_eq!(
+        lease().give_back(1),
+        ReturnedLease {
+            sequence: 7,
+            units: 3.0
+        }
+    );
     let mut lease = lease();
-    assert_eq!(lease.give_back(0), ReturnedLease { sequence: 7, units: 0.0 });
-    assert_eq!(lease.consume(0, 1.0), None, "what is given back cannot be used");
+    assert_eq!(
+        lease.give_back(0),
+        ReturnedLease {
+            sequence: 7,
+            units: 0.0
+        }
+    );
+    assert_eq!(
+        lease.consume(0, 1.0),
+        None,
+        "what is given back cannot be used"
+    );
 }
 
 #[test]
@@ -30,9 +52,16 @@
     ledger.grant(gateway, 7, 3.0);
     ledger.grant(gateway, 8, 4.0);
     ledger.grant(gateway, 9, 0.0); // no lease, so the one before stays
-    let returned = |sequence| ReturnedLease { sequence, units: 9.0 };
+    let returned = |sequence| ReturnedLease {
+        sequence,
+        units: 9.0,
+    };
     assert_eq!(ledger.reclaim(gateway, returned(7)), None, "replaced");
-    assert_eq!(ledger.reclaim(other, returned(8)), None, "another gateway's");
+    assert_eq!(
+        ledger.reclaim(other, returned(8)),
+        None,
+        "another gateway's"
+    );
     assert_eq!(ledger.reclaim(gateway, returned(8)), Some(4.0));
     assert_eq!(ledger.reclaim(gateway, returned(8)), None, "again");
 }
--- a/crates/gateway-core/tests/unit/message.rs
+++ b/crates/gateway-core/tests/unit/message.rs
@@ -16,13 +16,23 @@
 
 fn granted(sequence: u16, request_probability: f64, leased_units: f64) -> LeaseAnswer {
     let decision = LeaseDecision::Granted;
-    LeaseAnswer { sequence, grant: LeaseGrant { decision, request_probability, leased_units } }
+    LeaseAnswer {
+        sequence,
+        grant: LeaseGrant {
+            decision,
+            request_probability,
+            leased_units,
+        },
+    }
 }
 
 #[test]
 fn a_report_on_a_class_beyond_the_field_is_left_out() {
     let reports = [1, MAX_CLASSES, MAX_CLASSES + 1].map(report).into();
-    let digest = GossipDigest { reports, ..GossipDigest::default() };
+    let digest = GossipDigest {
+        reports,
+        ..GossipDigest::default()
+    };
     let bytes = encode(&Message::LeaseAnswer(granted(7, 1.0, 0.0), digest));
     let Some(Message::LeaseAnswer(LeaseAnswer { sequence: 7, .. }, digest)) = decode(&bytes) else {
         panic!("an answer")
@@ -57,7 +67,12 @@
 
 fn counts() -> Vec<UsageCount> {
     let counts = [(0x01_0203_0405, 1000), (0xff_ffff_ffff, u16::MAX), (0, 0)];
-    counts.map(|(customer, count)| UsageCount { customer: CustomerId(customer), count }).into()
+    counts
+        .map(|(customer, count)| UsageCount {
+            customer: CustomerId(customer),
+            count,
+        })
+        .into()
 }
 
 fn lease_request() -> LeaseRequest {
@@ -65,11 +80,17 @@
         sequence: 0x1234,
         customer: CustomerId(0x01_0203_0405),
         plan: PlanId(1),
-        gateways: GatewaySet { first: GatewayId(0x0103), count: 300 },
+        gateways: GatewaySet {
+            first: GatewayId(0x0103),
+            count: 300,
+        },
         owner_index: 2,
         units: 2.5,
         requested_units: 100.25,
-        returned: ReturnedLease { sequence: 0x1230, units: 0.5 },
+        returned: ReturnedLease {
+            sequence: 0x1230,
+            units: 0.5,
+        },
     }
 }
 
@@ -83,7 +104,11 @@
         load: Some(7.0),
         age: 320_000,
     };
-    let unknown_load = HealthReport { server: ShortServerId(1), failure_rate: 0.0, ..report(7) };
+    let unknown_load = HealthReport {
+        server: ShortServerId(1),
+        failure_rate: 0.0,
+        ..report(7)
+    };
     GossipDigest {
         throughput: 3.5,
         latency_ratios: vec![0.5, UNKNOWN_RATIO, 1.25],
@@ -93,29 +118,74 @@
 
 /// Destructures, so that a new field can't be forgotten here.
 fn assert_same_digest(decoded: &GossipDigest, expected: &GossipDigest) {
-    let GossipDigest { throughput, latency_ratios, reports } = decoded;
-    assert_eq!((*throughput, latency_ratios), (expected.throughput, &expected.latency_ratios));
+    let GossipDigest {
+        throughput,
+        latency_ratios,
+        reports,
+    } = decoded;
+    assert_eq!(
+        (*throughput, latency_ratios),
+        (expected.throughput, &expected.latency_ratios)
+    );
     assert_eq!(reports.len(), expected.reports.len());
     for (decoded, expected) in reports.iter().zip(&expected.reports) {
-        let HealthReport { server, class, failure_rate, wait, load, age } = decoded;
+        let HealthReport {
+            server,
+            class,
+            failure_rate,
+            wait,
+            load,
+            age,
+        } = decoded;
         assert_eq!((*server, *class), (expected.server, expected.class));
-        assert_eq!((*failure_rate, *wait), (expected.failure_rate, expected.wait));
+        assert_eq!(
+            (*failure_rate, *wait),
+            (expected.failure_rate, expected.wait)
+        );
         assert_eq!((*load, *age), (expected.load, expected.age));
     }
 }
 
 fn assert_same_request(decoded: &LeaseRequest, expected: &LeaseRequest) {
-    let LeaseRequest { sequence, customer, plan, gateways, owner_index, units, requested_units, returned } =
-        decoded;
-    assert_eq!((*sequence, *customer, *plan), (expected.sequence, expected.customer, expected.plan));
-    assert_eq!((*gateways, *owner_index), (expected.gateways, expected.owner_index));
-    assert_eq!((*units, *requested_units), (expected.units, expected.requested_units));
+    let LeaseRequest {
+        sequence,
+        customer,
+        plan,
+        gateways,
+        owner_index,
+        units,
+        requested_units,
+        returned,
+    } = decoded;
+    assert_eq!(
+        (*sequence, *customer, *plan),
+        (expected.sequence, expected.customer, expected.plan)
+    );
+    assert_eq!(
+        (*gateways, *owner_index),
+        (expected.gateways, expected.owner_index)
+    );
+    assert_eq!(
+        (*units, *requested_units),
+        (expected.units, expected.requested_units)
+    );
     assert_eq!(*returned, expected.returned);
 }
 
 fn assert_same_answer(decoded: &LeaseAnswer, expected: &LeaseAnswer) {
-    let LeaseAnswer { sequence, grant: LeaseGrant { decision, request_probability, leased_units } } = decoded;
-    assert_eq!((*sequence, *decision), (expected.sequence, expected.grant.decision));
+    let LeaseAnswer {
+        sequence,
+        grant:
+            LeaseGrant {
+                decision,
+                request_probability,
+                leased_units,
+            },
+    } = decoded;
+    assert_eq!(
+        (*sequence, *decision),
+        (expected.sequence, expected.grant.decision)
+    );
     assert_eq!(*request_probability, expected.grant.request_probability);
     assert_eq!(*leased_units, expected.grant.leased_units);
 }
@@ -123,17 +193,30 @@
 #[test]
 fn usage_counts_have_fixed_bytes() {
     let bytes = bytes_of(USAGE_COUNTS);
-    let usage = UsageCounts { incarnation: 0xdead_f00d, counts: counts() };
+    let usage = UsageCounts {
+        incarnation: 0xdead_f00d,
+        counts: counts(),
+    };
     assert_eq!(encode(&Message::UsageCounts(usage)), bytes);
-    let Some(Message::UsageCounts(decoded)) = decode(&bytes) else { panic!("usage counts") };
-    assert_eq!((decoded.incarnation, decoded.counts), (0xdead_f00d, counts()));
+    let Some(Message::UsageCounts(decoded)) = decode(&bytes) else {
+        panic!("usage counts")
+    };
+    assert_eq!(
+        (decoded.incarnation, decoded.counts),
+        (0xdead_f00d, counts())
+    );
 }
 
 #[test]
 fn a_lease_request_has_fixed_bytes() {
     let bytes = bytes_of(LEASE_REQUEST);
-    assert_eq!(encode(&Message::LeaseRequest(lease_request(), digest())), bytes);
-    let Some(Message::LeaseRequest(request, decoded)) = decode(&bytes) else { panic!("a lease request") };
+    assert_eq!(
+        encode(&Message::LeaseRequest(lease_request(), digest())),
+        bytes
+    );
+    let Some(Message::LeaseRequest(request, decoded)) = decode(&bytes) else {
+        panic!("a lease request")
+    };
     assert_same_request(&request, &lease_request());
     assert_same_digest(&decoded, &digest());
 }
@@ -143,7 +226,9 @@
     let bytes = bytes_of(LEASE_GRANT);
     let answer = granted(0x1234, 1.0, 20.25);
     assert_eq!(encode(&Message::LeaseAnswer(answer, digest())), bytes);
-    let Some(Message::LeaseAnswer(decoded, decoded_digest)) = decode(&bytes) else { panic!("a grant") };
+    let Some(Message::LeaseAnswer(decoded, decoded_digest)) = decode(&bytes) else {
+        panic!("a grant")
+    };
     assert_same_answer(&decoded, &answer);
     assert_same_digest(&decoded_digest, &digest());
 }
@@ -152,10 +237,22 @@
 fn a_refusal_of_a_lease_has_fixed_bytes() {
     let bytes = bytes_of(LEASE_REFUSAL);
     let decision = LeaseDecision::QuotaExceeded;
-    let grant = LeaseGrant { decision, request_probability: 0.2, leased_units: 0.0 };
-    let answer = LeaseAnswer { sequence: u16::MAX, grant };
-    assert_eq!(encode(&Message::LeaseAnswer(answer, GossipDigest::default())), bytes);
-    let Some(Message::LeaseAnswer(decoded, decoded_digest)) = decode(&bytes) else { panic!("a refusal") };
+    let grant = LeaseGrant {
+        decision,
+        request_probability: 0.2,
+        leased_units: 0.0,
+    };
+    let answer = LeaseAnswer {
+        sequence: u16::MAX,
+        grant,
+    };
+    assert_eq!(
+        encode(&Message::LeaseAnswer(answer, GossipDigest::default())),
+        bytes
+    );
+    let Some(Message::LeaseAnswer(decoded, decoded_digest)) = decode(&bytes) else {
+        panic!("a refusal")
+    };
     assert_same_answer(&decoded, &answer);
     assert_same_digest(&decoded_digest, &GossipDigest::default());
 }
@@ -163,9 +260,14 @@
 #[test]
 fn a_permit_release_has_fixed_bytes() {
     let bytes = bytes_of(PERMIT_RELEASE);
-    let release = PermitRelease { sequence: 0x1234, customer: CustomerId(0x01_0203_0405) };
+    let release = PermitRelease {
+        sequence: 0x1234,
+        customer: CustomerId(0x01_0203_0405),
+    };
     assert_eq!(encode(&Message::PermitRelease(release)), bytes);
-    let Some(Message::PermitRelease(decoded)) = decode(&bytes) else { panic!("a permit release") };
+    let Some(Message::PermitRelease(decoded)) = decode(&bytes) else {
+        panic!("a permit release")
+    };
     assert_eq!(decoded, release);
 }
 
@@ -181,12 +283,22 @@
     };
     let latency_ratios = vec![1e6, 0.0, -0.5, 0.03, 0.04, 1.0, 2.0, 15.9, 3.0];
     let reports = vec![extreme(8, 1.0), extreme(0, 2.0), extreme(1, 0.5)];
-    let digest = GossipDigest { throughput: 1e6, latency_ratios, reports };
-    let bytes =
-        bytes_of("04 02 0700 00 ff 0f00 ff 08 fe 00 ff 00 01 10 20 fe 0900 1f ff fe ff 0900 30 ff fe ff");
-    assert_eq!(encode(&Message::LeaseAnswer(granted(7, 2.0, 0.99), digest)), bytes);
+    let digest = GossipDigest {
+        throughput: 1e6,
+        latency_ratios,
+        reports,
+    };
+    let bytes = bytes_of(
+        "04 02 0700 00 ff 0f00 ff 08 fe 00 ff 00 01 10 20 fe 0900 1f ff fe ff 0900 30 ff fe ff",
+    );
+    assert_eq!(
+        encode(&Message::LeaseAnswer(granted(7, 2.0, 0.99), digest)),
+        bytes
+    );
 
-    let Some(Message::LeaseAnswer(decoded, decoded_digest)) = decode(&bytes) else { panic!("a grant") };
+    let Some(Message::LeaseAnswer(decoded, decoded_digest)) = decode(&bytes) else {
+        panic!("a grant")
+    };
     assert_same_answer(&decoded, &granted(7, 1.0, 0.9375));
     let nearest = |class: usize, failure_rate: f64| HealthReport {
         wait: 2_040_000.0,
@@ -211,29 +323,53 @@
 
 #[test]
 fn a_message_is_no_longer_than_a_datagram_holds() {
-    let usage_count = UsageCount { customer: CustomerId(1), count: 1 };
-    let usage = UsageCounts { incarnation: 0, counts: vec![usage_count; MAX_USAGE_COUNTS + 1] };
-    assert_eq!((MAX_USAGE_COUNTS, encode(&Message::UsageCounts(usage)).len()), (35, 251));
+    let usage_count = UsageCount {
+        customer: CustomerId(1),
+        count: 1,
+    };
+    let usage = UsageCounts {
+        incarnation: 0,
+        counts: vec![usage_count; MAX_USAGE_COUNTS + 1],
+    };
+    assert_eq!(
+        (MAX_USAGE_COUNTS, encode(&Message::UsageCounts(usage)).len()),
+        (35, 251)
+    );
     let reports = |number: usize| {
         bytes_of(&("04 02 0700 00 ff 0000 00 00".to_owned() + &" 0900 00 00 00 00".repeat(number)))
     };
     assert_eq!(reports(41).len(), 256);
     assert!(decode(&reports(41)).is_some());
-    assert!(decode(&reports(42)).is_none(), "too long, though well formed");
-    let counts =
-        |number: usize| bytes_of(&("04 00 00000000".to_owned() + &" 0100000000 0100".repeat(number)));
+    assert!(
+        decode(&reports(42)).is_none(),
+        "too long, though well formed"
+    );
+    let counts = |number: usize| {
+        bytes_of(&("04 00 00000000".to_owned() + &" 0100000000 0100".repeat(number)))
+    };
     assert!(decode(&counts(35)).is_some());
-    assert!(decode(&counts(36)).is_none(), "too long, though well formed");
+    assert!(
+        decode(&counts(36)).is_none(),
+        "too long, though well formed"
+    );
 }
 
 /// Lengths at which a message that is cut short still reads as a shorter one: after a whole count or health report.
 fn lengths_that_decode(message: &[u8]) -> Vec<usize> {
-    (0..message.len()).filter(|length| decode(&message[..*length]).is_some()).collect()
+    (0..message.len())
+        .filter(|length| decode(&message[..*length]).is_some())
+        .collect()
 }
 
 #[test]
 fn malformed_bytes_are_refused() {
-    for hex in [USAGE_COUNTS, LEASE_REQUEST, LEASE_GRANT, LEASE_REFUSAL, PERMIT_RELEASE] {
+    for hex in [
+        USAGE_COUNTS,
+        LEASE_REQUEST,
+        LEASE_GRANT,
+        LEASE_REFUSAL,
+        PERMIT_RELEASE,
+    ] {
         let message = bytes_of(hex);
         assert!(decode(&message).is_some(), "{hex}");
         for version in (0..=u8::MAX).filter(|version| *version != 4) {
@@ -248,14 +384,26 @@
         assert!(decode(&too_long).is_none(), "too long: {hex}");
     }
     assert_eq!(lengths_that_decode(&bytes_of(USAGE_COUNTS)), [6, 13, 20]);
-    assert_eq!(lengths_that_decode(&bytes_of(LEASE_REQUEST)), [LEASE_REQUEST_HEAD, LEASE_REQUEST_HEAD + 6]);
-    assert_eq!(lengths_that_decode(&bytes_of(LEASE_GRANT)), [LEASE_GRANT_HEAD, LEASE_GRANT_HEAD + 6]);
+    assert_eq!(
+        lengths_that_decode(&bytes_of(LEASE_REQUEST)),
+        [LEASE_REQUEST_HEAD, LEASE_REQUEST_HEAD + 6]
+    );
+    assert_eq!(
+        lengths_that_decode(&bytes_of(LEASE_GRANT)),
+        [LEASE_GRANT_HEAD, LEASE_GRANT_HEAD + 6]
+    );
     assert!(lengths_that_decode(&bytes_of(LEASE_REFUSAL)).is_empty());
     assert!(lengths_that_decode(&bytes_of(PERMIT_RELEASE)).is_empty());
     for kind in 4..=u8::MAX {
-        assert!(decode(&[4, kind, 0, 0, 0, 0, 0, 0, 0, 0]).is_none(), "kind {kind}");
+        assert!(
+            decode(&[4, kind, 0, 0, 0, 0, 0, 0, 0, 0]).is_none(),
+            "kind {kind}"
+        );
     }
     for decision in 2..=u8::MAX {
-        assert!(decode(&[4, 2, 0, 0, decision, 0, 0, 0, 0, 0]).is_none(), "decision {decision}");
+        assert!(
+            decode(&[4, 2, 0, 0, decision, 0, 0, 0, 0, 0]).is_none(),
+            "decision {decision}"
+        );
     }
 }
--- a/crates/gateway-core/tests/unit/peer_usage.rs
+++ b/crates/gateway-core/tests/unit/peer_usage.rs
@@ -12,7 +12,10 @@
 /// The increases that counts of incarnation 5 give, one ms after the other.
 fn deltas(counts: &[u16]) -> Vec<u16> {
     let mut peer = known_peer();
-    (1..).zip(counts).map(|(ms, count)| peer.delta(ms * 1000, 5, *count)).collect()
+    (1..)
+        .zip(counts)
+        .map(|(ms, count)| peer.delta(ms * 1000, 5, *count))
+        .collect()
 }
 
 #[test]
@@ -27,7 +30,11 @@
 fn a_peer_that_restarted_or_evicted_the_customer_counts_from_zero() {
     assert_eq!(known_peer().delta(1, 6, 3), 3, "restarted");
     assert_eq!(known_peer().delta(USAGE_WINDOW, 5, 3), 0, "late");
-    assert_eq!(known_peer().delta(USAGE_WINDOW + 1, 5, 3), 3, "evicted: it was silent for a window");
+    assert_eq!(
+        known_peer().delta(USAGE_WINDOW + 1, 5, 3),
+        3,
+        "evicted: it was silent for a window"
+    );
 }
 
 #[test]
--- a/crates/gateway-core/tests/unit/permits.rs
+++ b/crates/gateway-core/tests/unit/permits.rs
@@ -4,11 +4,17 @@
 
 #[test]
 fn a_permit_is_in_use_until_it_is_released_or_expires() {
-    let holder = |sequence| PermitHolder { gateway: GatewayId(1), sequence };
+    let holder = |sequence| PermitHolder {
+        gateway: GatewayId(1),
+        sequence,
+    };
     let mut permits = ConcurrencyPermits::default();
     (0..3).for_each(|sequence| permits.acquire(holder(sequence), 100 + Micros::from(sequence)));
     permits.release(holder(9));
-    permits.release(PermitHolder { gateway: GatewayId(2), sequence: 2 });
+    permits.release(PermitHolder {
+        gateway: GatewayId(2),
+        sequence: 2,
+    });
     assert_eq!(permits.in_use(), 3, "nobody else's is released");
     permits.release(holder(2));
     assert_eq!(permits.in_use(), 2);
--- a/crates/gateway-core/tests/unit/request.rs
+++ b/crates/gateway-core/tests/unit/request.rs
@@ -5,15 +5,25 @@
 #[test]
 fn half_time_lies_between_arrival_and_deadline() {
     assert_eq!(Request::arriving(100, 50).half_time(), 125);
-    assert_eq!(Request::arriving(100, Micros::MAX).deadline, Micros::MAX, "no overflow");
+    assert_eq!(
+        Request::arriving(100, Micros::MAX).deadline,
+        Micros::MAX,
+        "no overflow"
+    );
 }
 
 #[test]
 fn attempts_are_numbered_from_zero_and_may_be_cancelled_anew() {
-    let mut request = Request { cancelled: true, ..Request::default() };
+    let mut request = Request {
+        cancelled: true,
+        ..Request::default()
+    };
     assert_eq!(request.attempt_sent(ServerId(1)), AttemptNumber(0));
     assert_eq!(request.attempt_sent(ServerId(2)), AttemptNumber(1));
-    assert_eq!((request.in_flight, request.last_server), (Some(AttemptNumber(1)), Some(ServerId(2))));
+    assert_eq!(
+        (request.in_flight, request.last_server),
+        (Some(AttemptNumber(1)), Some(ServerId(2)))
+    );
     assert!(!request.cancelled);
 }
 
--- a/crates/gateway-core/tests/unit/server.rs
+++ b/crates/gateway-core/tests/unit/server.rs
@@ -4,7 +4,11 @@
 use crate::types::ServerId;
 
 fn server() -> Server {
-    let endpoint = Endpoint { server: ServerId(1), started_at: Some(1000), ..Endpoint::default() };
+    let endpoint = Endpoint {
+        server: ServerId(1),
+        started_at: Some(1000),
+        ..Endpoint::default()
+    };
     Server::unknown(endpoint, 0, 1)
 }
 
@@ -19,7 +23,10 @@
 
 #[test]
 fn the_connect_backoff_doubles_up_to_its_limit_and_ends_with_a_connection() {
-    let backoff = ConnectBackoff { first: 10, max_doublings: 2 };
+    let backoff = ConnectBackoff {
+        first: 10,
+        max_doublings: 2,
+    };
     let mut server = server();
     let until = [10, 20, 40, 40].map(|_| {
         server.observe_connect(1000, true, backoff);
@@ -34,7 +41,12 @@
 
 #[test]
 fn its_capacity_grows_from_its_start_over_the_warm_up() {
-    let rules = Rules { warm_up_from: 0.25, warm_up_period: 100, overload_multiple: 3.0, overload_window: 1 };
+    let rules = Rules {
+        warm_up_from: 0.25,
+        warm_up_period: 100,
+        overload_multiple: 3.0,
+        overload_window: 1,
+    };
     let fractions = [1000, 1050, 1100, 5000].map(|now| server().warm_up_fraction(&rules, now));
     assert_eq!(fractions, [0.25, 0.625, 1.0, 1.0]);
     let long_running = Server::unknown(Endpoint::default(), 0, 1);
--- a/crates/gateway-core/tests/unit/server_table.rs
+++ b/crates/gateway-core/tests/unit/server_table.rs
@@ -18,7 +18,12 @@
 #[derive(Clone, Debug)]
 enum Step {
     Update(EndpointUpdate, Vec<Endpoint>),
-    ObserveHealth { server: ServerId, class: usize, failure_rate: f64, next_probe_at: Option<Micros> },
+    ObserveHealth {
+        server: ServerId,
+        class: usize,
+        failure_rate: f64,
+        next_probe_at: Option<Micros>,
+    },
     Track(ServerId),
     SendAttempt(ServerId),
     FinishAttempt(ServerId),
@@ -58,9 +63,14 @@
 
 fn observe_health() -> impl Strategy<Value = Step> {
     let next_probe_at = proptest::option::of(1..200u64);
-    (server(), 0..CLASSES, 0..=4u32, next_probe_at).prop_map(|(server, class, quarters, next_probe_at)| {
-        Step::ObserveHealth { server, class, failure_rate: f64::from(quarters) / 4.0, next_probe_at }
-    })
+    (server(), 0..CLASSES, 0..=4u32, next_probe_at).prop_map(
+        |(server, class, quarters, next_probe_at)| Step::ObserveHealth {
+            server,
+            class,
+            failure_rate: f64::from(quarters) / 4.0,
+            next_probe_at,
+        },
+    )
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -102,7 +112,12 @@
 
 impl ReferenceServer {
     fn unknown(endpoint: Endpoint, now: Micros) -> Self {
-        ReferenceServer { endpoint, health: Default::default(), in_flight: 0, last_used_at: now }
+        ReferenceServer {
+            endpoint,
+            health: Default::default(),
+            in_flight: 0,
+            last_used_at: now,
+        }
     }
 
     fn is_ready(&self) -> bool {
@@ -114,7 +129,9 @@
     }
 
     fn is_ejected(&self) -> bool {
-        self.health.iter().any(|health| health.next_probe_at.is_some())
+        self.health
+            .iter()
+            .any(|health| health.next_probe_at.is_some())
     }
 }
 
@@ -136,7 +153,8 @@
 
     /// Health of the ready servers with a class.
     fn health_of(&self, class: usize) -> impl Iterator<Item = (ServerId, ReferenceHealth)> + '_ {
-        self.ready().map(move |server| (server.endpoint.server, server.health[class]))
+        self.ready()
+            .map(move |server| (server.endpoint.server, server.health[class]))
     }
 
     fn apply_update(&mut self, now: Micros, kind: EndpointUpdate, endpoints: &[Endpoint]) {
@@ -152,20 +170,28 @@
 
     fn list(&mut self, now: Micros, endpoint: Endpoint) {
         let fresh = ReferenceServer::unknown(endpoint, now);
-        let server = self.servers.entry(endpoint.server).or_insert_with(|| fresh.clone());
+        let server = self
+            .servers
+            .entry(endpoint.server)
+            .or_insert_with(|| fresh.clone());
         if endpoint.state != EndpointState::Ready {
             server.endpoint.state = endpoint.state;
             return;
         }
         if server.endpoint.started_at != endpoint.started_at {
-            *server = ReferenceServer { in_flight: server.in_flight, ..fresh };
+            *server = ReferenceServer {
+                in_flight: server.in_flight,
+                ..fresh
+            };
         }
         server.endpoint = endpoint;
     }
 
     fn evict_idle(&mut self, now: Micros) {
         let walks_all = self.ready().count() <= self.max_walked;
-        self.servers.retain(|_, server| server.in_flight > 0 || server.endpoint.state != EndpointState::Gone);
+        self.servers.retain(|_, server| {
+            server.in_flight > 0 || server.endpoint.state != EndpointState::Gone
+        });
         for server in self.servers.values_mut() {
             let is_idle = server.in_flight == 0 && now - server.last_used_at >= MAX_IDLE;
             if !walks_all && is_idle && !server.is_ejected() {
@@ -219,7 +245,10 @@
     fn new(max_walked: usize) -> Self {
         Comparison {
             table: ServerTable::new(&settings(), max_walked),
-            reference: ReferenceTable { max_walked, ..ReferenceTable::default() },
+            reference: ReferenceTable {
+                max_walked,
+                ..ReferenceTable::default()
+            },
             now: 60,
         }
     }
@@ -231,8 +260,17 @@
                 self.reference.apply_update(now, kind, &endpoints);
                 self.table.apply_update(now, kind, endpoints);
             }
-            Step::ObserveHealth { server, class, failure_rate, next_probe_at } => {
-                let health = ReferenceHealth { failure_rate, next_probe_at, observed_at: now };
+            Step::ObserveHealth {
+                server,
+                class,
+                failure_rate,
+                next_probe_at,
+            } => {
+                let health = ReferenceHealth {
+                    failure_rate,
+                    next_probe_at,
+                    observed_at: now,
+                };
                 self.observe_health(&server, class, health)?;
             }
             Step::Track(id) => {
@@ -257,7 +295,12 @@
         self.forget_unused()
     }
 
-    fn observe_health(&mut self, id: &ServerId, class: usize, observed: ReferenceHealth) -> CheckResult {
+    fn observe_health(
+        &mut self,
+        id: &ServerId,
+        class: usize,
+        observed: ReferenceHealth,
+    ) -> CheckResult {
         // Of one that is not ready and was never used the table knows nothing: it need not.
         let Some(mut server) = self.table.get_mut(self.now, id) else {
             return Ok(());
@@ -290,11 +333,20 @@
     /// may evict only what has no attempt in flight and no observation; the reference then forgets it too.
     fn forget_unused(&mut self) -> CheckResult {
         let table = &self.table;
-        let is_evicted =
-            |server: &&ReferenceServer| !server.is_ready() && table.get(&server.endpoint.server).is_none();
-        let evicted: Vec<_> = self.reference.servers.values().filter(is_evicted).cloned().collect();
+        let is_evicted = |server: &&ReferenceServer| {
+            !server.is_ready() && table.get(&server.endpoint.server).is_none()
+        };
+        let evicted: Vec<_> = self
+            .reference
+            .servers
+            .values()
+            .filter(is_evicted)
+            .cloned()
+            .collect();
         for server in evicted {
-            prop_assert!(server.in_flight == 0 && server.health == [ReferenceHealth::default(); CLASSES]);
+            prop_assert!(
+                server.in_flight == 0 && server.health == [ReferenceHealth::default(); CLASSES]
+            );
             self.reference.servers.remove(&server.endpoint.server);
         }
         Ok(())
@@ -312,19 +364,28 @@
     fn check_ready_servers(&mut self) -> CheckResult {
         let ids = self.reference.ready_ids();
         prop_assert_eq!(self.table.ready_count(), ids.len());
-        prop_assert_eq!(self.table.walks_all(), ids.len() <= self.reference.max_walked);
+        prop_assert_eq!(
+            self.table.walks_all(),
+            ids.len() <= self.reference.max_walked
+        );
         let ring: HashRing = ids.iter().copied().collect();
         for position in 0..3 {
             let servers: Vec<_> = self.table.ring_from(position).collect();
             prop_assert_eq!(servers, ring.iter_from(position).collect::<Vec<_>>());
         }
         for cell in (0..3).map(CellId) {
-            let members = self.reference.ready().filter(|server| server.endpoint.cell == cell);
+            let members = self
+                .reference
+                .ready()
+                .filter(|server| server.endpoint.cell == cell);
             let members: Vec<_> = members.map(|server| server.endpoint.server).collect();
             prop_assert_eq!(self.table.in_cell(cell).collect::<Vec<_>>(), members);
         }
         let is_warm = |started_at: Micros| started_at + WARM_UP <= self.now;
-        let warm = self.reference.ready().filter(|server| server.endpoint.started_at.is_none_or(is_warm));
+        let warm = self
+            .reference
+            .ready()
+            .filter(|server| server.endpoint.started_at.is_none_or(is_warm));
         let warm_count = warm.count();
         prop_assert_eq!(self.table.warm_count(self.now), warm_count);
         Ok(())
@@ -335,10 +396,16 @@
         let health = || self.reference.health_of(class);
         let sum: f64 = health().map(|(_, health)| health.failure_rate).sum();
         prop_assert!((self.table.failure_rate_sum(id) - sum).abs() < 1e-6);
-        let ejected = health().filter(|(_, health)| health.next_probe_at.is_some()).count();
+        let ejected = health()
+            .filter(|(_, health)| health.next_probe_at.is_some())
+            .count();
         prop_assert_eq!(self.table.ejected_count(id), ejected);
-        let probe = |(server, health): (ServerId, ReferenceHealth)| Some((health.next_probe_at?, server));
-        let mut due: Vec<_> = health().filter_map(probe).filter(|(at, _)| *at <= self.now).collect();
+        let probe =
+            |(server, health): (ServerId, ReferenceHealth)| Some((health.next_probe_at?, server));
+        let mut due: Vec<_> = health()
+            .filter_map(probe)
+            .filter(|(at, _)| *at <= self.now)
+            .collect();
         due.sort_unstable();
         let due: Vec<_> = due.into_iter().map(|(_, server)| server).collect();
         prop_assert_eq!(self.table.probes_due(id, self.now).collect::<Vec<_>>(), due);
@@ -349,18 +416,34 @@
         let start = self.now.saturating_sub(OBSERVED_WITHIN);
         let mut observed = Vec::new();
         for class in 0..CLASSES {
-            let recent = self.reference.health_of(class).filter(|(_, health)| health.observed_at > start);
-            observed.extend(recent.map(|(server, health)| (health.observed_at, server, ClassId(class))));
+            let recent = self
+                .reference
+                .health_of(class)
+                .filter(|(_, health)| health.observed_at > start);
+            observed.extend(
+                recent.map(|(server, health)| (health.observed_at, server, ClassId(class))),
+            );
         }
         observed.sort_unstable_by(|a, b| b.cmp(a));
-        let observed: Vec<_> = observed.into_iter().map(|(_, server, class)| (server, class)).collect();
-        prop_assert_eq!(self.table.observed_after(start).collect::<Vec<_>>(), observed);
+        let observed: Vec<_> = observed
+            .into_iter()
+            .map(|(_, server, class)| (server, class))
+            .collect();
+        prop_assert_eq!(
+            self.table.observed_after(start).collect::<Vec<_>>(),
+            observed
+        );
         Ok(())
     }
 
     /// Whatever was observed is kept, with the attempts in flight.
     fn check_kept_health(&self) -> CheckResult {
-        for known in self.reference.servers.values().filter(|server| server.was_observed()) {
+        for known in self
+            .reference
+            .servers
+            .values()
+            .filter(|server| server.was_observed())
+        {
             let kept = self.table.get(&known.endpoint.server).map(|server| {
                 let health = server.health.iter().map(ReferenceHealth::from);
                 (health.collect::<Vec<_>>(), server.in_flight)
--- a/crates/gateway-core/tests/unit/settings.rs
+++ b/crates/gateway-core/tests/unit/settings.rs
@@ -13,7 +13,9 @@
 #[test]
 fn zones_are_optional_and_the_own_one_must_be_listed() {
     let resolved = parse(SETTINGS).expect("valid settings");
-    assert!(resolved.zone_names.is_empty() && resolved.settings.permissions.max_retry_after.is_none());
+    assert!(
+        resolved.zone_names.is_empty() && resolved.settings.permissions.max_retry_after.is_none()
+    );
     let with_zones = |zones: &str| SETTINGS.replacen('{', &format!("{{{zones},"), 1);
     assert!(parse(&with_zones(r#""zones":["a"],"zone":"a""#)).is_ok());
     let unlisted = with_zones(r#""zones":["a"],"zone":"b""#);
--- a/crates/gateway-core/tests/unit/token_bucket.rs
+++ b/crates/gateway-core/tests/unit/token_bucket.rs
@@ -13,13 +13,24 @@
         weight: 1.0,
         over_quota_weight: 0.0,
         over_quota_cost: 0.0,
-        hard_limit: Some(HardLimit { rate: 4.0, capacity: 8.0 }),
+        hard_limit: Some(HardLimit {
+            rate: 4.0,
+            capacity: 8.0,
+        }),
     }
 }
 
 fn config(plan: &Plan, gateways: u32) -> BucketConfig<'_> {
-    let gateways = GatewaySet { first: GatewayId(0), count: gateways };
-    BucketConfig { plan_id: PlanId(0), plan, gateways, max_request_units: 1.0 }
+    let gateways = GatewaySet {
+        first: GatewayId(0),
+        count: gateways,
+    };
+    BucketConfig {
+        plan_id: PlanId(0),
+        plan,
+        gateways,
+        max_request_units: 1.0,
+    }
 }
 
 /// A new bucket of a customer with so many gateways, at time 0.
@@ -66,7 +77,13 @@
     bucket.grant_lease(GatewayId(1), 5, 6.0);
     assert_eq!((bucket.tokens, bucket.hard_limit_tokens), (14.0, -6.0));
     for _ in 0..2 {
-        bucket.reclaim(GatewayId(1), ReturnedLease { sequence: 5, units: 2.0 });
+        bucket.reclaim(
+            GatewayId(1),
+            ReturnedLease {
+                sequence: 5,
+                units: 2.0,
+            },
+        );
         assert_eq!((bucket.tokens, bucket.hard_limit_tokens), (16.0, -4.0));
     }
 }
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -32,7 +32,12 @@
     ///
     /// # Errors
     /// The line is malformed, or its gateway was never started.
-    pub(crate) fn handle(&mut self, now: Micros, line: &Line, reply: &mut String) -> Result<(), LineError> {
+    pub(crate) fn handle(
+        &mut self,
+        now: Micros,
+        line: &Line,
+        reply: &mut String,
+    ) -> Result<(), LineError> {
         let number: u64 = line.parsed("i")?;
         match line.name {
             "hello" => self.start(number, now, line),
@@ -48,7 +53,8 @@
         // Of the seed, the lower 64 bits are used.
         let gateway = Gateway::new(seed as u64, settings.settings.clone(), now)
             .map_err(|error| line.error(LineErrorKind::InvalidSettings(error)))?;
-        self.gateways.insert(number, GatewayInstance { gateway, settings });
+        self.gateways
+            .insert(number, GatewayInstance { gateway, settings });
         Ok(())
     }
 
@@ -60,9 +66,16 @@
     }
 
     fn handle_event(
-        &mut self, number: u64, now: Micros, line: &Line, reply: &mut String,
+        &mut self,
+        number: u64,
+        now: Micros,
+        line: &Line,
+        reply: &mut String,
     ) -> Result<(), LineError> {
-        let instance = self.gateways.get_mut(&number).ok_or_else(|| unknown_gateway(number, line))?;
+        let instance = self
+            .gateways
+            .get_mut(&number)
+            .ok_or_else(|| unknown_gateway(number, line))?;
         let Some(event) = translate::event(line, &instance.settings, &self.lists)? else {
             return Ok(());
         };
@@ -76,5 +89,8 @@
 }
 
 fn unknown_gateway(gateway: u64, line: &Line) -> LineError {
-    line.error(LineErrorKind::UnknownGateway { name: line.name.to_owned(), gateway })
+    line.error(LineErrorKind::UnknownGateway {
+        name: line.name.to_owned(),
+        gateway,
+    })
 }
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -22,7 +22,11 @@
 impl<R: BufRead> LineReader<R> {
     /// Reads the lines of `input`.
     pub(crate) fn new(input: R) -> LineReader<R> {
-        LineReader { input, number: 0, buffer: String::new() }
+        LineReader {
+            input,
+            number: 0,
+            buffer: String::new(),
+        }
     }
 
     /// Reads the first line of the next frame: its time in µs, or `None` at the end of the input.
@@ -52,7 +56,10 @@
 
     /// An error at the line that was read last.
     pub(crate) fn error(&self, kind: LineErrorKind) -> LineError {
-        LineError { line: self.number, kind }
+        LineError {
+            line: self.number,
+            kind,
+        }
     }
 
     /// Reads a line into the buffer, without its end; false at the end of the input.
@@ -79,7 +86,9 @@
 /// # Errors
 /// A line cannot be read or is malformed. The frame gets no reply then.
 pub(crate) fn process(
-    reader: &mut LineReader<impl BufRead>, now: Micros, adapter: &mut Adapter,
+    reader: &mut LineReader<impl BufRead>,
+    now: Micros,
+    adapter: &mut Adapter,
 ) -> Result<String, LineError> {
     let mut reply = String::new();
     loop {
@@ -117,7 +126,10 @@
     }
 }
 
-fn read_list(reader: &mut LineReader<impl BufRead>, length: usize) -> Result<Vec<ListedEndpoint>, LineError> {
+fn read_list(
+    reader: &mut LineReader<impl BufRead>,
+    length: usize,
+) -> Result<Vec<ListedEndpoint>, LineError> {
     let mut endpoints = Vec::new();
     for _ in 0..length {
         let line = reader.next_in_frame()?;
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -22,7 +22,9 @@
     let mut adapter = Adapter::default();
     while let Some(now) = reader.next_frame()? {
         let reply = frame::process(&mut reader, now, &mut adapter)?;
-        let written = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+        let written = output
+            .write_all(reply.as_bytes())
+            .and_then(|()| output.flush());
         written.map_err(|error| reader.error(LineErrorKind::Write(error)))?;
     }
     Ok(())
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -96,12 +96,19 @@
     /// Splits the name from the fields. `number` is the number of the line.
     pub(crate) fn split(number: usize, text: &'a str) -> Line<'a> {
         let (name, fields) = text.split_once('\t').unwrap_or((text, ""));
-        Line { number, name, fields }
+        Line {
+            number,
+            name,
+            fields,
+        }
     }
 
     /// An error at this line.
     pub(crate) fn error(&self, kind: LineErrorKind) -> LineError {
-        LineError { line: self.number, kind }
+        LineError {
+            line: self.number,
+            kind,
+        }
     }
 
     /// The error that a field has a value that it cannot have.
@@ -112,7 +119,10 @@
     }
 
     fn missing(&self, field: &'static str) -> LineError {
-        self.error(LineErrorKind::MissingField { name: self.name.to_owned(), field })
+        self.error(LineErrorKind::MissingField {
+            name: self.name.to_owned(),
+            field,
+        })
     }
 
     /// Checks that this is the line that has to stand here.
@@ -123,12 +133,17 @@
         if self.name == expected {
             return Ok(());
         }
-        Err(self.error(LineErrorKind::UnexpectedName { expected, found: self.name.to_owned() }))
+        Err(self.error(LineErrorKind::UnexpectedName {
+            expected,
+            found: self.name.to_owned(),
+        }))
     }
 
     /// The value of a field, if the line has it.
     pub(crate) fn optional(&self, field: &str) -> Option<&'a str> {
-        self.fields.split('\t').find_map(|part| value_of(part, field))
+        self.fields
+            .split('\t')
+            .find_map(|part| value_of(part, field))
     }
 
     /// The value of a field.
@@ -168,7 +183,11 @@
     ///
     /// # Errors
     /// The field cannot be parsed.
-    pub(crate) fn parsed_or<T: FromStr>(&self, field: &'static str, default: T) -> Result<T, LineError> {
+    pub(crate) fn parsed_or<T: FromStr>(
+        &self,
+        field: &'static str,
+        default: T,
+    ) -> Result<T, LineError> {
         match self.optional(field) {
             Some(value) => value.parse().map_err(|_| self.invalid(field)),
             None => Ok(default),
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -19,7 +19,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let gateway = self.gateway;
         match self.action {
-            Action::SendAttempt { id, server, timeout } => {
+            Action::SendAttempt {
+                id,
+                server,
+                timeout,
+            } => {
                 write!(f, "send\ti={gateway}\tcall={}\tserver={}", id.0, server.0)?;
                 write_optional(f, "tryForUs", *timeout)
             }
@@ -35,7 +39,12 @@
                 write!(f, "tell\ti={gateway}\taddressee=*\tblob={}", Hex(bytes))
             }
             Action::SendToPeer { to, bytes } => {
-                write!(f, "tell\ti={gateway}\taddressee={}\tblob={}", to.0, Hex(bytes))
+                write!(
+                    f,
+                    "tell\ti={gateway}\taddressee={}\tblob={}",
+                    to.0,
+                    Hex(bytes)
+                )
             }
             Action::SetTimer { after, token } => {
                 write!(f, "defer\ti={gateway}\tdelayUs={after}\tnonce={token}")
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -3,8 +3,9 @@
 use crate::line::{Line, LineError, LineErrorKind};
 use gateway_core::settings::ResolvedSettings;
 use gateway_core::{
-    load_report, AttemptNumber, AttemptOutcome, CellId, ClassId, CustomerId, Endpoint, EndpointState,
-    EndpointUpdate, Event, GatewayId, GatewaySet, Micros, PlanId, RequestId, ServerId, ZoneId,
+    load_report, AttemptNumber, AttemptOutcome, CellId, ClassId, CustomerId, Endpoint,
+    EndpointState, EndpointUpdate, Event, GatewayId, GatewaySet, Micros, PlanId, RequestId,
+    ServerId, ZoneId,
 };
 use std::collections::BTreeMap;
 
@@ -18,9 +19,14 @@
 impl ListedEndpoint {
     fn resolve(&self, line: &Line, zone_names: &[String]) -> Result<Endpoint, LineError> {
         let Some(zone) = zone_names.iter().position(|name| *name == self.zone_name) else {
-            return Err(line.error(LineErrorKind::UnknownZone { zone: self.zone_name.clone() }));
+            return Err(line.error(LineErrorKind::UnknownZone {
+                zone: self.zone_name.clone(),
+            }));
         };
-        Ok(Endpoint { zone: ZoneId(zone as u32), ..self.endpoint })
+        Ok(Endpoint {
+            zone: ZoneId(zone as u32),
+            ..self.endpoint
+        })
     }
 }
 
@@ -40,7 +46,10 @@
         weight,
         started_at: started_at(line)?,
     };
-    Ok(ListedEndpoint { zone_name, endpoint })
+    Ok(ListedEndpoint {
+        zone_name,
+        endpoint,
+    })
 }
 
 fn endpoint_state(line: &Line) -> Result<EndpointState, LineError> {
@@ -63,15 +72,23 @@
 /// # Errors
 /// No line has this name, or the line is malformed.
 pub(crate) fn event(
-    line: &Line, settings: &ResolvedSettings, lists: &BTreeMap<u8, Vec<ListedEndpoint>>,
+    line: &Line,
+    settings: &ResolvedSettings,
+    lists: &BTreeMap<u8, Vec<ListedEndpoint>>,
 ) -> Result<Option<Event>, LineError> {
     let event = match line.name {
         "update" => endpoints_updated(line, settings, lists)?,
         "knock" => request_received(line, settings)?,
-        "opened" => Event::StreamStarted { id: request_id(line)? },
+        "opened" => Event::StreamStarted {
+            id: request_id(line)?,
+        },
         "finished" => attempt_finished(line)?,
-        "gone" => Event::ClientDisconnected { id: request_id(line)? },
-        "elapsed" => Event::TimerFired { token: line.parsed("nonce")? },
+        "gone" => Event::ClientDisconnected {
+            id: request_id(line)?,
+        },
+        "elapsed" => Event::TimerFired {
+            token: line.parsed("nonce")?,
+        },
         "whisper" => peer_message(line)?,
         // Responses to health probes and to calls of the counter: a gateway makes neither. They are only validated.
         "echo" | "counter_reply" => {
@@ -84,7 +101,9 @@
 }
 
 fn endpoints_updated(
-    line: &Line, settings: &ResolvedSettings, lists: &BTreeMap<u8, Vec<ListedEndpoint>>,
+    line: &Line,
+    settings: &ResolvedSettings,
+    lists: &BTreeMap<u8, Vec<ListedEndpoint>>,
 ) -> Result<Event, LineError> {
     let kind = match line.text("kind")? {
         "Error" => return Ok(Event::WatchFailed),
@@ -92,7 +111,9 @@
         "Complete" | "Persisted" => EndpointUpdate::Snapshot,
         _ => return Err(line.invalid("kind")),
     };
-    let list = lists.get(&line.parsed("list")?).ok_or_else(|| line.invalid("list"))?;
+    let list = lists
+        .get(&line.parsed("list")?)
+        .ok_or_else(|| line.invalid("list"))?;
     let mut endpoints = Vec::with_capacity(list.len());
     for listed in list {
         endpoints.push(listed.resolve(line, &settings.zone_names)?);
@@ -107,7 +128,10 @@
         plan: PlanId(index_of(line, "package", &settings.plan_names)?),
         customer: CustomerId(line.parsed("clientId")?),
         units: line.non_negative("quotaUnits")?,
-        gateways: GatewaySet { first: GatewayId(line.parsed("base")?), count: line.parsed("setSize")? },
+        gateways: GatewaySet {
+            first: GatewayId(line.parsed("base")?),
+            count: line.parsed("setSize")?,
+        },
         client_timeout: line.parsed("ttlUs")?,
     })
 }
@@ -158,5 +182,8 @@
 /// The index of a field's value among the names that the settings define.
 fn index_of(line: &Line, field: &'static str, names: &[String]) -> Result<usize, LineError> {
     let name = line.text(field)?;
-    names.iter().position(|known| known == name).ok_or_else(|| line.invalid(field))
+    names
+        .iter()
+        .position(|known| known == name)
+        .ok_or_else(|| line.invalid(field))
 }
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -42,7 +42,11 @@
     );
     let output = run(&input);
     let text = String::from_utf8(output.stdout).expect("text");
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     assert_eq!(text.matches("finished\n").count(), 4);
     assert_eq!(
         text.matches("send\ti=3\tcall=rq_a\tserver=51\n").count(),
@@ -65,17 +69,61 @@
     let after = |line: &str| format!("{}frame\tnowUs=1002000\n{line}\neof_batch\n", first_frame());
     let cases = [
         (after("knok\ti=3"), "line 8", "knok"),
-        (after(&REQUEST.trim_end().replace("\tttlUs=900000", "")), "line 8", "ttlUs"),
-        (after(&REQUEST.trim_end().replace("ttlUs=900000", "ttlUs=-4")), "line 8", "ttlUs"),
-        (after(&REQUEST.trim_end().replace("package=p", "package=q")), "line 8", "package"),
-        (after(&REQUEST.trim_end().replace("i=3", "i=4")), "line 8", "field i"),
-        (after("update\ti=3\tkind=Complete\tgen=2\tlist=9"), "line 8", "list"),
-        (after("whisper\ti=3\toriginPeer=1\tblob=0g"), "line 8", "blob"),
-        (after("finished\ti=3\tcall=rq_a\tshot=0\tserver=51\tending=99\tdelaySeenUs=1"), "line 8", "ending"),
-        (after("hello\ti=5\trandomSeed=1\tsetup={\"balancers\":2}"), "line 8", "field setup"),
-        (first_frame().replace("\"rate\":1.0", "\"rate\":-1.0"), "line 4", "setup"),
-        (first_frame().replace("readiness=Ready", "readiness=Ripe"), "line 3", "readiness"),
-        (first_frame().replace("eof_batch\n", ""), "line 6", "eof_batch"),
+        (
+            after(&REQUEST.trim_end().replace("\tttlUs=900000", "")),
+            "line 8",
+            "ttlUs",
+        ),
+        (
+            after(&REQUEST.trim_end().replace("ttlUs=900000", "ttlUs=-4")),
+            "line 8",
+            "ttlUs",
+        ),
+        (
+            after(&REQUEST.trim_end().replace("package=p", "package=q")),
+            "line 8",
+            "package",
+        ),
+        (
+            after(&REQUEST.trim_end().replace("i=3", "i=4")),
+            "line 8",
+            "field i",
+        ),
+        (
+            after("update\ti=3\tkind=Complete\tgen=2\tlist=9"),
+            "line 8",
+            "list",
+        ),
+        (
+            after("whisper\ti=3\toriginPeer=1\tblob=0g"),
+            "line 8",
+            "blob",
+        ),
+        (
+            after("finished\ti=3\tcall=rq_a\tshot=0\tserver=51\tending=99\tdelaySeenUs=1"),
+            "line 8",
+            "ending",
+        ),
+        (
+            after("hello\ti=5\trandomSeed=1\tsetup={\"balancers\":2}"),
+            "line 8",
+            "field setup",
+        ),
+        (
+            first_frame().replace("\"rate\":1.0", "\"rate\":-1.0"),
+            "line 4",
+            "setup",
+        ),
+        (
+            first_frame().replace("readiness=Ready", "readiness=Ripe"),
+            "line 3",
+            "readiness",
+        ),
+        (
+            first_frame().replace("eof_batch\n", ""),
+            "line 6",
+            "eof_batch",
+        ),
         ("frame\tnowUs=1000".to_owned(), "line 1", "breaks off"),
         ("frame\n".to_owned(), "line 1", "nowUs"),
         ("elapsed\ti=1\n".to_owned(), "line 1", "frame"),
@@ -84,7 +132,10 @@
         let output = run(&input);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(1), "{input}\n{error}");
-        assert!(error.contains(line) && error.contains(field), "{line} {field}: {error}");
+        assert!(
+            error.contains(line) && error.contains(field),
+            "{line} {field}: {error}"
+        );
         assert_eq!(error.lines().count(), 1, "{error}");
     }
 }
--- a/crates/simulator-adapter/tests/unit/line.rs
+++ b/crates/simulator-adapter/tests/unit/line.rs
@@ -25,7 +25,10 @@
 fn free_text_runs_to_the_end_of_the_line() {
     let line = line("hello\ti=3\tsetup={\"a\":\t1}\tmore=2");
     assert_eq!(line.text_to_end("setup").ok(), Some("{\"a\":\t1}\tmore=2"));
-    assert_eq!(text_of(line.text_to_end("set")), "line 7: hello: field set is missing");
+    assert_eq!(
+        text_of(line.text_to_end("set")),
+        "line 7: hello: field set is missing"
+    );
 }
 
 #[test]
@@ -34,7 +37,10 @@
     assert_eq!(line.parsed_or("n", 0_u64).ok(), Some(5));
     assert_eq!(line.parsed_or("missing", 9_u64).ok(), Some(9));
     assert_eq!(line.non_negative("n").ok(), Some(5.0));
-    assert_eq!(text_of(line.parsed_or("word", 0_u64)), "line 7: x: field word cannot be \"w\"");
+    assert_eq!(
+        text_of(line.parsed_or("word", 0_u64)),
+        "line 7: x: field word cannot be \"w\""
+    );
     for field in ["negative", "infinite", "nan", "word", "missing"] {
         assert!(line.non_negative(field).is_err(), "{field}");
     }
@@ -46,7 +52,10 @@
     assert_eq!(line.flag("yes").ok(), Some(true));
     assert_eq!(line.flag("no").ok(), Some(false));
     assert_eq!(line.flag("missing").ok(), Some(false));
-    assert_eq!(text_of(line.flag("other")), "line 7: x: field other cannot be \"true\"");
+    assert_eq!(
+        text_of(line.flag("other")),
+        "line 7: x: field other cannot be \"true\""
+    );
 }
 
 #[test]
@@ -62,22 +71,39 @@
 #[test]
 fn errors_name_the_line_and_keep_their_text() {
     let line = line("update\tkind=Odd");
-    let unknown = LineErrorKind::UnknownGateway { name: "update".to_owned(), gateway: 4 };
+    let unknown = LineErrorKind::UnknownGateway {
+        name: "update".to_owned(),
+        gateway: 4,
+    };
     let cases = [
-        (line.error(LineErrorKind::Truncated), "line 7: the line breaks off"),
+        (
+            line.error(LineErrorKind::Truncated),
+            "line 7: the line breaks off",
+        ),
         (
             line.error(LineErrorKind::UnterminatedFrame),
             "line 7: input ends inside a batch; eof_batch is missing",
         ),
-        (line.error(LineErrorKind::Read(io::Error::other("cause"))), "line 7: cannot be read: cause"),
+        (
+            line.error(LineErrorKind::Read(io::Error::other("cause"))),
+            "line 7: cannot be read: cause",
+        ),
         (
             line.error(LineErrorKind::Write(io::Error::other("cause"))),
             "line 7: the reply cannot be written: cause",
         ),
-        (line.error(unknown), "line 7: update: field i: 4 was never started"),
-        (line.error(LineErrorKind::UnknownName("knok".to_owned())), "line 7: \"knok\" is no known message"),
         (
-            line.error(LineErrorKind::UnknownZone { zone: "z".to_owned() }),
+            line.error(unknown),
+            "line 7: update: field i: 4 was never started",
+        ),
+        (
+            line.error(LineErrorKind::UnknownName("knok".to_owned())),
+            "line 7: \"knok\" is no known message",
+        ),
+        (
+            line.error(LineErrorKind::UnknownZone {
+                zone: "z".to_owned(),
+            }),
             "line 7: update: field list: no zone \"z\"",
         ),
         (
@@ -88,14 +114,26 @@
             line.error(LineErrorKind::UnparsableSettings(ParseError::UnknownZone)),
             "line 7: hello: field setup: zone is not among zones",
         ),
-        (line.invalid("kind"), "line 7: update: field kind cannot be \"Odd\""),
-        (line.invalid("list"), "line 7: update: field list cannot be \"\""),
+        (
+            line.invalid("kind"),
+            "line 7: update: field kind cannot be \"Odd\"",
+        ),
+        (
+            line.invalid("list"),
+            "line 7: update: field list cannot be \"\"",
+        ),
     ];
     for (error, text) in cases {
         assert_eq!(error.to_string(), text);
     }
-    assert_eq!(text_of(line.expect_name("item")), "line 7: expected item, found \"update\"");
-    assert_eq!(text_of(line.text("list")), "line 7: update: field list is missing");
+    assert_eq!(
+        text_of(line.expect_name("item")),
+        "line 7: expected item, found \"update\""
+    );
+    assert_eq!(
+        text_of(line.text("list")),
+        "line 7: update: field list is missing"
+    );
 }
 
 #[test]
