--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -6,6 +6,8 @@
 mod gossip;
 mod leases;
 mod requests;
+mod server_health;
+mod server_selection;
 
 use crate::policy::deadlines::TIMER_PERIOD;
 use crate::policy::fleet_mode::mode_of;
