--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts: sending queued requests, and what is learned from how attempts end.
 
 use super::Gateway;
+use crate::policy::admission;
 use crate::policy::retry::{self, RetryDecision};
-use crate::policy::{admission, quota};
 use crate::state::attempt::{Attempt, AttemptKey};
 use crate::state::deployment::Context;
 use crate::state::request::PossibleExecution;
@@ -49,7 +49,11 @@
                 deployment: &self.deployment,
                 fleet: &self.fleet,
             };
-            if request.attempts == 0 && !quota::allows_attempt(&mut self.quotas, context, request) {
+            if request.attempts == 0
+                && !self
+                    .quota_sharing
+                    .allows_first_attempt(&mut self.quotas, context, request)
+            {
                 // Its customer's own limit delays it: taken for pressed servers, that would close the
                 // in-flight limit.
                 request.due_since = now;
--- a/crates/gateway-core/src/gateway/control_tick.rs
+++ b/crates/gateway-core/src/gateway/control_tick.rs
@@ -7,7 +7,7 @@
 use crate::policy::gossip::REPORT_LIFETIME;
 use crate::policy::load_balancing::INITIAL_WAIT_SHARE;
 use crate::policy::outlier_detection::MAX_SERVER_IDLE;
-use crate::policy::quota::PARTITIONED;
+use crate::policy::quota_sharing::account::PARTITIONED;
 use crate::policy::slow_start::SlowStart;
 use crate::state::deployment::FleetMode;
 use crate::state::latency_samples::LatencySamples;
--- a/crates/gateway-core/src/gateway/gossip.rs
+++ b/crates/gateway-core/src/gateway/gossip.rs
@@ -5,18 +5,17 @@
 use crate::message::{
     self, GossipDigest, HealthReport, LeaseAnswer, Message, UsageCounts, MAX_USAGE_COUNTS,
 };
-use crate::policy::fleet_mode::{gossip_interval, LATENCY_RATIO_WEIGHT, THROUGHPUT_WEIGHT};
+use crate::policy::fleet_mode::{LATENCY_RATIO_WEIGHT, THROUGHPUT_WEIGHT};
 use crate::policy::gossip as policy;
 use crate::policy::load_balancing::SAMPLE_SIZE;
-use crate::policy::quota::{observe_incarnation, PARTITIONED};
-use crate::state::deployment::FleetMode;
+use crate::policy::quota_sharing::account::{observe_incarnation, PARTITIONED};
+use crate::policy::quota_sharing::gossip::{peer_usage_units, USAGE_LIFETIME, USAGE_STEP_UNITS};
 use crate::state::permits::PermitHolder;
 use crate::state::quota_state::silent_gateways;
 use crate::statistics::update_mean;
-use crate::time::{DurationExt, Timestamp};
+use crate::time::Timestamp;
 use crate::types::{ClassId, GatewayId};
 use crate::Action;
-use std::time::Duration;
 
 impl Gateway {
     pub(super) fn on_peer_message(
@@ -81,27 +80,26 @@
                 .peer_usage(from)
                 .delta(now, usage.incarnation, usage_count.count);
             if steps > 0 {
-                let units = f64::from(steps) * policy::USAGE_STEP;
+                let units = peer_usage_units(steps);
                 bucket.peer_usage(from).add(now, units);
                 bucket.tokens = (bucket.tokens - units).max(-bucket.capacity);
             }
         }
     }
 
-    /// Tells the peers what was forwarded of late, also when that is nothing: they hear that this gateway
-    /// lives.
+    /// Notifies the peers of what was forwarded recently, also when that is nothing: it shows that this gateway
+    /// is alive.
     pub(super) fn broadcast_usage(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        let interval = gossip_interval(&self.deployment.settings);
-        let has_peers = interval > 0.0 && interval < f64::INFINITY;
-        let broadcasts = self.deployment.mode == FleetMode::Gossip && has_peers;
-        if now < self.timers.next_broadcast || !broadcasts {
+        let Some(broadcasts) = self.quota_sharing.usage_broadcasts() else {
+            return;
+        };
+        if now < self.timers.next_broadcast {
             return;
         }
-        self.timers.next_broadcast =
-            now + policy::MIN_BROADCAST_INTERVAL.max(Duration::from_micros_f64(interval));
+        self.timers.next_broadcast = broadcasts.next_after(now);
         let mut counts = self
             .quotas
-            .usage_counts(now, policy::USAGE_LIFETIME, policy::USAGE_STEP);
+            .usage_counts(now, USAGE_LIFETIME, USAGE_STEP_UNITS);
         counts.truncate(MAX_USAGE_COUNTS);
         let usage = UsageCounts {
             incarnation: self.quotas.incarnation(),
--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -4,9 +4,11 @@
 use crate::message::{
     self, LeaseAnswer, LeaseDecision, LeaseGrant, LeaseRequest, Message, PermitRelease,
 };
-use crate::policy::lease as policy;
-use crate::policy::quota_owner::{lease_lifetime, owners_of, OwnerRequest};
-use crate::state::deployment::FleetMode;
+use crate::policy::quota_sharing::lease::{
+    self as policy, AfterMiss, ResponseDecision, UnsentDecision,
+};
+use crate::policy::quota_sharing::owner::{lease_lifetime, owners_of, OwnerRequest};
+use crate::state::deployment::Context;
 use crate::state::lease::Lease;
 use crate::state::permits::PermitHolder;
 use crate::state::request::{PendingLeaseRequest, QuotaGrant, QuotaOwner};
@@ -150,11 +152,16 @@
                 };
             }
         }
-        match grant.decision {
-            LeaseDecision::Granted if policy::has_expired(hard_limit.as_ref(), expires_at, now) => {
-                self.request_lease(now, id, actions);
-            }
-            LeaseDecision::Granted => {
+        if grant.decision == LeaseDecision::QuotaExceeded {
+            request.quota.rejections += 1;
+        }
+        let context = Context {
+            now,
+            deployment: &self.deployment,
+            fleet: &self.fleet,
+        };
+        match policy::on_response(context, request, grant, expires_at) {
+            ResponseDecision::Send => {
                 request.quota.grant = Some(QuotaGrant {
                     owner: owner.gateway,
                     sequence,
@@ -163,56 +170,48 @@
                 request.due_since = now;
                 self.requests.enqueue(id);
             }
-            LeaseDecision::QuotaExceeded => self.on_lease_rejected(now, id, grant, actions),
-        }
-    }
-
-    fn on_lease_rejected(
-        &mut self,
-        now: Timestamp,
-        id: RequestId,
-        grant: LeaseGrant,
-        actions: &mut Vec<Action>,
-    ) {
-        let Some(request) = self.requests.get_mut(&id) else {
-            return;
-        };
-        request.quota.rejections += 1;
-        let Some(request) = self.requests.get(&id) else {
-            return;
-        };
-        if policy::asks_another_owner(self.context(now), request, grant) {
-            self.request_lease(now, id, actions);
-        } else {
-            self.reject_or_fail(now, &id, RejectReason::QuotaExceeded, actions);
+            ResponseDecision::AskAgain => self.request_lease(now, id, actions),
+            ResponseDecision::Reject => {
+                self.reject_or_fail(now, &id, RejectReason::QuotaExceeded, actions);
+            }
         }
     }
 
-    /// Looks after requests that were never sent: their owner is silent, or their grant has expired.
-    pub(super) fn check_lease_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        if self.deployment.mode != FleetMode::Leases {
+    /// Checks the requests that were never sent: whether their owner has failed to respond, or their grant has
+    /// expired.
+    pub(super) fn check_unsent_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        if !self.quota_sharing.uses_leases() {
             return;
         }
-        let unsent = self
+        let unsent: Vec<_> = self
             .requests
             .iter()
-            .filter(|(_, request)| request.attempts == 0);
-        let unsent: Vec<_> = unsent.map(|(id, _)| id.clone()).collect();
+            .filter(|(_, request)| request.attempts == 0)
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in unsent {
-            let Some(request) = self.requests.get(&id) else {
-                continue;
-            };
-            if let Some(grant) = request.quota.grant {
-                self.check_grant(now, id, grant, actions);
-            } else if let Some(pending) = request.quota.pending {
-                self.check_pending(now, id, pending, actions);
-            } else {
-                self.request_lease(now, id, actions);
+            self.check_unsent_request(now, id, actions);
+        }
+    }
+
+    fn check_unsent_request(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let bucket = self.quotas.local.get(&request.customer);
+        match policy::check_unsent(&self.deployment, now, request, bucket) {
+            UnsentDecision::Wait => {}
+            UnsentDecision::RequestLease => self.request_lease(now, id, actions),
+            UnsentDecision::RenewGrant(grant) => self.renew_grant(now, id, grant, actions),
+            UnsentDecision::Missed { pending, next } => {
+                self.record_miss(now, &id, pending);
+                self.continue_after_miss(now, id, pending, next, actions);
             }
         }
     }
 
-    fn check_grant(
+    /// Gives up a grant that has expired, and asks again.
+    fn renew_grant(
         &mut self,
         now: Timestamp,
         id: RequestId,
@@ -222,10 +221,6 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let hard_limit = self.deployment.plan_of(request).hard_limit.as_ref();
-        if !policy::has_expired(hard_limit, request.quota.grant_expires_at, now) {
-            return;
-        }
         request.quota.grant = None;
         let customer = request.customer;
         self.requests.dequeue(&id);
@@ -233,19 +228,11 @@
         self.request_lease(now, id, actions);
     }
 
-    fn check_pending(
-        &mut self,
-        now: Timestamp,
-        id: RequestId,
-        pending: PendingLeaseRequest,
-        actions: &mut Vec<Action>,
-    ) {
-        let Some(request) = self.requests.get_mut(&id) else {
+    /// Notes that an owner has not responded to a request in time.
+    fn record_miss(&mut self, now: Timestamp, id: &RequestId, pending: PendingLeaseRequest) {
+        let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        if !policy::is_missed(request, pending, now) {
-            return;
-        }
         request.quota.misses += 1;
         request.quota.pending = None;
         self.quotas.pending.remove(&pending.sequence);
@@ -255,20 +242,30 @@
             .entry(request.quota.owner.gateway)
             .or_default();
         misses.record(now + policy::OWNER_COOLDOWN);
-        let hard_limit = self.deployment.plan_of(request).hard_limit.as_ref();
-        if !policy::decides_alone(request, hard_limit) {
+    }
+
+    fn continue_after_miss(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        pending: PendingLeaseRequest,
+        next: AfterMiss,
+        actions: &mut Vec<Action>,
+    ) {
+        if matches!(next, AfterMiss::AskAgain) {
             return self.request_lease(now, id, actions);
         }
-        let owner = self.deployment.settings.gateway_id;
-        request.quota.grant = Some(QuotaGrant {
-            owner,
-            sequence: pending.sequence,
-        });
-        request.due_since = now;
-        if policy::is_covered(self.quotas.local.get(&request.customer)) {
-            self.requests.enqueue(id);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.quota.grant = Some(QuotaGrant {
+                owner: self.deployment.settings.gateway_id,
+                sequence: pending.sequence,
+            });
+            request.due_since = now;
+        }
+        if let AfterMiss::Reject(reason) = next {
+            self.reject_or_fail(now, &id, reason, actions);
         } else {
-            self.reject_or_fail(now, &id, RejectReason::OwnerUnreachable, actions);
+            self.requests.enqueue(id);
         }
     }
 
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -13,6 +13,7 @@
 use crate::policy::fleet_mode::mode_of;
 use crate::policy::fuzzy_controller::{FuzzyController, TICK_PERIOD};
 use crate::policy::load_balancing::INITIAL_WAIT_SHARE;
+use crate::policy::quota_sharing::QuotaSharing;
 use crate::policy::retry;
 use crate::settings::{EndpointDiscovery, Settings, SettingsError};
 use crate::state::attempt::AttemptTable;
@@ -48,6 +49,7 @@
     retry_budget: f64,
     servers: ServerTable,
     capacity: FleetCapacity,
+    quota_sharing: QuotaSharing,
     quotas: QuotaState,
     fleet: FleetEstimates,
     controller: FuzzyController,
@@ -68,6 +70,7 @@
         let mode = mode_of(&settings);
         let servers = ServerTable::new(&settings, mode.parameters().max_walked_servers);
         let quotas = QuotaState::new(now, settings.gateway_id, settings.gateway_count);
+        let quota_sharing = QuotaSharing::for_mode(mode, &settings);
         let deployment = Deployment::new(settings, mode);
         let initial_wait = deployment.shortest_objective * INITIAL_WAIT_SHARE;
         Ok(Gateway {
@@ -84,6 +87,7 @@
             retry_budget: retry::MAX_BUDGET,
             servers,
             capacity: FleetCapacity::default(),
+            quota_sharing,
             quotas,
             fleet: FleetEstimates::new(classes, initial_wait),
             controller: FuzzyController::default(),
@@ -159,7 +163,7 @@
         self.detect_stalled_servers(now, actions);
         self.timers.wake_at = Timestamp::MAX;
         self.expire_requests(now, actions);
-        self.check_lease_requests(now, actions);
+        self.check_unsent_requests(now, actions);
         self.on_control_tick(now, actions);
         self.broadcast_usage(now, actions);
     }
--- a/crates/gateway-core/src/gateway/requests.rs
+++ b/crates/gateway-core/src/gateway/requests.rs
@@ -3,7 +3,8 @@
 use super::Gateway;
 use crate::policy::admission::{self, Admission};
 use crate::policy::deadlines::{self, Expiry};
-use crate::policy::{quota, retry};
+use crate::policy::quota_sharing::account;
+use crate::policy::retry;
 use crate::state::deployment::Context;
 use crate::state::quota_state::{silent_gateways, QuotaState};
 use crate::state::request::{QuotaGrant, Request};
@@ -33,13 +34,13 @@
     let uptime = quotas.uptime(now);
     let restarted = quotas.restarted_recently;
     let bucket = quotas.local.entry(request.customer);
-    let bucket = bucket.or_insert_with(|| quota::new_bucket(now, uptime, restarted, config));
-    quota::follow_hints(settings, bucket, now, config);
+    let bucket = bucket.or_insert_with(|| account::new_bucket(now, uptime, restarted, config));
+    account::follow_hints(settings, bucket, now, config);
     let silent = silent_gateways(
         &quotas.last_heard,
         bucket.gateways(),
         now,
-        quota::PARTITIONED,
+        account::PARTITIONED,
     );
     bucket.refill(now, &settings.plans[bucket.plan.0], silent);
     bucket
@@ -60,7 +61,13 @@
             fleet: &self.fleet,
         };
         let bucket = refilled_bucket(&mut self.quotas, context, &request, gateways);
-        let admission = admission::decide(context, bucket, &request, &mut self.random);
+        let admission = admission::decide(
+            self.quota_sharing,
+            context,
+            bucket,
+            &request,
+            &mut self.random,
+        );
         let lease_sequence = bucket.lease.sequence;
         self.requests.insert(id.clone(), request);
         match admission {
--- a/crates/gateway-core/src/policy/gossip.rs
+++ b/crates/gateway-core/src/policy/gossip.rs
@@ -4,12 +4,6 @@
 use crate::message::HealthReport;
 use std::time::Duration;
 
-/// µs between broadcasts of usage at the least.
-pub(crate) const MIN_BROADCAST_INTERVAL: Duration = Duration::from_millis(200);
-/// µs for which a customer's usage is repeated; a few messages may be lost.
-pub(crate) const USAGE_LIFETIME: Duration = Duration::from_secs(1);
-/// Usage is counted in this part of a unit, so that fractions add up.
-pub(crate) const USAGE_STEP: f64 = 1.0 / 8.0;
 /// Health reports in a message: of servers that fare badly, and of others.
 const MAX_BAD_REPORTS: usize = 4;
 const MAX_GOOD_REPORTS: usize = 2;
--- /dev/null
+++ b/crates/gateway-core/src/policy/quota_sharing/gossip.rs
@@ -0,0 +1,132 @@
+//! Quota sharing in a small fleet: each gateway broadcasts its usage, and its own token buckets decide.
+//!
+//! The rules, in the order in which a request meets them:
+//! 1. [`on_arrival`]: a request whose customer's bucket is short of units is rejected.
+//! 2. [`allows_first_attempt`]: a queued request waits while a hard limit or a concurrency limit is reached.
+//! 3. [`UsageBroadcasts`]: on a timer, this gateway notifies its peers of what it has forwarded.
+//! 4. [`peer_usage_units`]: a peer's usage is drained from the customer's bucket here.
+
+use super::account::PARTITIONED;
+use crate::policy::admission::{is_deadline_too_short, Admission};
+use crate::policy::fleet_mode::gossip_interval;
+use crate::settings::{Plan, Settings};
+use crate::state::deployment::Context;
+use crate::state::quota_state::{silent_gateways, QuotaState};
+use crate::state::request::Request;
+use crate::state::token_bucket::TokenBucket;
+use crate::statistics::poisson_below;
+use crate::time::{DurationExt, Timestamp};
+use crate::types::RejectReason;
+use std::time::Duration;
+
+/// Seconds of the peers' usage that are reserved for what they have forwarded without this gateway having
+/// received it yet.
+const USAGE_DELAY_SECONDS: f64 = 0.5;
+/// Largest probability, weighted with the cost of exceeding the limit, that a first attempt exceeds the
+/// customer's limit on attempts in flight.
+const MAX_CONCURRENCY_RISK: f64 = 0.2;
+/// Shortest time between two broadcasts of usage.
+const MIN_BROADCAST_INTERVAL: Duration = Duration::from_millis(200);
+/// Time for which the usage of a customer is repeated after it last rose, as messages may be lost.
+pub(crate) const USAGE_LIFETIME: Duration = Duration::from_secs(1);
+/// Units by which a usage count rises in one step, so that fractions of units are counted too.
+pub(crate) const USAGE_STEP_UNITS: f64 = 1.0 / 8.0;
+
+/// Decides on a request that has just arrived, by the tokens in its customer's bucket.
+pub(super) fn on_arrival(
+    context: Context<'_>,
+    bucket: &mut TokenBucket,
+    request: &Request,
+) -> Admission {
+    let is_over_quota = is_quota_exceeded(context, bucket, request);
+    if is_deadline_too_short(context, request) {
+        Admission::Reject(RejectReason::DeadlineTooShort)
+    } else if is_over_quota {
+        Admission::Reject(RejectReason::QuotaExceeded)
+    } else {
+        Admission::Admit
+    }
+}
+
+/// Whether the bucket is short of a request's units, less what is reserved for usage of the peers that this
+/// gateway has not been notified of yet. Only the peers' part of the burst is reserved: the even part of this
+/// gateway is its own.
+fn is_quota_exceeded(context: Context<'_>, bucket: &mut TokenBucket, request: &Request) -> bool {
+    let plan = &context.deployment.settings.plans[bucket.plan.0];
+    let reserved_units = (bucket.peer_rate(context.now) * USAGE_DELAY_SECONDS)
+        .min(plan.burst - bucket.capacity)
+        .max(0.0);
+    plan.rate > 0.0 && bucket.tokens - reserved_units < request.units
+}
+
+/// Whether the limits of its customer allow the first attempt of a queued request now; if not, it waits.
+pub(super) fn allows_first_attempt(
+    quotas: &mut QuotaState,
+    context: Context<'_>,
+    request: &Request,
+) -> bool {
+    let Some(bucket) = quotas.local.get_mut(&request.customer) else {
+        return true;
+    };
+    let plan = &context.deployment.settings.plans[bucket.plan.0];
+    let silent = silent_gateways(
+        &quotas.last_heard,
+        bucket.gateways(),
+        context.now,
+        PARTITIONED,
+    );
+    bucket.refill(context.now, plan, silent);
+    if plan.hard_limit.is_some() && bucket.hard_limit_tokens < request.units {
+        return false;
+    }
+    is_below_concurrency_limit(context, bucket, plan)
+}
+
+/// Whether one more attempt is likely to stay under the plan's limit on attempts in flight.
+///
+/// This gateway stays under its even part of the limit. Peers' attempts in flight are unknown; their number is
+/// taken as a Poisson variable whose mean is the peers' usage in units a second times the mean latency.
+fn is_below_concurrency_limit(context: Context<'_>, bucket: &mut TokenBucket, plan: &Plan) -> bool {
+    let Some(limit) = plan.max_concurrent else {
+        return true;
+    };
+    let even_part = (f64::from(limit) / bucket.gateway_count).round().max(1.0);
+    let expected_at_peers = bucket.peer_rate(context.now) * context.fleet.mean_latency / 1e6;
+    let below_limit_probability =
+        poisson_below(limit.saturating_sub(bucket.in_flight), expected_at_peers);
+    let risk = (1.0 - below_limit_probability) * (1.0 + plan.over_quota_cost);
+    f64::from(bucket.in_flight) < even_part && risk < MAX_CONCURRENCY_RISK
+}
+
+/// When this gateway broadcasts its usage.
+#[derive(Clone, Copy)]
+pub(crate) struct UsageBroadcasts {
+    /// Time between two broadcasts; `None` without peers, or where messages between gateways are not allowed.
+    interval: Option<Duration>,
+}
+
+impl UsageBroadcasts {
+    /// Broadcasts as often as the message intake of the peers allows.
+    pub(super) fn new(settings: &Settings) -> Self {
+        let interval_us = gossip_interval(settings);
+        let has_recipients = interval_us > 0.0 && interval_us < f64::INFINITY;
+        let interval = MIN_BROADCAST_INTERVAL.max(Duration::from_micros_f64(interval_us));
+        UsageBroadcasts {
+            interval: has_recipients.then_some(interval),
+        }
+    }
+
+    pub(super) fn has_recipients(self) -> bool {
+        self.interval.is_some()
+    }
+
+    /// When the broadcast after one that is sent now is due.
+    pub(crate) fn next_after(self, now: Timestamp) -> Timestamp {
+        now + self.interval.unwrap_or_default()
+    }
+}
+
+/// Units that a peer has forwarded for a customer, from the steps by which its usage count rose.
+pub(crate) fn peer_usage_units(steps: u16) -> f64 {
+    f64::from(steps) * USAGE_STEP_UNITS
+}
--- /dev/null
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -0,0 +1,255 @@
+//! Quota owners of a large fleet, where every gateway on its own would grant a whole burst. One or two of a
+//! customer's gateways own its quota in equal parts; a standby owner has a small part, for the time while the
+//! others don't respond.
+//!
+//! The rules, in the order in which they apply to a lease request:
+//! 1. [`owner_count`], [`owners_of`]: which gateways own the quota.
+//! 2. [`OwnerRequest::is_for`]: whether the gateway that received the request is the owner that is asked.
+//! 3. [`OwnerRequest::new_bucket`]: the owner's part of the quota and of the hard limit.
+//! 4. [`OwnerRequest::decide`]: whether the request is granted, and which units go on lease beyond it.
+//! 5. [`throttle_requests`]: with which probability further requests may ask.
+
+use crate::message::{LeaseDecision, LeaseGrant, LeaseRequest};
+use crate::settings::{HardLimit, Plan, Settings};
+use crate::state::permits::{even_share, PermitHolder};
+use crate::state::quota_owners::QuotaOwners;
+use crate::state::token_bucket::{BucketConfig, TokenBucket};
+use crate::time::{DurationExt, Timestamp};
+use crate::types::{CustomerId, GatewayId, GatewaySet};
+use std::time::Duration;
+
+/// Units a second of one owner's part, as a fraction of the messages a second that it takes in: the lease
+/// requests for them have to fit in.
+const UNITS_PER_MESSAGE_RATIO: f64 = 0.6;
+/// Maximum number of owners: what remains in one part is of no use to a request that asks another.
+const MAX_OWNERS: u32 = 2;
+/// The standby owner's part. Of a quota it comes on top of the owners' parts; of a hard limit it is taken off
+/// theirs.
+const STANDBY_FRACTION: f64 = 0.3;
+/// Lease requests of one customer that an owner accepts before it throttles them, as a fraction of the messages
+/// that it takes in.
+const ACCEPTED_INTAKE_FRACTION: f64 = 0.4;
+/// Factor by which each excess lease request lowers the request probability (multiplicative decrease).
+const PROBABILITY_DECREASE_RATIO: f64 = 0.97;
+/// What the request probability gains a second without excess lease requests (additive increase).
+const PROBABILITY_INCREASE_PER_SECOND: f64 = 0.5;
+/// Maximum fraction of the remaining units that goes on one lease, so that other gateways get some.
+const MAX_LEASE_FRACTION: f64 = 0.25;
+/// Time that an owner has to respond, and the shortest lifetime of its grants.
+pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(90);
+/// The longest lifetime of a lease or grant.
+pub(in crate::policy) const MAX_LEASE_LIFETIME: Duration = Duration::from_secs(3);
+/// The longest lifetime under a hard limit, as a fraction of the time that the limit takes to refill.
+const MAX_LIFETIME_REFILL_FRACTION: f64 = 0.25;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// How long a lease or grant may be used. Under a hard limit that is short, because the owner has to reserve
+/// what is refilled in the meantime.
+pub(crate) fn lease_lifetime(hard_limit: Option<&HardLimit>) -> Duration {
+    let Some(limit) = hard_limit else {
+        return MAX_LEASE_LIFETIME;
+    };
+    let refill_seconds = limit.capacity / limit.rate;
+    let lifetime_us = refill_seconds * MAX_LIFETIME_REFILL_FRACTION * MICROS_PER_SECOND;
+    Duration::from_micros_f64(lifetime_us).clamp(RESPONSE_TIMEOUT, MAX_LEASE_LIFETIME)
+}
+
+/// How many owners, without the standby owner, a customer of a plan has: as many as its rate needs, for the
+/// lease requests to fit into their message intake.
+pub(super) fn owner_count(settings: &Settings, plan: &Plan, gateway_count: u32) -> u32 {
+    let units_per_second_of_one = UNITS_PER_MESSAGE_RATIO * settings.peer_messages_per_second;
+    ((plan.rate / units_per_second_of_one).ceil() as u32)
+        .clamp(1, MAX_OWNERS)
+        .min(gateway_count)
+}
+
+/// The owners of a customer's quota among the gateways that its requests come through.
+pub(crate) fn owners_of(
+    settings: &Settings,
+    customer: CustomerId,
+    plan: &Plan,
+    gateways: GatewaySet,
+) -> QuotaOwners {
+    let count = owner_count(settings, plan, gateways.count);
+    QuotaOwners::new(customer, gateways, count, settings.gateway_count)
+}
+
+/// A lease request as its owner decides on it.
+pub(crate) struct OwnerRequest<'a> {
+    /// The gateway that sent it.
+    pub(crate) from: GatewayId,
+    /// The request.
+    pub(crate) request: &'a LeaseRequest,
+    /// The owners of its customer's quota.
+    pub(crate) owners: QuotaOwners,
+    /// The plan that it names.
+    pub(crate) plan: &'a Plan,
+}
+
+impl OwnerRequest<'_> {
+    /// Whether a gateway is the owner that is asked.
+    pub(crate) fn is_for(&self, gateway: GatewayId) -> bool {
+        self.owners.gateway(self.request.owner_index) == gateway
+            && self.request.owner_index <= self.owners.count
+    }
+
+    /// A new bucket of this owner: its part of the quota, full, and of the hard limit, empty.
+    pub(crate) fn new_bucket(&self, settings: &Settings, now: Timestamp) -> TokenBucket {
+        let gateways = GatewaySet {
+            first: self.request.gateways.first,
+            count: self.owners.count,
+        };
+        let config = BucketConfig {
+            plan_id: self.request.plan,
+            plan: self.plan,
+            gateways,
+            max_request_units: settings.max_request_units,
+        };
+        let parts = self.parts();
+        let grant_lifetime = lease_lifetime(self.plan.hard_limit.as_ref());
+        TokenBucket::new(now, Duration::ZERO, config).into_part(
+            config,
+            parts.quota_fraction,
+            parts.hard_limit_fraction,
+            grant_lifetime,
+        )
+    }
+
+    /// What part of the quota and of the hard limit this owner has.
+    ///
+    /// The sum of the parts must not exceed the hard limit, so the standby owner's part is taken off the others'.
+    /// Its part of the quota is on top: that is the most that a customer gains where lost messages make owners
+    /// look unresponsive.
+    fn parts(&self) -> OwnerParts {
+        let even_fraction = 1.0 / f64::from(self.owners.count);
+        let has_standby = self.request.gateways.count > self.owners.count;
+        let is_standby = self.request.owner_index >= self.owners.count;
+        match (has_standby, is_standby) {
+            (false, _) => OwnerParts {
+                quota_fraction: even_fraction,
+                hard_limit_fraction: even_fraction,
+            },
+            (true, false) => OwnerParts {
+                quota_fraction: even_fraction,
+                hard_limit_fraction: even_fraction * (1.0 - STANDBY_FRACTION),
+            },
+            (true, true) => OwnerParts {
+                quota_fraction: STANDBY_FRACTION,
+                hard_limit_fraction: STANDBY_FRACTION,
+            },
+        }
+    }
+
+    /// Decides whether the request fits this part of its customer's limits, and which units go on lease beyond
+    /// it. What the sender returns of its last lease is taken in first.
+    pub(crate) fn decide(
+        &self,
+        settings: &Settings,
+        now: Timestamp,
+        bucket: &mut TokenBucket,
+    ) -> LeaseGrant {
+        let seconds_since_refill = now.seconds_since(bucket.refilled_at);
+        bucket.reclaim(self.from, self.request.returned);
+        bucket.refill(now, self.plan, 0.0);
+        bucket.used_at = now;
+        throttle_requests(bucket, settings, self.plan, seconds_since_refill);
+        bucket.permits.drop_expired(now);
+        if !self.fits_limits(bucket) {
+            return LeaseGrant {
+                decision: LeaseDecision::QuotaExceeded,
+                request_probability: bucket.lease_request_probability,
+                leased_units: 0.0,
+            };
+        }
+        bucket.consume(self.request.units);
+        let leased_units = if self.max_permits().is_some() {
+            self.acquire_permit(settings, now, bucket);
+            0.0
+        } else {
+            self.lease_units(bucket)
+        };
+        bucket.grant_lease(self.from, self.request.sequence, leased_units);
+        LeaseGrant {
+            decision: LeaseDecision::Granted,
+            request_probability: bucket.lease_request_probability,
+            leased_units,
+        }
+    }
+
+    /// Whether this part has a free permit, and enough units of the quota and of the hard limit.
+    fn fits_limits(&self, bucket: &TokenBucket) -> bool {
+        let units = self.request.units;
+        let has_permit = self
+            .max_permits()
+            .is_none_or(|maximum| bucket.permits.in_use() < maximum);
+        let is_quota_exceeded = self.plan.rate > 0.0 && bucket.tokens < units;
+        let is_hard_limit_exceeded =
+            self.plan.hard_limit.is_some() && bucket.hard_limit_tokens < units;
+        has_permit && !is_quota_exceeded && !is_hard_limit_exceeded
+    }
+
+    /// This owner's part of the limit on attempts in flight, if the plan has one.
+    fn max_permits(&self) -> Option<usize> {
+        let limit = self.plan.max_concurrent?;
+        Some(even_share(
+            limit,
+            self.owners.count,
+            self.request.owner_index,
+        ))
+    }
+
+    /// Grants a permit for the longest latency objective, in case the message that releases it is lost.
+    fn acquire_permit(&self, settings: &Settings, now: Timestamp, bucket: &mut TokenBucket) {
+        let objectives = settings.classes.iter().map(|class| class.latency_objective);
+        let holder = PermitHolder {
+            gateway: self.from,
+            sequence: self.request.sequence,
+        };
+        bucket
+            .permits
+            .acquire(holder, now + objectives.max().unwrap_or_default());
+    }
+
+    /// Units that go on lease: as many as requested, up to a fraction of what remains in this part. Without a
+    /// limit by rate there is nothing to lease.
+    fn lease_units(&self, bucket: &TokenBucket) -> f64 {
+        let remaining_quota = if self.plan.rate > 0.0 {
+            bucket.tokens
+        } else {
+            0.0
+        };
+        let remaining = self.plan.hard_limit.map_or(remaining_quota, |_| {
+            remaining_quota.min(bucket.hard_limit_tokens)
+        });
+        self.request
+            .requested_units
+            .min(remaining * MAX_LEASE_FRACTION)
+            .max(0.0)
+    }
+}
+
+/// What part of a customer's limits one owner has.
+struct OwnerParts {
+    quota_fraction: f64,
+    hard_limit_fraction: f64,
+}
+
+/// Updates the rate of a customer's lease requests, and the probability with which its requests may ask: a
+/// customer far over its quota would otherwise exceed its owners' message intake.
+fn throttle_requests(
+    bucket: &mut TokenBucket,
+    settings: &Settings,
+    plan: &Plan,
+    seconds_since_refill: f64,
+) {
+    let accepted_per_second = ACCEPTED_INTAKE_FRACTION * settings.peer_messages_per_second;
+    bucket.lease_request_rate = bucket.lease_request_rate * (-seconds_since_refill).exp() + 1.0;
+    let is_excess = plan.rate > 0.0 && bucket.lease_request_rate > accepted_per_second;
+    bucket.lease_request_probability = if is_excess {
+        bucket.lease_request_probability * PROBABILITY_DECREASE_RATIO
+    } else {
+        let gain = PROBABILITY_INCREASE_PER_SECOND * seconds_since_refill;
+        (bucket.lease_request_probability + gain).min(1.0)
+    };
+}
