--- a/crates/edge-node/src/clients/call_terms.rs
+++ b/crates/edge-node/src/clients/call_terms.rs
@@ -1,13 +1,13 @@
 //! The header `X-Call-Terms`: what a call costs, and which gateways its customer may come through.
 
 use super::header_value::{parse_decimal, parse_whole_number};
-use gateway_core::{GatewayId, GatewaySet, Settings};
+use gateway_core::{GatewayId, GatewaySet, Settings, Units};
 
 /// The terms of one call, all of them within the settings.
 #[derive(Debug, PartialEq)]
 pub(super) struct CallTerms {
     /// Units of quota that the call costs.
-    pub(super) units: f64,
+    pub(super) units: Units,
     /// The gateways that the customer is spread over.
     pub(super) gateways: GatewaySet,
 }
@@ -45,14 +45,16 @@
     slot.replace(value).is_none().then_some(())
 }
 
-fn parse_units(value: &str, settings: &Settings) -> Option<f64> {
+fn parse_units(value: &str, settings: &Settings) -> Option<Units> {
     // Zero in the settings stands for no limit.
-    let limit = if settings.max_request_units > 0.0 {
+    let limit = if settings.max_request_units > Units::ZERO {
         settings.max_request_units
     } else {
-        f64::MAX
+        Units::new(f64::MAX)
     };
-    parse_decimal(value).filter(|units| *units > 0.0 && *units <= limit)
+    parse_decimal(value)
+        .map(Units::new)
+        .filter(|units| *units > Units::ZERO && *units <= limit)
 }
 
 fn parse_gateway_count(value: &str, settings: &Settings) -> Option<u32> {
--- a/crates/edge-node/tests/fixtures.rs
+++ b/crates/edge-node/tests/fixtures.rs
@@ -17,7 +17,7 @@
 use gateway_core::settings::{self, ResolvedSettings};
 use gateway_core::{
     Class, DeduplicationScope, EndpointDiscovery, GatewayId, HardLimit, Idempotency, Permissions,
-    Plan, Rules, Settings, ZoneId,
+    Plan, Rules, Settings, Units, ZoneId,
 };
 use log::{LogFormat, LogLevel, LogOptions};
 use std::net::SocketAddr;
@@ -136,7 +136,7 @@
     vec![
         Plan {
             rate: 2.5,
-            burst: 10.0,
+            burst: Units::new(10.0),
             max_concurrent: None,
             weight: 0.72,
             over_quota_weight: 0.0,
@@ -145,14 +145,14 @@
         },
         Plan {
             rate: 50.0,
-            burst: 100.0,
+            burst: Units::new(100.0),
             max_concurrent: Some(12),
             weight: 1.8,
             over_quota_weight: 0.2,
             over_quota_cost: 0.8,
             hard_limit: Some(HardLimit {
                 rate: 110.0,
-                capacity: 220.0,
+                capacity: Units::new(220.0),
             }),
         },
     ]
@@ -182,7 +182,7 @@
             discovery: EndpointDiscovery::Watched,
             event_period: Duration::from_micros(2_500),
             peer_messages_per_second: 40.0,
-            max_request_units: 8.0,
+            max_request_units: Units::new(8.0),
         },
         class_names: [
             "balance-read",
@@ -304,7 +304,7 @@
 fn example_plans() -> Vec<Plan> {
     let basic = Plan {
         rate: 2.5,
-        burst: 10.0,
+        burst: Units::new(10.0),
         max_concurrent: None,
         weight: 0.72,
         over_quota_weight: 0.2,
@@ -313,14 +313,14 @@
     };
     let premier = Plan {
         rate: 50.0,
-        burst: 100.0,
+        burst: Units::new(100.0),
         max_concurrent: None,
         weight: 1.8,
         over_quota_weight: 0.0,
         over_quota_cost: 0.8,
         hard_limit: Some(HardLimit {
             rate: 100.0,
-            capacity: 200.0,
+            capacity: Units::new(200.0),
         }),
     };
     vec![basic, premier]
@@ -350,7 +350,7 @@
             discovery: EndpointDiscovery::Pushed,
             event_period: Duration::from_micros(2_000),
             peer_messages_per_second: 40.0,
-            max_request_units: 8.0,
+            max_request_units: Units::new(8.0),
         },
         class_names: ["balance-read", "post-payment"].map(String::from).into(),
         plan_names: ["basic", "premier"].map(String::from).into(),
--- a/crates/edge-node/tests/unit/call_terms.rs
+++ b/crates/edge-node/tests/unit/call_terms.rs
@@ -20,7 +20,7 @@
         count: 3,
     };
     let expected = Some(CallTerms {
-        units: 2.5,
+        units: Units::new(2.5),
         gateways,
     });
     for text in [
--- a/crates/edge-node/tests/unit/request_head.rs
+++ b/crates/edge-node/tests/unit/request_head.rs
@@ -1,7 +1,7 @@
 //! Heads of requests: what a good one says, and which rule a bad one breaks first.
 
 use super::*;
-use gateway_core::{settings, GatewayId, GatewaySet};
+use gateway_core::{settings, GatewayId, GatewaySet, Units};
 use hyper::Request;
 
 fn resolved_settings() -> ResolvedSettings {
@@ -44,7 +44,7 @@
         plan: PlanId(1),
         customer: CustomerId(0xb4d6_5521),
         terms: CallTerms {
-            units: 2.5,
+            units: Units::new(2.5),
             gateways: GatewaySet {
                 first: GatewayId(2),
                 count: 3,
--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -12,7 +12,7 @@
 use gateway_core::Timestamp;
 use gateway_core::{
     Action, AttemptNumber, AttemptOutcome, ClassId, EndpointUpdate, Event, GatewayId, GatewaySet,
-    RequestId, ServerId,
+    RequestId, ServerId, Units,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -181,7 +181,7 @@
             class: ClassId(request.class),
             plan: customer.plan,
             customer: customer.id,
-            units: f64::from(request.units),
+            units: Units::new(f64::from(request.units)),
             gateways: GatewaySet {
                 first: customer.first_node,
                 count: customer.node_count,
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -51,7 +51,7 @@
         discovery: EndpointDiscovery::Pushed,
         event_period: Duration::from_millis(2),
         peer_messages_per_second: 40.0,
-        max_request_units: 8.0,
+        max_request_units: Units::new(8.0),
     }
 }
 
@@ -68,7 +68,7 @@
 fn plan() -> Plan {
     Plan {
         rate: 20.0,
-        burst: 100.0,
+        burst: Units::new(100.0),
         max_concurrent: None,
         weight: 1.0,
         over_quota_weight: 0.2,
@@ -128,7 +128,7 @@
         class: ClassId(0),
         plan: PlanId(0),
         customer,
-        units: 1.0,
+        units: Units::new(1.0),
         gateways: GatewaySet {
             first: PAIR[0],
             count: sizes.effective_gateways_per_customer(),
--- a/crates/fleet-lab/src/scaling/gateway_pair.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair.rs
@@ -183,7 +183,7 @@
             class: ClassId((self.last_request / 3 % 2) as usize),
             plan: PlanId(0),
             customer: customer.id,
-            units: 1.0,
+            units: Units::new(1.0),
             gateways: GatewaySet {
                 first: customer.first_gateway,
                 count,
--- a/crates/fleet-lab/src/scaling/measure.rs
+++ b/crates/fleet-lab/src/scaling/measure.rs
@@ -357,7 +357,7 @@
             class: ClassId(0),
             plan: PlanId(0),
             customer: CustomerId(number),
-            units: 1.0,
+            units: Units::new(1.0),
             gateways: GatewaySet {
                 first: GatewayId(0),
                 count: sizes.effective_gateways_per_customer(),
--- a/crates/fleet-lab/src/simulate/engine/requests.rs
+++ b/crates/fleet-lab/src/simulate/engine/requests.rs
@@ -7,7 +7,7 @@
 use crate::world::invariant_checker::ANSWER_GRACE;
 use crate::world::{RequestNumber, START};
 use crate::Micros;
-use gateway_core::{Event, GatewayId, GatewaySet, RequestId};
+use gateway_core::{Event, GatewayId, GatewaySet, RequestId, Units};
 use std::time::Duration;
 
 impl Engine<'_> {
@@ -81,7 +81,7 @@
             class: request.class,
             plan: customer.plan,
             customer: customer.id,
-            units: request.estimated_units,
+            units: Units::new(request.estimated_units),
             gateways: GatewaySet {
                 first: customer.first_gateway,
                 count: customer.gateway_count,
--- a/crates/fleet-lab/src/world/clients.rs
+++ b/crates/fleet-lab/src/world/clients.rs
@@ -141,7 +141,7 @@
             idempotent: classes
                 .map(|class| class.idempotency == Idempotency::Idempotent)
                 .collect(),
-            max_request_units: settings.max_request_units,
+            max_request_units: settings.max_request_units.as_f64(),
             max_deadline: demand.max_deadline,
             surges: demand.surges.clone(),
             flood: demand.flood.map(|flood| flood.span),
@@ -301,7 +301,7 @@
 fn draw_customer(rng: &mut Rng, now: Micros, settings: &Settings, plan: PlanId) -> Customer {
     let quota = settings.plans[plan.0].rate;
     let quota_rate = if quota > 0.0 {
-        quota / mean_units(settings.max_request_units)
+        quota / mean_units(settings.max_request_units.as_f64())
     } else {
         UNLIMITED_RATE
     };
--- a/crates/fleet-lab/src/world/customer_account.rs
+++ b/crates/fleet-lab/src/world/customer_account.rs
@@ -47,16 +47,18 @@
         let CustomerPlan { customer: id, plan } = customer;
         let limits = &settings.plans[plan.0];
         let hard_limit = limits.hard_limit.as_ref();
-        let tolerance =
-            |capacity: f64| (capacity * HARD_LIMIT_TOLERANCE).max(settings.max_request_units);
+        let tolerance = |capacity: f64| {
+            (capacity * HARD_LIMIT_TOLERANCE).max(settings.max_request_units.as_f64())
+        };
         let has_quota = limits.rate > 0.0;
         CustomerAccount {
             id,
             plan,
-            quota: has_quota.then(|| TokenBucket::full(START, limits.rate, limits.burst)),
+            quota: has_quota.then(|| TokenBucket::full(START, limits.rate, limits.burst.as_f64())),
             hard_limit: hard_limit
-                .map(|limit| UsageLimit::unused(START, limit.rate, limit.capacity)),
-            hard_limit_tolerance: hard_limit.map_or(0.0, |limit| tolerance(limit.capacity)),
+                .map(|limit| UsageLimit::unused(START, limit.rate, limit.capacity.as_f64())),
+            hard_limit_tolerance: hard_limit
+                .map_or(0.0, |limit| tolerance(limit.capacity.as_f64())),
             max_concurrent: limits.max_concurrent,
             attempts_in_flight: 0,
         }
--- a/crates/gateway-core/src/event.rs
+++ b/crates/gateway-core/src/event.rs
@@ -4,6 +4,7 @@
     AttemptNumber, AttemptOutcome, ClassId, CustomerId, Endpoint, EndpointUpdate, GatewayId,
     GatewaySet, PlanId, RequestId,
 };
+use crate::units::Units;
 use std::time::Duration;
 
 /// Input of [`Gateway::handle`](crate::Gateway::handle).
@@ -29,7 +30,7 @@
         /// Its customer.
         customer: CustomerId,
         /// Quota units that it consumes.
-        units: f64,
+        units: Units,
         /// The gateways that the customer's requests come through.
         gateways: GatewaySet,
         /// How long the client waits for an answer, in µs from now.
--- a/crates/gateway-core/src/gateway/gossip.rs
+++ b/crates/gateway-core/src/gateway/gossip.rs
@@ -3,13 +3,14 @@
 
 use super::Gateway;
 use crate::message::{
-    self, GossipDigest, HealthReport, LeaseAnswer, Message, UsageCounts, MAX_USAGE_COUNTS,
+    self, units_of_usage_steps, GossipDigest, HealthReport, LeaseAnswer, Message, UsageCounts,
+    MAX_USAGE_COUNTS,
 };
 use crate::policy::fleet_mode::{LATENCY_RATIO_WEIGHT, THROUGHPUT_WEIGHT};
 use crate::policy::gossip as policy;
 use crate::policy::load_balancing::SAMPLE_SIZE;
 use crate::policy::quota_sharing::account::{observe_incarnation, PARTITIONED};
-use crate::policy::quota_sharing::gossip::{peer_usage_units, USAGE_LIFETIME, USAGE_STEP_UNITS};
+use crate::policy::quota_sharing::gossip::USAGE_LIFETIME;
 use crate::state::permits::PermitHolder;
 use crate::state::quota_state::silent_gateways;
 use crate::statistics::update_mean;
@@ -80,7 +81,7 @@
                 .peer_usage(from)
                 .delta(now, usage.incarnation, usage_count.count);
             if steps > 0 {
-                let units = peer_usage_units(steps);
+                let units = units_of_usage_steps(steps);
                 bucket.peer_usage(from).add(now, units);
                 bucket.tokens = (bucket.tokens - units).max(-bucket.capacity);
             }
@@ -97,9 +98,7 @@
             return;
         }
         self.timers.next_broadcast = broadcasts.next_after(now);
-        let mut counts = self
-            .quotas
-            .usage_counts(now, USAGE_LIFETIME, USAGE_STEP_UNITS);
+        let mut counts = self.quotas.usage_counts(now, USAGE_LIFETIME);
         counts.truncate(MAX_USAGE_COUNTS);
         let usage = UsageCounts {
             incarnation: self.quotas.incarnation(),
--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -14,6 +14,7 @@
 use crate::state::request::{PendingLeaseRequest, QuotaGrant, QuotaOwner};
 use crate::time::Timestamp;
 use crate::types::{CustomerId, GatewayId, GatewaySet, RejectReason, RequestId};
+use crate::units::Units;
 use crate::Action;
 
 impl Gateway {
@@ -140,7 +141,7 @@
         if let Some(bucket) = self.quotas.local.get_mut(&request.customer) {
             bucket.lease_request_probability = grant.request_probability;
             bucket.probability_set_at = now;
-            if grant.leased_units > 0.0 {
+            if grant.leased_units > Units::ZERO {
                 let requested_at = bucket.lease.requested_at;
                 let units = grant.leased_units;
                 bucket.lease = Lease {
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -26,6 +26,7 @@
 use crate::state::server_view::FleetCapacity;
 use crate::time::Timestamp;
 use crate::types::{PlanId, RejectReason};
+use crate::units::Units;
 use crate::{Action, Event};
 use std::collections::BTreeMap;
 
@@ -120,7 +121,7 @@
                 if settings.classes.len() <= class.0 || settings.plans.len() <= plan.0 {
                     return actions.push(Action::Fail { id });
                 }
-                let units = units.max(0.0);
+                let units = units.max(Units::ZERO);
                 let arriving = Request::arriving(now, client_timeout);
                 let request = Request {
                     class,
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -17,6 +17,7 @@
 mod statistics;
 mod time;
 mod types;
+mod units;
 mod warning;
 
 pub use action::Action;
@@ -28,4 +29,5 @@
 };
 pub use time::Timestamp;
 pub use types::*;
+pub use units::Units;
 pub use warning::Warning;
--- a/crates/gateway-core/src/message/decode.rs
+++ b/crates/gateway-core/src/message/decode.rs
@@ -59,6 +59,10 @@
         Some(f64::from(self.u16()?) / FRACTION_STEPS)
     }
 
+    fn units(&mut self) -> Option<Units> {
+        Some(Units::new(self.fraction()?))
+    }
+
     fn customer(&mut self) -> Option<CustomerId> {
         Some(CustomerId(self.number(CUSTOMER_BYTES)?))
     }
@@ -86,11 +90,11 @@
         let owner_index = u32::from(self.byte()?);
         let first = GatewayId(u32::from(self.u16()?));
         let count = u32::from(self.u16()?);
-        let units = self.fraction()?;
-        let requested_units = self.fraction()?;
+        let units = self.units()?;
+        let requested_units = self.units()?;
         let returned = ReturnedLease {
             sequence: self.u16()?,
-            units: self.fraction()?,
+            units: self.units()?,
         };
         let gateways = GatewaySet { first, count };
         Some(LeaseRequest {
@@ -113,7 +117,7 @@
             _ => return None,
         };
         let request_probability = f64::from(self.byte()?) / f64::from(u8::MAX);
-        let leased_units = self.fraction()?;
+        let leased_units = self.units()?;
         Some(LeaseAnswer {
             sequence,
             grant: LeaseGrant {
--- a/crates/gateway-core/src/message/encode.rs
+++ b/crates/gateway-core/src/message/encode.rs
@@ -42,10 +42,10 @@
     bytes.push(request.owner_index as u8);
     bytes.extend_from_slice(&(request.gateways.first.0 as u16).to_le_bytes());
     bytes.extend_from_slice(&(request.gateways.count as u16).to_le_bytes());
-    bytes.extend_from_slice(&fraction_bytes(request.units));
-    bytes.extend_from_slice(&fraction_bytes(request.requested_units));
+    bytes.extend_from_slice(&units_bytes(request.units));
+    bytes.extend_from_slice(&units_bytes(request.requested_units));
     bytes.extend_from_slice(&request.returned.sequence.to_le_bytes());
-    bytes.extend_from_slice(&fraction_bytes(request.returned.units));
+    bytes.extend_from_slice(&units_bytes(request.returned.units));
 }
 
 fn encode_lease_answer(answer: &LeaseAnswer, bytes: &mut Vec<u8>) {
@@ -58,9 +58,7 @@
     bytes.push(rounded_byte(
         answer.grant.request_probability * f64::from(u8::MAX),
     ));
-    // Rounded down: no more is announced than was granted.
-    let leased = (answer.grant.leased_units * FRACTION_STEPS).floor() as u16;
-    bytes.extend_from_slice(&leased.to_le_bytes());
+    bytes.extend_from_slice(&leased_units_bytes(answer.grant.leased_units));
 }
 
 fn encode_digest(digest: &GossipDigest, bytes: &mut Vec<u8>) {
@@ -100,8 +98,13 @@
     [a, b, c, d, e]
 }
 
-fn fraction_bytes(value: f64) -> [u8; 2] {
-    ((value * FRACTION_STEPS).round() as u16).to_le_bytes()
+fn units_bytes(units: Units) -> [u8; 2] {
+    ((units.as_f64() * FRACTION_STEPS).round() as u16).to_le_bytes()
+}
+
+/// Rounded down: no more is announced than was granted.
+fn leased_units_bytes(units: Units) -> [u8; 2] {
+    ((units.as_f64() * FRACTION_STEPS).floor() as u16).to_le_bytes()
 }
 
 fn rounded_byte(value: f64) -> u8 {
--- a/crates/gateway-core/src/message/mod.rs
+++ b/crates/gateway-core/src/message/mod.rs
@@ -9,6 +9,7 @@
 
 use crate::hash::fibonacci_hash;
 use crate::types::{ClassId, CustomerId, GatewaySet, PlanId, ServerId};
+use crate::units::Units;
 use std::time::Duration;
 
 const VERSION: u8 = 4;
@@ -80,7 +81,20 @@
     pub(crate) reports: Vec<HealthReport>,
 }
 
-/// A customer's usage: the sender's running count of units, in steps of which sender and recipient agree.
+/// Units by which a usage count rises in one step, so that fractions of units are counted too.
+const USAGE_STEP: Units = Units::new(1.0 / 8.0);
+
+/// The running count that stands for so many forwarded units; it wraps round.
+pub(crate) fn usage_count_of(forwarded: Units) -> u16 {
+    (forwarded.as_f64() / USAGE_STEP.as_f64()).round() as u64 as u16
+}
+
+/// The units that a usage count rose by in so many steps.
+pub(crate) fn units_of_usage_steps(steps: u16) -> Units {
+    Units::new(f64::from(steps) * USAGE_STEP.as_f64())
+}
+
+/// A customer's usage: the sender's running count of units, in steps on which sender and recipient agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct UsageCount {
     pub(crate) customer: CustomerId,
@@ -98,7 +112,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ReturnedLease {
     pub(crate) sequence: u16,
-    pub(crate) units: f64,
+    pub(crate) units: Units,
 }
 
 /// A request that asks one of its customer's quota owners for its units, and for a lease beyond them.
@@ -109,9 +123,9 @@
     pub(crate) gateways: GatewaySet,
     /// Which of the customer's owners is meant.
     pub(crate) owner_index: u32,
-    pub(crate) units: f64,
+    pub(crate) units: Units,
     /// Units that the sender is likely to use beyond this request's within a lease's lifetime.
-    pub(crate) requested_units: f64,
+    pub(crate) requested_units: Units,
     pub(crate) returned: ReturnedLease,
 }
 
@@ -128,7 +142,7 @@
     pub(crate) decision: LeaseDecision,
     /// The share of the customer's requests that may ask.
     pub(crate) request_probability: f64,
-    pub(crate) leased_units: f64,
+    pub(crate) leased_units: Units,
 }
 
 impl LeaseGrant {
@@ -136,7 +150,7 @@
     pub(crate) const REJECTED: LeaseGrant = LeaseGrant {
         decision: LeaseDecision::QuotaExceeded,
         request_probability: 1.0,
-        leased_units: 0.0,
+        leased_units: Units::ZERO,
     };
 }
 
--- a/crates/gateway-core/src/policy/quota_sharing/account.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/account.rs
@@ -9,6 +9,7 @@
 use crate::state::quota_state::QuotaState;
 use crate::state::token_bucket::{BucketConfig, TokenBucket};
 use crate::time::Timestamp;
+use crate::units::Units;
 use std::ops::Range;
 use std::time::Duration;
 
@@ -58,9 +59,9 @@
     if bucket.conflicting_hints >= MAX_CONFLICTING_HINTS {
         let had_limit = settings.plans[bucket.plan.0].hard_limit.is_some();
         let hard_limit_tokens = if had_limit {
-            bucket.hard_limit_tokens.min(0.0)
+            bucket.hard_limit_tokens.min(Units::ZERO)
         } else {
-            0.0
+            Units::ZERO
         };
         bucket.reconfigure(
             TokenBucket::new(now, Duration::ZERO, config),
@@ -83,7 +84,7 @@
     }
     quotas.restarted_recently = true;
     for bucket in quotas.local.values_mut() {
-        let excess = (settings.plans[bucket.plan.0].burst - bucket.capacity).max(0.0);
+        let excess = (settings.plans[bucket.plan.0].burst - bucket.capacity).max(Units::ZERO);
         bucket.tokens = (bucket.tokens - excess).max(-bucket.capacity);
     }
 }
--- a/crates/gateway-core/src/policy/quota_sharing/gossip.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/gossip.rs
@@ -4,7 +4,6 @@
 //! 1. [`on_arrival`]: a request whose customer's bucket is short of units is rejected.
 //! 2. [`allows_first_attempt`]: a queued request waits while a hard limit or a concurrency limit is reached.
 //! 3. [`UsageBroadcasts`]: on a timer, this gateway notifies its peers of what it has forwarded.
-//! 4. [`peer_usage_units`]: a peer's usage is drained from the customer's bucket here.
 
 use super::account::PARTITIONED;
 use crate::policy::admission::{is_deadline_too_short, Admission};
@@ -17,6 +16,7 @@
 use crate::statistics::poisson_below;
 use crate::time::{DurationExt, Timestamp};
 use crate::types::RejectReason;
+use crate::units::Units;
 use std::time::Duration;
 
 /// Seconds of the peers' usage that are reserved for what they have forwarded without this gateway having
@@ -29,8 +29,6 @@
 const MIN_BROADCAST_INTERVAL: Duration = Duration::from_millis(200);
 /// Time for which the usage of a customer is repeated after it last rose, as messages may be lost.
 pub(crate) const USAGE_LIFETIME: Duration = Duration::from_secs(1);
-/// Units by which a usage count rises in one step, so that fractions of units are counted too.
-pub(crate) const USAGE_STEP_UNITS: f64 = 1.0 / 8.0;
 
 /// Decides on a request that has just arrived, by the tokens in its customer's bucket.
 pub(super) fn on_arrival(
@@ -53,10 +51,10 @@
 /// gateway is its own.
 fn is_quota_exceeded(context: Context<'_>, bucket: &mut TokenBucket, request: &Request) -> bool {
     let plan = &context.deployment.settings.plans[bucket.plan.0];
-    let reserved_units = (bucket.peer_rate(context.now) * USAGE_DELAY_SECONDS)
+    let reserved = Units::refilled(bucket.peer_rate(context.now), USAGE_DELAY_SECONDS)
         .min(plan.burst - bucket.capacity)
-        .max(0.0);
-    plan.rate > 0.0 && bucket.tokens - reserved_units < request.units
+        .max(Units::ZERO);
+    plan.rate > 0.0 && bucket.tokens - reserved < request.units
 }
 
 /// Whether the limits of its customer allow the first attempt of a queued request now; if not, it waits.
@@ -125,8 +123,3 @@
         now + self.interval.unwrap_or_default()
     }
 }
-
-/// Units that a peer has forwarded for a customer, from the steps by which its usage count rose.
-pub(crate) fn peer_usage_units(steps: u16) -> f64 {
-    f64::from(steps) * USAGE_STEP_UNITS
-}
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -22,6 +22,7 @@
 use crate::state::token_bucket::TokenBucket;
 use crate::time::{DurationExt, Timestamp};
 use crate::types::RejectReason;
+use crate::units::Units;
 use std::time::Duration;
 
 /// Time after which a gateway no longer limits the fraction of a customer's requests that may ask its owners.
@@ -105,7 +106,7 @@
     let bucket = quotas.local.get(&request.customer);
     bucket
         .map(|bucket| &bucket.lease)
-        .filter(|lease| lease.units > 0.0 && lease.owner_index < owners.count)
+        .filter(|lease| lease.units > Units::ZERO && lease.owner_index < owners.count)
         .map_or_else(|| random.u32(0..owners.count), |lease| lease.owner_index)
 }
 
@@ -122,7 +123,7 @@
 pub(crate) fn renew(
     bucket: &mut TokenBucket,
     now: Timestamp,
-    units: f64,
+    units: Units,
     owner_index: u32,
 ) -> LeaseRenewal {
     if now <= bucket.lease.requested_at + RESPONSE_TIMEOUT {
@@ -260,5 +261,5 @@
 
 /// Whether the own bucket covers an unsent request, whose units were deducted on arrival.
 fn is_covered(bucket: &TokenBucket) -> bool {
-    bucket.tokens >= 0.0
+    bucket.tokens >= Units::ZERO
 }
--- a/crates/gateway-core/src/policy/quota_sharing/owner.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -16,6 +16,7 @@
 use crate::state::token_bucket::{BucketConfig, TokenBucket};
 use crate::time::{DurationExt, Timestamp};
 use crate::types::{CustomerId, GatewayId, GatewaySet};
+use crate::units::Units;
 use std::time::Duration;
 
 /// Units a second of one owner's part, as a fraction of the messages a second that it takes in: the lease
@@ -50,7 +51,7 @@
     let Some(limit) = hard_limit else {
         return MAX_LEASE_LIFETIME;
     };
-    let refill_seconds = limit.capacity / limit.rate;
+    let refill_seconds = limit.capacity.seconds_at(limit.rate);
     let lifetime_us = refill_seconds * MAX_LIFETIME_REFILL_FRACTION * MICROS_PER_SECOND;
     Duration::from_micros_f64(lifetime_us).clamp(RESPONSE_TIMEOUT, MAX_LEASE_LIFETIME)
 }
@@ -159,13 +160,13 @@
             return LeaseGrant {
                 decision: LeaseDecision::QuotaExceeded,
                 request_probability: bucket.lease_request_probability,
-                leased_units: 0.0,
+                leased_units: Units::ZERO,
             };
         }
         bucket.consume(self.request.units);
         let leased_units = if self.max_permits().is_some() {
             self.acquire_permit(settings, now, bucket);
-            0.0
+            Units::ZERO
         } else {
             self.lease_units(bucket)
         };
@@ -213,11 +214,11 @@
 
     /// Units that go on lease: as many as requested, up to a fraction of what remains in this part. Without a
     /// limit by rate there is nothing to lease.
-    fn lease_units(&self, bucket: &TokenBucket) -> f64 {
+    fn lease_units(&self, bucket: &TokenBucket) -> Units {
         let remaining_quota = if self.plan.rate > 0.0 {
             bucket.tokens
         } else {
-            0.0
+            Units::ZERO
         };
         let remaining = self.plan.hard_limit.map_or(remaining_quota, |_| {
             remaining_quota.min(bucket.hard_limit_tokens)
@@ -225,7 +226,7 @@
         self.request
             .requested_units
             .min(remaining * MAX_LEASE_FRACTION)
-            .max(0.0)
+            .max(Units::ZERO)
     }
 }
 
--- a/crates/gateway-core/src/settings/mod.rs
+++ b/crates/gateway-core/src/settings/mod.rs
@@ -7,6 +7,7 @@
 pub use validate::SettingsError;
 
 use crate::types::{Endpoint, GatewayId, ZoneId};
+use crate::units::Units;
 use std::time::Duration;
 
 /// Which servers drop a repeated idempotency key.
@@ -67,8 +68,8 @@
 pub struct HardLimit {
     /// Units a second.
     pub rate: f64,
-    /// Most units at once.
-    pub capacity: f64,
+    /// Maximum of units that may be used at one moment.
+    pub capacity: Units,
 }
 
 /// A plan: the quota of each of its customers, over all gateways together.
@@ -76,8 +77,8 @@
 pub struct Plan {
     /// Units a second; 0 for no limit by rate.
     pub rate: f64,
-    /// Units that may be used at once.
-    pub burst: f64,
+    /// Units that may be used at one moment.
+    pub burst: Units,
     /// Attempts that may be in flight at once; `None` for no limit.
     pub max_concurrent: Option<u32>,
     /// Multiplies the class's priority weight.
@@ -151,5 +152,5 @@
     /// Messages from peers that a gateway takes in a second.
     pub peer_messages_per_second: f64,
     /// Units of the largest request.
-    pub max_request_units: f64,
+    pub max_request_units: Units,
 }
--- a/crates/gateway-core/src/settings/parse.rs
+++ b/crates/gateway-core/src/settings/parse.rs
@@ -6,6 +6,7 @@
     Settings,
 };
 use crate::types::{GatewayId, ZoneId};
+use crate::units::Units;
 use serde::Deserialize;
 use std::time::Duration;
 use thiserror::Error;
@@ -79,7 +80,7 @@
         discovery: json.discovery.into(),
         event_period: Duration::from_micros(json.event_period_us),
         peer_messages_per_second: json.extra.peer_messages_per_second,
-        max_request_units: json.extra.max_request_units,
+        max_request_units: Units::new(json.extra.max_request_units),
     };
     Ok(ResolvedSettings {
         settings,
@@ -240,11 +241,11 @@
     fn from(plan: &JsonPlan) -> Self {
         let hard_limit = HardLimit {
             rate: plan.hard_limit_rate,
-            capacity: plan.hard_limit_capacity,
+            capacity: Units::new(plan.hard_limit_capacity),
         };
         Plan {
             rate: plan.rate,
-            burst: plan.burst,
+            burst: Units::new(plan.burst),
             max_concurrent: (plan.max_concurrent > 0).then_some(plan.max_concurrent),
             weight: plan.weight,
             over_quota_weight: plan.over_quota_weight,
--- a/crates/gateway-core/src/settings/validate.rs
+++ b/crates/gateway-core/src/settings/validate.rs
@@ -49,12 +49,12 @@
             self.rules.overload_multiple,
             self.cross_zone_cost,
             self.peer_messages_per_second,
-            self.max_request_units,
+            self.max_request_units.as_f64(),
         ];
         for plan in &self.plans {
             numbers.extend([
                 plan.rate,
-                plan.burst,
+                plan.burst.as_f64(),
                 plan.weight,
                 plan.over_quota_weight,
                 plan.over_quota_cost,
@@ -62,7 +62,7 @@
             numbers.extend(
                 plan.hard_limit
                     .iter()
-                    .flat_map(|limit| [limit.rate, limit.capacity]),
+                    .flat_map(|limit| [limit.rate, limit.capacity.as_f64()]),
             );
         }
         numbers.extend(
--- a/crates/gateway-core/src/state/lease.rs
+++ b/crates/gateway-core/src/state/lease.rs
@@ -4,12 +4,13 @@
 use crate::message::ReturnedLease;
 use crate::time::Timestamp;
 use crate::types::GatewayId;
+use crate::units::Units;
 use std::collections::BTreeMap;
 
 /// Units that this gateway may use without asking, until they expire.
 #[derive(Default)]
 pub(crate) struct Lease {
-    pub(crate) units: f64,
+    pub(crate) units: Units,
     pub(crate) expires_at: Timestamp,
     /// Index of the owner that granted it, and the lease request it was granted under.
     pub(crate) owner_index: u32,
@@ -20,8 +21,8 @@
 
 impl Lease {
     /// Consumes units, if so many are left in time; returns until when they may be used.
-    pub(crate) fn consume(&mut self, now: Timestamp, units: f64) -> Option<Timestamp> {
-        let covered = self.units > 0.0 && self.units >= units && now <= self.expires_at;
+    pub(crate) fn consume(&mut self, now: Timestamp, units: Units) -> Option<Timestamp> {
+        let covered = self.units > Units::ZERO && self.units >= units && now <= self.expires_at;
         if !covered {
             return None;
         }
@@ -40,7 +41,7 @@
         } else {
             ReturnedLease {
                 sequence: self.sequence,
-                units: 0.0,
+                units: Units::ZERO,
             }
         }
     }
@@ -49,13 +50,13 @@
 /// A lease as it is asked for: the units, and what comes back of the last one.
 #[derive(Default)]
 pub(crate) struct LeaseRenewal {
-    pub(crate) requested_units: f64,
+    pub(crate) requested_units: Units,
     pub(crate) returned: ReturnedLease,
 }
 
 struct GrantedLease {
     sequence: u16,
-    units: f64,
+    units: Units,
 }
 
 /// An owner's ledger: the lease that each gateway holds.
@@ -64,8 +65,8 @@
 
 impl LeaseLedger {
     /// Notes a lease; it replaces the one before.
-    pub(crate) fn grant(&mut self, to: GatewayId, sequence: u16, units: f64) {
-        if units > 0.0 {
+    pub(crate) fn grant(&mut self, to: GatewayId, sequence: u16, units: Units) {
+        if units > Units::ZERO {
             self.0.insert(to, GrantedLease { sequence, units });
         }
     }
@@ -73,7 +74,7 @@
     /// Units of a gateway's lease that come back. Only the known lease does, once, and no more than was
     /// granted: otherwise what comes back twice, of a lost answer or from before a restart, would pass a hard
     /// limit.
-    pub(crate) fn reclaim(&mut self, from: GatewayId, returned: ReturnedLease) -> Option<f64> {
+    pub(crate) fn reclaim(&mut self, from: GatewayId, returned: ReturnedLease) -> Option<Units> {
         let granted = self
             .0
             .get(&from)
--- a/crates/gateway-core/src/state/peer_usage.rs
+++ b/crates/gateway-core/src/state/peer_usage.rs
@@ -1,6 +1,7 @@
 //! What another gateway has been heard to forward for a customer.
 
 use crate::time::Timestamp;
+use crate::units::Units;
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 /// Units at one moment.
 struct Usage {
     at: Timestamp,
-    units: f64,
+    units: Units,
 }
 
 /// One peer's usage: its running count, and what was added to it of late.
@@ -46,12 +47,12 @@
     }
 
     /// Adds units that the peer has just been heard to forward.
-    pub(crate) fn add(&mut self, now: Timestamp, units: f64) {
+    pub(crate) fn add(&mut self, now: Timestamp, units: Units) {
         self.recent.push_back(Usage { at: now, units });
     }
 
     /// Units within the last window.
-    pub(crate) fn recent_units(&mut self, now: Timestamp) -> f64 {
+    pub(crate) fn recent_units(&mut self, now: Timestamp) -> Units {
         while self
             .recent
             .front()
--- a/crates/gateway-core/src/state/quota_state.rs
+++ b/crates/gateway-core/src/state/quota_state.rs
@@ -1,9 +1,10 @@
 //! What a gateway keeps of its customers' quotas, and of the gateways that own them.
 
 use super::token_bucket::TokenBucket;
-use crate::message::UsageCount;
+use crate::message::{usage_count_of, UsageCount};
 use crate::time::Timestamp;
 use crate::types::{CustomerId, GatewayId, GatewaySet, RequestId};
+use crate::units::Units;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -77,16 +78,11 @@
         self.last_sequence
     }
 
-    /// Running counts of what was forwarded here, in units of `step`: of customers with peers that were busy
+    /// Running counts of what was forwarded here: of customers with peers that were busy
     /// within `max_age` µs, the latest first.
-    pub(crate) fn usage_counts(
-        &self,
-        now: Timestamp,
-        max_age: Duration,
-        step: f64,
-    ) -> Vec<UsageCount> {
+    pub(crate) fn usage_counts(&self, now: Timestamp, max_age: Duration) -> Vec<UsageCount> {
         let is_told = |bucket: &TokenBucket| {
-            bucket.forwarded_units > 0.0
+            bucket.forwarded_units > Units::ZERO
                 && bucket.gateway_count > 1.0
                 && now <= bucket.forwarded_at + max_age
         };
@@ -97,7 +93,7 @@
             .collect();
         busy.sort_by_key(|(customer, bucket)| (Reverse(bucket.forwarded_at), **customer));
         let usage_count = |(customer, bucket): (&CustomerId, &TokenBucket)| {
-            let count = (bucket.forwarded_units / step).round() as u64 as u16;
+            let count = usage_count_of(bucket.forwarded_units);
             UsageCount {
                 customer: *customer,
                 count,
--- a/crates/gateway-core/src/state/request.rs
+++ b/crates/gateway-core/src/state/request.rs
@@ -5,6 +5,7 @@
 use crate::types::{
     AttemptNumber, ClassId, CustomerId, Endpoint, GatewayId, PlanId, RequestId, ServerId,
 };
+use crate::units::Units;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -23,7 +24,7 @@
     pub(crate) class: ClassId,
     pub(crate) plan: PlanId,
     pub(crate) customer: CustomerId,
-    pub(crate) units: f64,
+    pub(crate) units: Units,
     pub(crate) arrived_at: Timestamp,
     /// Since when only the servers delay it, not its customer's own quota.
     pub(crate) due_since: Timestamp,
--- a/crates/gateway-core/src/state/token_bucket.rs
+++ b/crates/gateway-core/src/state/token_bucket.rs
@@ -8,6 +8,7 @@
 use crate::settings::{HardLimit, Plan};
 use crate::time::{DurationExt, Timestamp};
 use crate::types::{GatewayId, GatewaySet, PlanId};
+use crate::units::Units;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -23,7 +24,7 @@
     /// The gateways that the customer's requests come through.
     pub(crate) gateways: GatewaySet,
     /// Units of the largest request.
-    pub(crate) max_request_units: f64,
+    pub(crate) max_request_units: Units,
 }
 
 /// A customer's token bucket, or the part of it that a quota owner keeps.
@@ -33,8 +34,8 @@
     /// First of the customer's gateways, and how many there are.
     pub(crate) first_gateway: GatewayId,
     pub(crate) gateway_count: f64,
-    pub(crate) capacity: f64,
-    pub(crate) tokens: f64,
+    pub(crate) capacity: Units,
+    pub(crate) tokens: Units,
     pub(crate) refilled_at: Timestamp,
     /// Requests on end that named another plan or gateway set.
     pub(crate) conflicting_hints: u32,
@@ -42,17 +43,17 @@
     pub(crate) used_at: Timestamp,
     /// Units that requests consumed of late: those of the longest lease in the mean, also where a hard limit
     /// makes it shorter.
-    pub(crate) recent_demand: f64,
+    pub(crate) recent_demand: Units,
     /// Units that an owner has granted ahead of the requests that will use them.
     pub(crate) lease: Lease,
     /// As an owner: what is on lease to others.
     ledger: LeaseLedger,
     /// Running count of the units forwarded here, and when it last rose.
-    pub(crate) forwarded_units: f64,
+    pub(crate) forwarded_units: Units,
     pub(crate) forwarded_at: Timestamp,
     pub(crate) in_flight: u32,
     peers: BTreeMap<GatewayId, PeerUsage>,
-    pub(crate) hard_limit_tokens: f64,
+    pub(crate) hard_limit_tokens: Units,
     /// What part of the quota and of the hard limit is kept here.
     pub(crate) share: f64,
     pub(crate) hard_limit_share: f64,
@@ -74,7 +75,7 @@
     /// have been used up before.
     pub(crate) fn new(now: Timestamp, unused: Duration, config: BucketConfig<'_>) -> Self {
         let gateway_count = f64::from(config.gateways.count.max(1));
-        let capacity = (config.plan.burst / gateway_count).max(config.max_request_units);
+        let capacity = (config.plan.burst.divided_by(gateway_count)).max(config.max_request_units);
         let mut bucket = TokenBucket {
             plan: config.plan_id,
             first_gateway: config.gateways.first,
@@ -127,7 +128,7 @@
 
     /// Goes over to another plan or gateway set. Nothing is gained by that, and what is in flight or has been
     /// announced to peers stays so.
-    pub(crate) fn reconfigure(&mut self, fresh: TokenBucket, hard_limit_tokens: f64) {
+    pub(crate) fn reconfigure(&mut self, fresh: TokenBucket, hard_limit_tokens: Units) {
         *self = TokenBucket {
             tokens: self.tokens.min(fresh.tokens),
             hard_limit_tokens,
@@ -143,12 +144,13 @@
     pub(crate) fn refill(&mut self, now: Timestamp, plan: &Plan, silent: f64) {
         let seconds = now.seconds_since(self.refilled_at);
         self.refilled_at = now;
-        let refill = self.share * plan.rate * (1.0 - silent / self.gateway_count) * seconds;
+        let units_per_second = self.share * plan.rate * (1.0 - silent / self.gateway_count);
+        let refill = Units::refilled(units_per_second, seconds);
         self.tokens = (self.tokens + refill).min(self.max_tokens(plan));
         self.refill_hard_limit(plan, seconds);
     }
 
-    fn max_tokens(&self, plan: &Plan) -> f64 {
+    fn max_tokens(&self, plan: &Plan) -> Units {
         (plan.burst * self.share).max(self.capacity)
     }
 
@@ -156,7 +158,7 @@
     /// restarts; the price is paid where nearly all comes in through one gateway.
     fn refill_hard_limit(&mut self, plan: &Plan, seconds: f64) {
         if let Some(limit) = plan.hard_limit {
-            let refill = limit.rate * self.hard_limit_share * seconds;
+            let refill = Units::refilled(limit.rate * self.hard_limit_share, seconds);
             self.hard_limit_tokens =
                 (self.hard_limit_tokens + refill).min(self.max_hard_limit_tokens(&limit));
         }
@@ -164,26 +166,27 @@
 
     /// An owner keeps back what is refilled while its grants and leases may be used: they are void after
     /// that, so that what is used late adds up to no more than the whole capacity.
-    fn max_hard_limit_tokens(&self, limit: &HardLimit) -> f64 {
-        let kept_back = limit.rate * self.grant_lifetime.as_micros_f64() / MICROS_PER_SECOND;
+    fn max_hard_limit_tokens(&self, limit: &HardLimit) -> Units {
+        let kept_back =
+            Units::new(limit.rate * self.grant_lifetime.as_micros_f64() / MICROS_PER_SECOND);
         (limit.capacity - kept_back) * self.hard_limit_share
     }
 
     /// Takes part of the quota and of the hard limit for use at once.
-    pub(crate) fn consume(&mut self, units: f64) {
+    pub(crate) fn consume(&mut self, units: Units) {
         self.tokens -= units;
         self.hard_limit_tokens -= units;
     }
 
     /// Notes what a request asks for; earlier demand decays over `window` µs.
-    pub(crate) fn record_demand(&mut self, now: Timestamp, units: f64, window: Duration) {
+    pub(crate) fn record_demand(&mut self, now: Timestamp, units: Units, window: Duration) {
         let idle = now.micros_since(self.used_at);
         self.used_at = now;
         self.recent_demand = self.recent_demand * (-idle / window.as_micros_f64()).exp() + units;
     }
 
     /// One more attempt of the customer is in flight here. The units of a first one are announced to peers.
-    pub(crate) fn attempt_sent(&mut self, now: Timestamp, units: f64, first: bool) {
+    pub(crate) fn attempt_sent(&mut self, now: Timestamp, units: Units, first: bool) {
         self.in_flight += 1;
         if first {
             self.forwarded_units += units;
@@ -204,16 +207,16 @@
 
     /// Units a second that the peers were heard to use.
     pub(crate) fn peer_rate(&mut self, now: Timestamp) -> f64 {
-        let units: f64 = self
+        let units: Units = self
             .peers
             .values_mut()
-            .fold(0.0, |sum, peer| sum + peer.recent_units(now));
-        units / USAGE_WINDOW.as_seconds()
+            .fold(Units::ZERO, |sum, peer| sum + peer.recent_units(now));
+        units.as_f64() / USAGE_WINDOW.as_seconds()
     }
 
     /// µs until it is likely to hold `units`. What a request consumes is off the tokens already, and comes
     /// back if it was never sent.
-    pub(crate) fn time_until_available(&self, plan: &Plan, units: f64) -> f64 {
+    pub(crate) fn time_until_available(&self, plan: &Plan, units: Units) -> f64 {
         let quota = if plan.rate > 0.0 {
             refill_time(-self.tokens, plan.rate * self.share)
         } else {
@@ -229,7 +232,7 @@
     }
 
     /// As an owner: grants units on lease; they count as used until they come back.
-    pub(crate) fn grant_lease(&mut self, to: GatewayId, sequence: u16, units: f64) {
+    pub(crate) fn grant_lease(&mut self, to: GatewayId, sequence: u16, units: Units) {
         self.consume(units);
         self.ledger.grant(to, sequence, units);
     }
@@ -264,9 +267,9 @@
 }
 
 /// µs that a missing amount takes at a rate a second.
-fn refill_time(missing: f64, rate: f64) -> f64 {
-    if missing > 0.0 {
-        missing / rate.max(f64::EPSILON) * MICROS_PER_SECOND
+fn refill_time(missing: Units, rate: f64) -> f64 {
+    if missing > Units::ZERO {
+        missing.seconds_at(rate.max(f64::EPSILON)) * MICROS_PER_SECOND
     } else {
         0.0
     }
--- a/crates/gateway-core/tests/common/harness.rs
+++ b/crates/gateway-core/tests/common/harness.rs
@@ -112,7 +112,7 @@
             class,
             plan,
             customer,
-            units: 1.0,
+            units: Units::new(1.0),
             gateways: self.customer_gateways,
             client_timeout: Duration::from_micros(client_timeout),
         });
--- a/crates/gateway-core/tests/common/settings.rs
+++ b/crates/gateway-core/tests/common/settings.rs
@@ -55,7 +55,7 @@
             discovery: EndpointDiscovery::Pushed,
             event_period: Duration::from_millis(2),
             peer_messages_per_second: 60.0,
-            max_request_units: 1.0,
+            max_request_units: Units::new(1.0),
         })
     }
 
@@ -65,7 +65,7 @@
     }
 
     pub(crate) fn burst(mut self, plan: PlanId, burst: f64) -> Self {
-        self.0.plans[plan.0].burst = burst;
+        self.0.plans[plan.0].burst = Units::new(burst);
         self
     }
 
@@ -117,7 +117,7 @@
 fn plans() -> Vec<Plan> {
     let plan = Plan {
         rate: 1.0,
-        burst: 4.0,
+        burst: Units::new(4.0),
         max_concurrent: None,
         weight: 1.0,
         over_quota_weight: 0.0,
@@ -126,7 +126,7 @@
     };
     let hard_limit = Some(HardLimit {
         rate: 8.0,
-        capacity: 12.0,
+        capacity: Units::new(12.0),
     });
     vec![
         plan.clone(),
@@ -136,13 +136,13 @@
         },
         Plan {
             rate: 1000.0,
-            burst: 1000.0,
+            burst: Units::new(1000.0),
             hard_limit,
             ..plan.clone()
         },
         Plan {
             rate: 1000.0,
-            burst: 1000.0,
+            burst: Units::new(1000.0),
             max_concurrent: Some(2),
             ..plan
         },
--- a/crates/gateway-core/tests/gateway_pair/mod.rs
+++ b/crates/gateway-core/tests/gateway_pair/mod.rs
@@ -44,7 +44,7 @@
         discovery: EndpointDiscovery::Pushed,
         event_period: 2 * MILLISECOND,
         peer_messages_per_second: 60.0,
-        max_request_units: 1.0,
+        max_request_units: Units::new(1.0),
     }
 }
 
@@ -60,7 +60,7 @@
 fn plan_without_quota() -> Plan {
     Plan {
         rate: 0.0,
-        burst: 9.0,
+        burst: Units::new(9.0),
         max_concurrent: None,
         weight: 1.0,
         over_quota_weight: 0.0,
@@ -232,7 +232,7 @@
             class: ClassId((number % 2) as usize),
             plan: PlanId(0),
             customer: CustomerId(number % CUSTOMERS),
-            units: 1.0,
+            units: Units::new(1.0),
             gateways: GatewaySet {
                 first: GatewayId(0),
                 count: MEMBERS as u32,
--- a/crates/gateway-core/tests/policy/lease.rs
+++ b/crates/gateway-core/tests/policy/lease.rs
@@ -20,7 +20,7 @@
     let mut fleet = Fleet::new(60, 40, |settings| {
         let hard_limit = HardLimit {
             rate: 120.0,
-            capacity: 120.0,
+            capacity: Units::new(120.0),
         };
         settings
             .rate(HARD_LIMITED, 60.0)
@@ -77,7 +77,7 @@
             HARD_LIMITED,
             HardLimit {
                 rate: 20.0,
-                capacity: 40.0,
+                capacity: Units::new(40.0),
             },
         )
         .build()
@@ -250,7 +250,7 @@
     let settings = |gateway| {
         let nothing_to_grant = HardLimit {
             rate: 0.1,
-            capacity: 12.0,
+            capacity: Units::new(12.0),
         };
         SettingsBuilder::new(gateway, LARGE_FLEET)
             .rate(HARD_LIMITED, 20.0)
--- a/crates/gateway-core/tests/policy/quota_owner.rs
+++ b/crates/gateway-core/tests/policy/quota_owner.rs
@@ -112,7 +112,7 @@
 fn the_permit_of_an_expired_grant_is_released_before_the_request_asks_again() {
     let hard_limit = HardLimit {
         rate: 8.0,
-        capacity: 12.0,
+        capacity: Units::new(12.0),
     };
     let settings = SettingsBuilder::new(0, LARGE_FLEET)
         .hard_limit(TWO_CONCURRENT, hard_limit)
--- a/crates/gateway-core/tests/policy/slow_start.rs
+++ b/crates/gateway-core/tests/policy/slow_start.rs
@@ -68,7 +68,7 @@
                 class: IDEMPOTENT,
                 plan: UNLIMITED,
                 customer: CustomerId(9),
-                units: 1.0,
+                units: Units::new(1.0),
                 gateways: GatewaySet {
                     first: GatewayId(number),
                     count: 1,
--- a/crates/gateway-core/tests/replay/simulation.rs
+++ b/crates/gateway-core/tests/replay/simulation.rs
@@ -258,7 +258,7 @@
             class: ClassId(self.random.usize(0..CLASS_COUNT)),
             plan: PlanId(customer as usize % PLAN_COUNT),
             customer: CustomerId(customer),
-            units: 0.25 + self.random.f64() / 2.0,
+            units: Units::new(0.25 + self.random.f64() / 2.0),
             gateways: GatewaySet {
                 first: GatewayId(0),
                 count: self.gateways_of(customer),
--- a/crates/gateway-core/tests/unit/message.rs
+++ b/crates/gateway-core/tests/unit/message.rs
@@ -21,7 +21,7 @@
         grant: LeaseGrant {
             decision,
             request_probability,
-            leased_units,
+            leased_units: Units::new(leased_units),
         },
     }
 }
@@ -85,11 +85,11 @@
             count: 300,
         },
         owner_index: 2,
-        units: 2.5,
-        requested_units: 100.25,
+        units: Units::new(2.5),
+        requested_units: Units::new(100.25),
         returned: ReturnedLease {
             sequence: 0x1230,
-            units: 0.5,
+            units: Units::new(0.5),
         },
     }
 }
@@ -240,7 +240,7 @@
     let grant = LeaseGrant {
         decision,
         request_probability: 0.2,
-        leased_units: 0.0,
+        leased_units: Units::new(0.0),
     };
     let answer = LeaseAnswer {
         sequence: u16::MAX,
--- a/crates/gateway-core/tests/unit/peer_usage.rs
+++ b/crates/gateway-core/tests/unit/peer_usage.rs
@@ -48,9 +48,9 @@
 #[test]
 fn usage_ages_out_after_a_window() {
     let mut peer = PeerUsage::default();
-    peer.add(at(0), 2.0);
-    peer.add(at(1000), 3.0);
-    assert_eq!(peer.recent_units(at(0) + USAGE_WINDOW), 5.0);
-    assert_eq!(peer.recent_units(at(1) + USAGE_WINDOW), 3.0);
-    assert_eq!(peer.recent_units(at(1001) + USAGE_WINDOW), 0.0);
+    peer.add(at(0), Units::new(2.0));
+    peer.add(at(1000), Units::new(3.0));
+    assert_eq!(peer.recent_units(at(0) + USAGE_WINDOW), Units::new(5.0));
+    assert_eq!(peer.recent_units(at(1) + USAGE_WINDOW), Units::new(3.0));
+    assert_eq!(peer.recent_units(at(1001) + USAGE_WINDOW), Units::new(0.0));
 }
--- a/crates/gateway-core/tests/unit/server_table.rs
+++ b/crates/gateway-core/tests/unit/server_table.rs
@@ -4,6 +4,7 @@
 use crate::settings::{Class, EndpointDiscovery, Idempotency, Permissions, Rules};
 use crate::state::server::ClassHealth;
 use crate::types::{EndpointUpdate, GatewayId, ZoneId};
+use crate::units::Units;
 use proptest::prelude::*;
 
 fn at(micros: u64) -> Timestamp {
@@ -238,7 +239,7 @@
         discovery: EndpointDiscovery::Pushed,
         event_period: Duration::from_micros(1),
         peer_messages_per_second: 1.0,
-        max_request_units: 1.0,
+        max_request_units: Units::new(1.0),
     }
 }
 
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -5,7 +5,7 @@
 use gateway_core::{
     load_report, AttemptNumber, AttemptOutcome, CellId, ClassId, CustomerId, Endpoint,
     EndpointState, EndpointUpdate, Event, GatewayId, GatewaySet, PlanId, RequestId, ServerId,
-    Timestamp, ZoneId,
+    Timestamp, Units, ZoneId,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -128,7 +128,7 @@
         class: ClassId(index_of(line, "grade", &settings.class_names)?),
         plan: PlanId(index_of(line, "package", &settings.plan_names)?),
         customer: CustomerId(line.parsed("clientId")?),
-        units: line.non_negative("quotaUnits")?,
+        units: Units::new(line.non_negative("quotaUnits")?),
         gateways: GatewaySet {
             first: GatewayId(line.parsed("base")?),
             count: line.parsed("setSize")?,
