--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -103,8 +103,8 @@
             return;
         };
         let first = request.attempts == 0;
-        if let Some(bucket) = self.quotas.local.get_mut(&request.customer) {
-            bucket.attempt_sent(now, request.units, first);
+        if let Some(account) = self.quotas.account_mut(request.customer) {
+            account.attempt_sent(now, request.units, first);
         }
         if first {
             self.retry_budget = retry::earn(self.retry_budget);
@@ -199,8 +199,8 @@
     fn remove_attempt(&mut self, key: &AttemptKey) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         self.servers.attempt_finished(&attempt.server);
-        if let Some(bucket) = self.quotas.local.get_mut(&attempt.customer) {
-            bucket.attempt_finished();
+        if let Some(account) = self.quotas.account_mut(attempt.customer) {
+            account.attempt_finished();
         }
         Some(attempt)
     }
--- a/crates/gateway-core/src/gateway/control_tick.rs
+++ b/crates/gateway-core/src/gateway/control_tick.rs
@@ -11,7 +11,6 @@
 use crate::policy::slow_start::SlowStart;
 use crate::state::deployment::FleetMode;
 use crate::state::latency_samples::LatencySamples;
-use crate::state::quota_state::silent_gateways;
 use crate::state::server::Server;
 use crate::statistics::{median, update_mean};
 use crate::time::{DurationExt, Timestamp};
@@ -141,14 +140,7 @@
     /// Drops what tells nothing any more: memory would grow with every customer and server ever seen.
     fn evict_idle(&mut self, now: Timestamp) {
         let plans = &self.deployment.settings.plans;
-        let last_heard = &self.quotas.last_heard;
-        let silent = |gateways| silent_gateways(last_heard, gateways, now, PARTITIONED);
-        self.quotas
-            .local
-            .retain(|_, bucket| !bucket.is_idle(now, &plans[bucket.plan.0], silent));
-        self.quotas
-            .owned
-            .retain(|_, bucket| !bucket.is_idle(now, &plans[bucket.plan.0], |_| 0.0));
+        self.quotas.evict_idle(now, plans, &PARTITIONED);
         self.servers.evict_idle(now, MAX_SERVER_IDLE);
     }
 }
--- a/crates/gateway-core/src/gateway/gossip.rs
+++ b/crates/gateway-core/src/gateway/gossip.rs
@@ -2,17 +2,12 @@
 //! these.
 
 use super::Gateway;
-use crate::message::{
-    self, units_of_usage_steps, GossipDigest, HealthReport, LeaseAnswer, Message, UsageCounts,
-    MAX_USAGE_COUNTS,
-};
+use crate::message::{self, GossipDigest, HealthReport, Message, UsageCounts, MAX_USAGE_COUNTS};
 use crate::policy::fleet_mode::{LATENCY_RATIO_WEIGHT, THROUGHPUT_WEIGHT};
 use crate::policy::gossip as policy;
 use crate::policy::load_balancing::SAMPLE_SIZE;
-use crate::policy::quota_sharing::account::{observe_incarnation, PARTITIONED};
-use crate::policy::quota_sharing::gossip::USAGE_LIFETIME;
-use crate::state::permits::PermitHolder;
-use crate::state::quota_state::silent_gateways;
+use crate::policy::quota_sharing::gossip::{merge_usage, USAGE_LIFETIME};
+use crate::state::quota::PermitHolder;
 use crate::statistics::update_mean;
 use crate::time::Timestamp;
 use crate::types::{ClassId, GatewayId};
@@ -34,56 +29,23 @@
             return;
         }
         match message {
-            Message::UsageCounts(usage) => self.merge_usage(now, from, &usage),
+            Message::UsageCounts(usage) => {
+                merge_usage(&mut self.quotas, settings, now, from, &usage);
+            }
             Message::LeaseRequest(request, digest) => {
                 self.merge_digest(now, digest);
-                let Some(grant) = self.decide_lease_request(now, from, &request) else {
-                    return;
-                };
-                let answer = LeaseAnswer {
-                    sequence: request.sequence,
-                    grant,
-                };
-                let answer = Message::LeaseAnswer(answer, self.digest(now));
-                actions.push(Action::SendToPeer {
-                    to: from,
-                    bytes: message::encode(&answer),
-                });
+                self.on_lease_request(now, from, &request, actions);
             }
-            Message::LeaseAnswer(answer, digest) => {
+            Message::LeaseResponse(response, digest) => {
                 self.merge_digest(now, digest);
-                self.on_lease_answer(now, answer, actions);
+                self.on_lease_response(now, response, actions);
             }
             Message::PermitRelease(release) => {
-                if let Some(bucket) = self.quotas.owned.get_mut(&release.customer) {
-                    bucket.permits.release(PermitHolder {
-                        gateway: from,
-                        sequence: release.sequence,
-                    });
-                }
-            }
-        }
-    }
-
-    /// Drains buckets by what a peer has used since its last message.
-    fn merge_usage(&mut self, now: Timestamp, from: GatewayId, usage: &UsageCounts) {
-        let settings = &self.deployment.settings;
-        self.quotas.last_heard[from.0 as usize] = now;
-        observe_incarnation(&mut self.quotas, settings, now, usage.incarnation);
-        for usage_count in &usage.counts {
-            let Some(bucket) = self.quotas.local.get_mut(&usage_count.customer) else {
-                continue;
-            };
-            let silent =
-                silent_gateways(&self.quotas.last_heard, bucket.gateways(), now, PARTITIONED);
-            bucket.refill(now, &settings.plans[bucket.plan.0], silent);
-            let steps = bucket
-                .peer_usage(from)
-                .delta(now, usage.incarnation, usage_count.count);
-            if steps > 0 {
-                let units = units_of_usage_steps(steps);
-                bucket.peer_usage(from).add(now, units);
-                bucket.tokens = (bucket.tokens - units).max(-bucket.capacity);
+                let holder = PermitHolder {
+                    gateway: from,
+                    sequence: release.sequence,
+                };
+                self.quotas.release_permit(release.customer, holder);
             }
         }
     }
--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -1,17 +1,13 @@
-//! The lease protocol: requests to quota owners, their answers, and what is done while there is none.
+//! The lease protocol of a large fleet: lease requests to quota owners, their responses, and what is done while
+//! there is none. What is decided stands in [`quota_sharing`](crate::policy::quota_sharing).
 
 use super::Gateway;
-use crate::message::{
-    self, LeaseAnswer, LeaseDecision, LeaseGrant, LeaseRequest, Message, PermitRelease,
-};
+use crate::message::{self, LeaseDecision, LeaseRequest, LeaseResponse, Message, PermitRelease};
 use crate::policy::quota_sharing::lease::{
     self as policy, AfterMiss, ResponseDecision, UnsentDecision,
 };
 use crate::policy::quota_sharing::owner::{lease_lifetime, owners_of, OwnerRequest};
-use crate::state::deployment::Context;
-use crate::state::lease::Lease;
-use crate::state::permits::PermitHolder;
-use crate::state::request::{PendingLeaseRequest, QuotaGrant, QuotaOwner};
+use crate::state::quota::{HeldLease, PendingLease, PermitHolder, QuotaOwner, RequestGrant};
 use crate::time::Timestamp;
 use crate::types::{CustomerId, GatewayId, GatewaySet, RejectReason, RequestId};
 use crate::units::Units;
@@ -28,37 +24,34 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(bucket) = self.quotas.local.get(&request.customer) else {
+        let Some(account) = self.quotas.account(request.customer) else {
             return;
         };
+        let gateways = account.gateways();
         let plan = self.deployment.plan_of(request);
-        let owners = owners_of(
-            &self.deployment.settings,
-            request.customer,
-            plan,
-            bucket.gateways(),
-        );
+        let owners = owners_of(&self.deployment.settings, request.customer, plan, gateways);
         let owner = policy::next_owner(&self.quotas, now, owners, request, &mut self.random);
         let sequence = self.quotas.next_sequence();
-        let Some(bucket) = self.quotas.local.get_mut(&request.customer) else {
+        let Some(account) = self.quotas.account_mut(request.customer) else {
             return;
         };
-        let renewal = policy::renew(bucket, now, request.units, owner.index);
+        let renewal = policy::renew(account, now, request.units, owner.index);
         let lease_request = LeaseRequest {
             sequence,
             customer: request.customer,
             plan: request.plan,
-            gateways: bucket.gateways(),
+            gateways,
             owner_index: owner.index,
             units: request.units,
             requested_units: renewal.requested_units,
             returned: renewal.returned,
         };
-        request.quota.ask(now, sequence, owner);
-        self.quotas.pending.insert(sequence, id);
+        request.quota.record_lease_request(now, sequence, owner);
+        self.quotas.insert_pending(sequence, id);
         self.send_lease_request(now, owner, lease_request, actions);
     }
 
+    /// Sends a lease request to its owner; if that is this gateway, it responds immediately.
     fn send_lease_request(
         &mut self,
         now: Timestamp,
@@ -73,25 +66,37 @@
                 bytes,
             });
         }
-        let grant = self.decide_lease_request(now, owner.gateway, &request);
-        let grant = grant.unwrap_or(LeaseGrant::REJECTED);
-        self.on_lease_answer(
-            now,
-            LeaseAnswer {
-                sequence: request.sequence,
-                grant,
-            },
-            actions,
-        );
+        let response = self
+            .decide_lease_request(now, owner.gateway, &request)
+            .unwrap_or(LeaseResponse::rejected(request.sequence));
+        self.on_lease_response(now, response, actions);
     }
 
-    /// As an owner: what is granted. `None` if this gateway is not the owner meant.
-    pub(super) fn decide_lease_request(
+    /// As an owner: responds to a lease request of another gateway.
+    pub(super) fn on_lease_request(
         &mut self,
         now: Timestamp,
         from: GatewayId,
         request: &LeaseRequest,
-    ) -> Option<LeaseGrant> {
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(response) = self.decide_lease_request(now, from, request) else {
+            return;
+        };
+        let response = Message::LeaseResponse(response, self.digest(now));
+        actions.push(Action::SendToPeer {
+            to: from,
+            bytes: message::encode(&response),
+        });
+    }
+
+    /// As an owner: the response to a lease request. `None` if this gateway is not the owner that is asked.
+    fn decide_lease_request(
+        &mut self,
+        now: Timestamp,
+        from: GatewayId,
+        request: &LeaseRequest,
+    ) -> Option<LeaseResponse> {
         let settings = &self.deployment.settings;
         let plan = settings.plans.get(request.plan.0)?;
         let count = request.gateways.count.clamp(1, settings.gateway_count);
@@ -100,6 +105,7 @@
             ..request.gateways
         };
         let owners = owners_of(settings, request.customer, plan, gateways);
+        let customer = request.customer;
         let request = OwnerRequest {
             from,
             request,
@@ -109,68 +115,82 @@
         if !request.is_for(settings.gateway_id) {
             return None;
         }
-        let bucket = self.quotas.owned.entry(request.request.customer);
-        let bucket = bucket.or_insert_with(|| request.new_bucket(settings, now));
-        Some(request.decide(settings, now, bucket))
+        let owned = self
+            .quotas
+            .owned_or_insert(customer, || request.new_part(settings, now));
+        Some(request.decide(settings, now, owned))
     }
 
-    pub(super) fn on_lease_answer(
+    /// Takes in an owner's response: what it says of the account, then what follows for the request.
+    pub(super) fn on_lease_response(
         &mut self,
         now: Timestamp,
-        answer: LeaseAnswer,
+        response: LeaseResponse,
         actions: &mut Vec<Action>,
     ) {
-        let LeaseAnswer { sequence, grant } = answer;
-        let Some(id) = self.quotas.pending.remove(&sequence) else {
+        let Some(id) = self.quotas.remove_pending(response.sequence) else {
             return;
         };
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(pending) = request
-            .quota
-            .pending
-            .take_if(|pending| pending.sequence == sequence)
-        else {
+        let Some(pending) = request.quota.take_pending(response.sequence) else {
             return;
         };
-        let owner = request.quota.owner;
-        self.quotas.unresponsive.remove(&owner.gateway);
-        let hard_limit = self.deployment.plan_of(request).hard_limit;
-        let expires_at = pending.sent_at + lease_lifetime(hard_limit.as_ref());
-        if let Some(bucket) = self.quotas.local.get_mut(&request.customer) {
-            bucket.lease_request_probability = grant.request_probability;
-            bucket.probability_set_at = now;
-            if grant.leased_units > Units::ZERO {
-                let requested_at = bucket.lease.requested_at;
-                let units = grant.leased_units;
-                bucket.lease = Lease {
-                    units,
-                    expires_at,
-                    owner_index: owner.index,
-                    sequence,
-                    requested_at,
-                };
-            }
+        if response.decision == LeaseDecision::QuotaExceeded {
+            request.quota.record_rejection();
         }
-        if grant.decision == LeaseDecision::QuotaExceeded {
-            request.quota.rejections += 1;
+        let owner = request.quota.owner();
+        let customer = request.customer;
+        let hard_limit = self.deployment.plan_of(request).hard_limit.as_ref();
+        let expires_at = pending.sent_at + lease_lifetime(hard_limit);
+        self.quotas.record_response(owner.gateway);
+        self.update_account(now, customer, owner, &response, expires_at);
+        let grant = RequestGrant {
+            owner: owner.gateway,
+            sequence: response.sequence,
+            expires_at,
+        };
+        self.continue_after_response(now, id, &response, grant, actions);
+    }
+
+    /// Notes the request probability and the lease of a response in the customer's account.
+    fn update_account(
+        &mut self,
+        now: Timestamp,
+        customer: CustomerId,
+        owner: QuotaOwner,
+        response: &LeaseResponse,
+        expires_at: Timestamp,
+    ) {
+        let Some(account) = self.quotas.account_mut(customer) else {
+            return;
+        };
+        account.set_request_probability(now, response.request_probability);
+        if response.leased_units > Units::ZERO {
+            account.hold_lease(HeldLease::new(
+                response.leased_units,
+                expires_at,
+                owner.index,
+                response.sequence,
+            ));
         }
-        let context = Context {
-            now,
-            deployment: &self.deployment,
-            fleet: &self.fleet,
+    }
+
+    /// Sends a request, asks again or rejects it, as its owner's response demands. `grant`: what it is sent on.
+    fn continue_after_response(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        response: &LeaseResponse,
+        grant: RequestGrant,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
         };
-        match policy::on_response(context, request, grant, expires_at) {
-            ResponseDecision::Send => {
-                request.quota.grant = Some(QuotaGrant {
-                    owner: owner.gateway,
-                    sequence,
-                });
-                request.quota.grant_expires_at = expires_at;
-                request.due_since = now;
-                self.requests.enqueue(id);
-            }
+        match policy::on_response(self.context(now), request, response, grant.expires_at) {
+            ResponseDecision::Send => self.enqueue_granted(now, id, grant),
             ResponseDecision::AskAgain => self.request_lease(now, id, actions),
             ResponseDecision::Reject => {
                 self.reject_or_fail(now, &id, RejectReason::QuotaExceeded, actions);
@@ -178,6 +198,19 @@
         }
     }
 
+    fn enqueue_granted(&mut self, now: Timestamp, id: RequestId, grant: RequestGrant) {
+        self.set_grant(now, &id, grant);
+        self.requests.enqueue(id);
+    }
+
+    /// From now on only the servers delay a request.
+    fn set_grant(&mut self, now: Timestamp, id: &RequestId, grant: RequestGrant) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.quota.set_grant(grant);
+            request.due_since = now;
+        }
+    }
+
     /// Checks the requests that were never sent: whether their owner has failed to respond, or their grant has
     /// expired.
     pub(super) fn check_unsent_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
@@ -199,8 +232,8 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let bucket = self.quotas.local.get(&request.customer);
-        match policy::check_unsent(&self.deployment, now, request, bucket) {
+        let account = self.quotas.account(request.customer);
+        match policy::check_unsent(&self.deployment, now, request, account) {
             UnsentDecision::Wait => {}
             UnsentDecision::RequestLease => self.request_lease(now, id, actions),
             UnsentDecision::RenewGrant(grant) => self.renew_grant(now, id, grant, actions),
@@ -216,13 +249,13 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        grant: QuotaGrant,
+        grant: RequestGrant,
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.quota.grant = None;
+        request.quota.drop_grant();
         let customer = request.customer;
         self.requests.dequeue(&id);
         self.release_permit(grant, customer, actions);
@@ -230,65 +263,59 @@
     }
 
     /// Notes that an owner has not responded to a request in time.
-    fn record_miss(&mut self, now: Timestamp, id: &RequestId, pending: PendingLeaseRequest) {
+    fn record_miss(&mut self, now: Timestamp, id: &RequestId, pending: PendingLease) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.quota.misses += 1;
-        request.quota.pending = None;
-        self.quotas.pending.remove(&pending.sequence);
-        let misses = self
-            .quotas
-            .unresponsive
-            .entry(request.quota.owner.gateway)
-            .or_default();
-        misses.record(now + policy::OWNER_COOLDOWN);
+        request.quota.record_miss();
+        self.quotas.remove_pending(pending.sequence);
+        let owner = request.quota.owner().gateway;
+        self.quotas.record_miss(owner, now + policy::OWNER_COOLDOWN);
     }
 
+    /// Asks again, or carries out what this gateway has decided alone.
     fn continue_after_miss(
         &mut self,
         now: Timestamp,
         id: RequestId,
-        pending: PendingLeaseRequest,
+        pending: PendingLease,
         next: AfterMiss,
         actions: &mut Vec<Action>,
     ) {
-        if matches!(next, AfterMiss::AskAgain) {
-            return self.request_lease(now, id, actions);
-        }
-        if let Some(request) = self.requests.get_mut(&id) {
-            request.quota.grant = Some(QuotaGrant {
-                owner: self.deployment.settings.gateway_id,
-                sequence: pending.sequence,
-            });
-            request.due_since = now;
-        }
-        if let AfterMiss::Reject(reason) = next {
-            self.reject_or_fail(now, &id, reason, actions);
-        } else {
-            self.requests.enqueue(id);
+        let own_grant = RequestGrant {
+            owner: self.deployment.settings.gateway_id,
+            sequence: pending.sequence,
+            expires_at: Timestamp::MAX,
+        };
+        match next {
+            AfterMiss::AskAgain => self.request_lease(now, id, actions),
+            AfterMiss::Send => self.enqueue_granted(now, id, own_grant),
+            AfterMiss::Reject(reason) => {
+                self.set_grant(now, &id, own_grant);
+                self.reject_or_fail(now, &id, reason, actions);
+            }
         }
     }
 
     /// Releases the concurrency permit that an owner granted.
     pub(super) fn release_permit(
         &mut self,
-        grant: QuotaGrant,
+        grant: RequestGrant,
         customer: CustomerId,
         actions: &mut Vec<Action>,
     ) {
-        let QuotaGrant { owner, sequence } = grant;
+        let RequestGrant {
+            owner, sequence, ..
+        } = grant;
         if owner == self.deployment.settings.gateway_id {
-            if let Some(bucket) = self.quotas.owned.get_mut(&customer) {
-                bucket.permits.release(PermitHolder {
-                    gateway: owner,
-                    sequence,
-                });
-            }
-            return;
+            let holder = PermitHolder {
+                gateway: owner,
+                sequence,
+            };
+            return self.quotas.release_permit(customer, holder);
         }
-        let bucket = self.quotas.local.get(&customer);
-        let plan = bucket.map(|bucket| &self.deployment.settings.plans[bucket.plan.0]);
+        let account = self.quotas.account(customer);
+        let plan = account.map(|account| &self.deployment.settings.plans[account.plan().0]);
         if plan.is_some_and(|plan| plan.max_concurrent.is_some()) {
             let release = Message::PermitRelease(PermitRelease { sequence, customer });
             actions.push(Action::SendToPeer {
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -20,7 +20,7 @@
 use crate::state::deployment::{Context, Deployment, FleetMode};
 use crate::state::fleet_estimates::FleetEstimates;
 use crate::state::latency_samples::LatencySamples;
-use crate::state::quota_state::QuotaState;
+use crate::state::quota::QuotaState;
 use crate::state::request::{Request, RequestTable};
 use crate::state::server_table::ServerTable;
 use crate::state::server_view::FleetCapacity;
@@ -215,7 +215,7 @@
 
     /// How many servers and customers are kept in memory.
     pub fn tracked_entries(&self) -> usize {
-        self.servers.tracked_entries() + self.quotas.local.len() + self.quotas.owned.len()
+        self.servers.tracked_entries() + self.quotas.tracked_entries()
     }
 
     /// How many servers were looked at since the start: work that tests can count.
--- a/crates/gateway-core/src/gateway/requests.rs
+++ b/crates/gateway-core/src/gateway/requests.rs
@@ -3,49 +3,14 @@
 use super::Gateway;
 use crate::policy::admission::{self, Admission};
 use crate::policy::deadlines::{self, Expiry};
-use crate::policy::quota_sharing::account;
+use crate::policy::quota_sharing::account::account_on_arrival;
 use crate::policy::retry;
 use crate::state::deployment::Context;
-use crate::state::quota_state::{silent_gateways, QuotaState};
-use crate::state::request::{QuotaGrant, Request};
-use crate::state::token_bucket::{BucketConfig, TokenBucket};
+use crate::state::request::Request;
 use crate::time::Timestamp;
 use crate::types::{GatewaySet, RejectReason, RequestId};
 use crate::Action;
 
-/// The bucket of a request's customer, refilled up to now.
-fn refilled_bucket<'a>(
-    quotas: &'a mut QuotaState,
-    context: Context<'_>,
-    request: &Request,
-    gateways: GatewaySet,
-) -> &'a mut TokenBucket {
-    let now = context.now;
-    let settings = &context.deployment.settings;
-    let config = BucketConfig {
-        plan_id: request.plan,
-        plan: context.deployment.plan_of(request),
-        gateways: GatewaySet {
-            count: gateways.count.clamp(1, settings.gateway_count),
-            ..gateways
-        },
-        max_request_units: settings.max_request_units,
-    };
-    let uptime = quotas.uptime(now);
-    let restarted = quotas.restarted_recently;
-    let bucket = quotas.local.entry(request.customer);
-    let bucket = bucket.or_insert_with(|| account::new_bucket(now, uptime, restarted, config));
-    account::follow_hints(settings, bucket, now, config);
-    let silent = silent_gateways(
-        &quotas.last_heard,
-        bucket.gateways(),
-        now,
-        account::PARTITIONED,
-    );
-    bucket.refill(now, &settings.plans[bucket.plan.0], silent);
-    bucket
-}
-
 impl Gateway {
     pub(super) fn on_request(
         &mut self,
@@ -60,26 +25,20 @@
             deployment: &self.deployment,
             fleet: &self.fleet,
         };
-        let bucket = refilled_bucket(&mut self.quotas, context, &request, gateways);
+        let account = account_on_arrival(&mut self.quotas, context, &request, gateways);
         let admission = admission::decide(
             self.quota_sharing,
             context,
-            bucket,
+            account,
             &request,
             &mut self.random,
         );
-        let lease_sequence = bucket.lease.sequence;
         self.requests.insert(id.clone(), request);
         match admission {
             Admission::Admit => self.requests.enqueue(id),
-            Admission::AdmitOnLease { expires_at } => {
-                let owner = self.deployment.settings.gateway_id;
+            Admission::AdmitOnLease(grant) => {
                 if let Some(request) = self.requests.get_mut(&id) {
-                    request.quota.grant = Some(QuotaGrant {
-                        owner,
-                        sequence: lease_sequence,
-                    });
-                    request.quota.grant_expires_at = expires_at;
+                    request.quota.set_grant(grant);
                 }
                 self.requests.enqueue(id);
             }
@@ -127,8 +86,8 @@
         };
         *self.rejections.entry((reason, request.plan)).or_default() += 1;
         if retry::may_reject(&self.deployment, request) {
-            let bucket = self.quotas.local.get(&request.customer);
-            let retry_after = deadlines::retry_after(self.context(now), bucket, request);
+            let account = self.quotas.account(request.customer);
+            let retry_after = deadlines::retry_after(self.context(now), account, request);
             actions.push(Action::Reject {
                 id: id.clone(),
                 retry_after,
@@ -139,7 +98,7 @@
         self.remove_request(id, actions);
     }
 
-    /// Drops a request: it is answered, or its client has gone. What it took from the bucket here goes back
+    /// Drops a request: it is answered, or its client has gone. What it took from the account here goes back
     /// if it was never sent. Nobody waits for an attempt in flight, so it is cancelled where that is
     /// permitted.
     pub(super) fn remove_request(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
@@ -147,14 +106,14 @@
             return;
         };
         if request.attempts == 0 {
-            if let Some(bucket) = self.quotas.local.get_mut(&request.customer) {
-                bucket.tokens += request.units;
+            if let Some(account) = self.quotas.account_mut(request.customer) {
+                account.refund(request.units);
             }
         }
-        if let Some(pending) = request.quota.pending {
-            self.quotas.pending.remove(&pending.sequence);
+        if let Some(pending) = request.quota.pending() {
+            self.quotas.remove_pending(pending.sequence);
         }
-        if let Some(grant) = request.quota.grant {
+        if let Some(grant) = request.quota.grant() {
             self.release_permit(grant, request.customer, actions);
         }
         let may_cancel = !request.cancelled && self.deployment.settings.permissions.cancel_attempts;
--- a/crates/gateway-core/src/message/decode.rs
+++ b/crates/gateway-core/src/message/decode.rs
@@ -18,8 +18,8 @@
             reader.lease_request()?,
             reader.digest()?,
         )),
-        KIND_LEASE_ANSWER => Some(Message::LeaseAnswer(
-            reader.lease_answer()?,
+        KIND_LEASE_RESPONSE => Some(Message::LeaseResponse(
+            reader.lease_response()?,
             reader.digest()?,
         )),
         KIND_PERMIT_RELEASE => Some(Message::PermitRelease(reader.permit_release()?)),
@@ -109,7 +109,7 @@
         })
     }
 
-    fn lease_answer(&mut self) -> Option<LeaseAnswer> {
+    fn lease_response(&mut self) -> Option<LeaseResponse> {
         let sequence = self.u16()?;
         let decision = match self.byte()? {
             DECISION_GRANTED => LeaseDecision::Granted,
@@ -118,13 +118,11 @@
         };
         let request_probability = f64::from(self.byte()?) / f64::from(u8::MAX);
         let leased_units = self.units()?;
-        Some(LeaseAnswer {
+        Some(LeaseResponse {
             sequence,
-            grant: LeaseGrant {
-                decision,
-                request_probability,
-                leased_units,
-            },
+            decision,
+            request_probability,
+            leased_units,
         })
     }
 
--- a/crates/gateway-core/src/message/encode.rs
+++ b/crates/gateway-core/src/message/encode.rs
@@ -12,8 +12,8 @@
             encode_lease_request(request, &mut bytes);
             encode_digest(digest, &mut bytes);
         }
-        Message::LeaseAnswer(answer, digest) => {
-            encode_lease_answer(answer, &mut bytes);
+        Message::LeaseResponse(response, digest) => {
+            encode_lease_response(response, &mut bytes);
             encode_digest(digest, &mut bytes);
         }
         Message::PermitRelease(release) => {
@@ -48,17 +48,17 @@
     bytes.extend_from_slice(&units_bytes(request.returned.units));
 }
 
-fn encode_lease_answer(answer: &LeaseAnswer, bytes: &mut Vec<u8>) {
-    bytes.push(KIND_LEASE_ANSWER);
-    bytes.extend_from_slice(&answer.sequence.to_le_bytes());
-    bytes.push(match answer.grant.decision {
+fn encode_lease_response(response: &LeaseResponse, bytes: &mut Vec<u8>) {
+    bytes.push(KIND_LEASE_RESPONSE);
+    bytes.extend_from_slice(&response.sequence.to_le_bytes());
+    bytes.push(match response.decision {
         LeaseDecision::Granted => DECISION_GRANTED,
         LeaseDecision::QuotaExceeded => DECISION_QUOTA_EXCEEDED,
     });
     bytes.push(rounded_byte(
-        answer.grant.request_probability * f64::from(u8::MAX),
+        response.request_probability * f64::from(u8::MAX),
     ));
-    bytes.extend_from_slice(&leased_units_bytes(answer.grant.leased_units));
+    bytes.extend_from_slice(&leased_units_bytes(response.leased_units));
 }
 
 fn encode_digest(digest: &GossipDigest, bytes: &mut Vec<u8>) {
--- a/crates/gateway-core/src/message/mod.rs
+++ b/crates/gateway-core/src/message/mod.rs
@@ -16,7 +16,7 @@
 /// Kinds of messages, as encoded.
 const KIND_USAGE: u8 = 0;
 const KIND_LEASE_REQUEST: u8 = 1;
-const KIND_LEASE_ANSWER: u8 = 2;
+const KIND_LEASE_RESPONSE: u8 = 2;
 const KIND_PERMIT_RELEASE: u8 = 3;
 /// Decisions on lease requests, as encoded.
 const DECISION_GRANTED: u8 = 0;
@@ -71,7 +71,7 @@
     pub(crate) age: Duration,
 }
 
-/// How the fleet fares as the sender sees it; rides on lease requests and answers.
+/// How the fleet fares as the sender sees it; rides on lease requests and responses.
 #[derive(Default)]
 pub(crate) struct GossipDigest {
     /// Answers a second at one gateway.
@@ -108,7 +108,7 @@
     pub(crate) counts: Vec<UsageCount>,
 }
 
-/// What is left of an ended lease, by the lease request that it was granted under.
+/// What remains of an ended lease, by the lease request that it was granted under.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ReturnedLease {
     pub(crate) sequence: u16,
@@ -121,7 +121,7 @@
     pub(crate) customer: CustomerId,
     pub(crate) plan: PlanId,
     pub(crate) gateways: GatewaySet,
-    /// Which of the customer's owners is meant.
+    /// Index of the owner that is asked among the customer's owners.
     pub(crate) owner_index: u32,
     pub(crate) units: Units,
     /// Units that the sender is likely to use beyond this request's within a lease's lifetime.
@@ -129,36 +129,35 @@
     pub(crate) returned: ReturnedLease,
 }
 
-/// An owner's decision.
+/// An owner's decision on a request's own units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseDecision {
     Granted,
     QuotaExceeded,
 }
 
-/// What an owner answers.
+/// An owner's response to one lease request.
 #[derive(Clone, Copy)]
-pub(crate) struct LeaseGrant {
+pub(crate) struct LeaseResponse {
+    /// The sequence number of the lease request.
+    pub(crate) sequence: u16,
     pub(crate) decision: LeaseDecision,
-    /// The share of the customer's requests that may ask.
+    /// Probability with which the customer's requests may ask.
     pub(crate) request_probability: f64,
+    /// Units that the sender of the lease request may use beyond the request's own.
     pub(crate) leased_units: Units,
 }
 
-impl LeaseGrant {
-    /// What stands in for an answer that can't be had.
-    pub(crate) const REJECTED: LeaseGrant = LeaseGrant {
-        decision: LeaseDecision::QuotaExceeded,
-        request_probability: 1.0,
-        leased_units: Units::ZERO,
-    };
-}
-
-/// An owner's answer to one lease request.
-#[derive(Clone, Copy)]
-pub(crate) struct LeaseAnswer {
-    pub(crate) sequence: u16,
-    pub(crate) grant: LeaseGrant,
+impl LeaseResponse {
+    /// A rejection that lets the customer's requests go on asking.
+    pub(crate) const fn rejected(sequence: u16) -> Self {
+        LeaseResponse {
+            sequence,
+            decision: LeaseDecision::QuotaExceeded,
+            request_probability: 1.0,
+            leased_units: Units::ZERO,
+        }
+    }
 }
 
 /// Releases the concurrency permit that was granted under a lease request.
@@ -172,7 +171,7 @@
 pub(crate) enum Message {
     UsageCounts(UsageCounts),
     LeaseRequest(LeaseRequest, GossipDigest),
-    LeaseAnswer(LeaseAnswer, GossipDigest),
+    LeaseResponse(LeaseResponse, GossipDigest),
     PermitRelease(PermitRelease),
 }
 
--- a/crates/gateway-core/src/policy/admission.rs
+++ b/crates/gateway-core/src/policy/admission.rs
@@ -1,41 +1,40 @@
 //! Admission: what becomes of a request that has just arrived.
 //!
 //! [`decide`] records the request's demand, asks the fleet's way of sharing quotas
-//! ([`QuotaSharing`]), and charges the request's units to its customer's bucket.
+//! ([`QuotaSharing`]), and charges the request's units to its customer's account.
 
 use super::deadlines::FINAL_ANSWER_MARGIN;
 use super::quota_sharing::owner::MAX_LEASE_LIFETIME;
 use super::quota_sharing::QuotaSharing;
 use crate::state::deployment::Context;
+use crate::state::quota::{CustomerAccount, RequestGrant};
 use crate::state::request::Request;
-use crate::state::token_bucket::TokenBucket;
-use crate::time::Timestamp;
 use crate::types::RejectReason;
 
 /// What becomes of a request that has just arrived.
 pub(crate) enum Admission {
-    /// The customer's own bucket covers it.
+    /// The customer's account here covers it.
     Admit,
-    /// The lease that this gateway holds for the customer covers it, and may be used until then.
-    AdmitOnLease { expires_at: Timestamp },
+    /// The lease that this gateway holds for the customer covers it.
+    AdmitOnLease(RequestGrant),
     /// One of the customer's quota owners decides.
     AskOwner,
     /// It is rejected.
     Reject(RejectReason),
 }
 
-/// Decides on a request that has just arrived, and charges its units to `bucket`, its customer's, which has been
-/// refilled up to now. The units are charged whatever is decided; a request that is never sent returns them.
+/// Decides on a request that has just arrived, and charges its units to `account`, its customer's, which has
+/// been refilled up to now. The units are charged whatever is decided; a request that is never sent returns them.
 pub(crate) fn decide(
     quota_sharing: QuotaSharing,
     context: Context<'_>,
-    bucket: &mut TokenBucket,
+    account: &mut CustomerAccount,
     request: &Request,
     random: &mut fastrand::Rng,
 ) -> Admission {
-    bucket.record_demand(context.now, request.units, MAX_LEASE_LIFETIME);
-    let admission = quota_sharing.on_arrival(context, bucket, request, random);
-    bucket.tokens -= request.units;
+    account.record_demand(context.now, request.units, MAX_LEASE_LIFETIME);
+    let admission = quota_sharing.on_arrival(context, account, request, random);
+    account.charge(request.units);
     admission
 }
 
--- a/crates/gateway-core/src/policy/deadlines.rs
+++ b/crates/gateway-core/src/policy/deadlines.rs
@@ -1,8 +1,8 @@
 //! Requests whose time is running out.
 
 use crate::state::deployment::{Context, FleetMode};
+use crate::state::quota::CustomerAccount;
 use crate::state::request::Request;
-use crate::state::token_bucket::TokenBucket;
 use crate::time::DurationExt;
 use crate::types::{AttemptNumber, RejectReason};
 use std::time::Duration;
@@ -59,23 +59,25 @@
         return RejectReason::RetriesExhausted;
     }
     match context.deployment.mode {
-        FleetMode::Leases if request.quota.grant.is_none() => RejectReason::QuotaTimeout,
+        FleetMode::Leases if request.quota.grant().is_none() => RejectReason::QuotaTimeout,
         _ => RejectReason::QueueTimeout,
     }
 }
 
-/// When a rejected client may retry, in µs: once its bucket is likely to hold what it asks for.
+/// When a rejected client may retry, in µs: once its account is likely to hold what it asks for.
 pub(crate) fn retry_after(
     context: Context<'_>,
-    bucket: Option<&TokenBucket>,
+    account: Option<&CustomerAccount>,
     request: &Request,
 ) -> Option<Duration> {
     let deployment = context.deployment;
     let max_retry_after = deployment.settings.permissions.max_retry_after?;
     let shortest = deployment.shortest_objective * MIN_RETRY_AFTER;
     let longest = deployment.shortest_objective * MAX_RETRY_AFTER;
-    let available = match bucket {
-        Some(bucket) => bucket.time_until_available(deployment.plan_of(request), request.units),
+    let available = match account {
+        Some(account) => {
+            account.time_until_available_us(deployment.plan_of(request), request.units)
+        }
         None => shortest,
     };
     Some(Duration::from_micros_f64(available.clamp(shortest, longest)).min(max_retry_after))
--- a/crates/gateway-core/src/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/src/policy/fuzzy_controller.rs
@@ -74,7 +74,7 @@
     match mode {
         FleetMode::Gossip => ratio > 1.0 || mean.is_some_and(|mean| ratio > mean),
         FleetMode::Leases => {
-            let counts = request.quota.grant.is_some() && ratio > 1.0 && !request.counted_late;
+            let counts = request.quota.grant().is_some() && ratio > 1.0 && !request.counted_late;
             request.counted_late |= counts;
             counts
         }
--- a/crates/gateway-core/src/policy/quota_sharing/account.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/account.rs
@@ -1,14 +1,17 @@
 //! Rules for a customer's account at this gateway that are common to small and large fleets.
 //!
-//! 1. [`new_bucket`]: how full the bucket of a customer is that is seen for the first time.
-//! 2. [`follow_hints`]: when a bucket takes over another plan or gateway set that requests name.
-//! 3. [`PARTITIONED`]: when a silent gateway counts as partitioned.
-//! 4. [`observe_incarnation`]: what the buckets lose once this gateway notices that it has restarted.
+//! 1. [`account_on_arrival`] finds, reconfigures and refills the account of a request.
+//! 2. [`new_account`]: what the account of a customer holds that is seen for the first time.
+//! 3. [`follow_hints`]: when an account takes over another plan or gateway set that requests name.
+//! 4. [`PARTITIONED`]: when a silent gateway counts as partitioned, so that its part is not refilled here.
+//! 5. [`observe_incarnation`]: what the accounts lose once this gateway notices that it has restarted.
 
 use crate::settings::Settings;
-use crate::state::quota_state::QuotaState;
-use crate::state::token_bucket::{BucketConfig, TokenBucket};
+use crate::state::deployment::Context;
+use crate::state::quota::{AccountConfig, CustomerAccount, QuotaState};
+use crate::state::request::Request;
 use crate::time::Timestamp;
+use crate::types::GatewaySet;
 use crate::units::Units;
 use std::ops::Range;
 use std::time::Duration;
@@ -21,59 +24,81 @@
 /// Difference in uptime to a peer from which on this gateway has restarted, and the uptime up to which that
 /// matters.
 const RESTART_WINDOW: Duration = Duration::from_secs(4);
-/// Consecutive requests that name another plan or gateway set until the bucket follows. One alone, by mistake
+/// Consecutive requests that name another plan or gateway set until the account follows. One alone, by mistake
 /// or malice, must not change it.
 const MAX_CONFLICTING_HINTS: u32 = 3;
 
-/// A bucket for a customer without one. Shortly after a restart it holds only the even part of the burst, as
+/// The account of a request's customer, refilled up to now. `gateways`: those that the request names.
+pub(crate) fn account_on_arrival<'a>(
+    quotas: &'a mut QuotaState,
+    context: Context<'_>,
+    request: &Request,
+    gateways: GatewaySet,
+) -> &'a mut CustomerAccount {
+    let now = context.now;
+    let settings = &context.deployment.settings;
+    let config = AccountConfig {
+        plan_id: request.plan,
+        plan: context.deployment.plan_of(request),
+        gateways: GatewaySet {
+            count: gateways.count.clamp(1, settings.gateway_count),
+            ..gateways
+        },
+        max_request_units: settings.max_request_units,
+    };
+    let uptime = quotas.uptime(now);
+    let has_restarted = quotas.has_restarted();
+    let entry = quotas.account_entry_or_insert(request.customer, || {
+        new_account(now, uptime, has_restarted, config)
+    });
+    follow_hints(settings, entry.account, now, config);
+    entry.into_refilled(now, &settings.plans, &PARTITIONED)
+}
+
+/// An account for a customer without one. Shortly after a restart it holds only the even part of the burst, as
 /// the rest may have been used before.
 ///
 /// `uptime`: how long this gateway has been up; `has_restarted`: whether peers have been up for much longer.
-pub(crate) fn new_bucket(
+fn new_account(
     now: Timestamp,
     uptime: Duration,
     has_restarted: bool,
-    config: BucketConfig<'_>,
-) -> TokenBucket {
-    let mut bucket = TokenBucket::new(now, uptime, config);
+    config: AccountConfig<'_>,
+) -> CustomerAccount {
+    let mut account = CustomerAccount::new(now, uptime, config);
     if has_restarted && uptime < RESTART_WINDOW {
-        bucket.tokens = bucket.capacity;
+        account.limit_to_even_burst();
     }
-    bucket
+    account
 }
 
-/// Reconfigures a bucket once enough consecutive requests have named another plan or gateway set.
+/// Reconfigures an account once enough consecutive requests have named another plan or gateway set.
 ///
 /// Nothing is gained by a change: a debt under the hard limit stays, and a surplus is lost.
-pub(crate) fn follow_hints(
+fn follow_hints(
     settings: &Settings,
-    bucket: &mut TokenBucket,
+    account: &mut CustomerAccount,
     now: Timestamp,
-    config: BucketConfig<'_>,
+    config: AccountConfig<'_>,
 ) {
-    if bucket.matches(config.plan_id, config.gateways) {
-        bucket.conflicting_hints = 0;
+    let conflicting_hints = account.record_hint(config.plan_id, config.gateways);
+    if conflicting_hints < MAX_CONFLICTING_HINTS {
         return;
     }
-    bucket.conflicting_hints += 1;
-    if bucket.conflicting_hints >= MAX_CONFLICTING_HINTS {
-        let had_limit = settings.plans[bucket.plan.0].hard_limit.is_some();
-        let hard_limit_tokens = if had_limit {
-            bucket.hard_limit_tokens.min(Units::ZERO)
-        } else {
-            Units::ZERO
-        };
-        bucket.reconfigure(
-            TokenBucket::new(now, Duration::ZERO, config),
-            hard_limit_tokens,
-        );
-    }
+    let had_hard_limit = settings.plans[account.plan().0].hard_limit.is_some();
+    let hard_limit_debt = if had_hard_limit {
+        account.hard_limit_tokens().min(Units::ZERO)
+    } else {
+        Units::ZERO
+    };
+    let fresh = CustomerAccount::new(now, Duration::ZERO, config);
+    account.reconfigure(fresh, hard_limit_debt);
 }
 
 /// Takes in the incarnation of a peer, in ms. If the peer has been up for much longer than this gateway, this
-/// gateway has restarted, and its new buckets hold what may have been used before: each loses all but the even
+/// gateway has restarted, and its new accounts hold what may have been used before: each loses all but the even
 /// part of its burst, once.
-pub(crate) fn observe_incarnation(
+pub(super) fn observe_incarnation(
     quotas: &mut QuotaState,
     settings: &Settings,
     now: Timestamp,
@@ -82,10 +107,9 @@
     if !shows_restart(quotas, now, incarnation) {
         return;
     }
-    quotas.restarted_recently = true;
-    for bucket in quotas.local.values_mut() {
-        let excess = (settings.plans[bucket.plan.0].burst - bucket.capacity).max(Units::ZERO);
-        bucket.tokens = (bucket.tokens - excess).max(-bucket.capacity);
+    quotas.set_restarted();
+    for account in quotas.accounts_mut() {
+        account.drain_excess_burst(&settings.plans[account.plan().0]);
     }
 }
 
@@ -95,5 +119,5 @@
     let peer_uptime =
         Duration::from_millis(u64::from(now.as_incarnation().wrapping_sub(incarnation)));
     let is_longer = peer_uptime >= uptime + RESTART_WINDOW;
-    !quotas.restarted_recently && uptime <= RESTART_WINDOW && is_longer
+    !quotas.has_restarted() && uptime <= RESTART_WINDOW && is_longer
 }
--- a/crates/gateway-core/src/policy/quota_sharing/gossip.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/gossip.rs
@@ -1,21 +1,22 @@
 //! Quota sharing in a small fleet: each gateway broadcasts its usage, and its own token buckets decide.
 //!
 //! The rules, in the order in which a request meets them:
-//! 1. [`on_arrival`]: a request whose customer's bucket is short of units is rejected.
+//! 1. [`on_arrival`]: a request whose customer's account is short of units is rejected.
 //! 2. [`allows_first_attempt`]: a queued request waits while a hard limit or a concurrency limit is reached.
 //! 3. [`UsageBroadcasts`]: on a timer, this gateway notifies its peers of what it has forwarded.
+//! 4. [`merge_usage`]: what a peer has forwarded is drained from the accounts of the customers.
 
-use super::account::PARTITIONED;
+use super::account::{observe_incarnation, PARTITIONED};
+use crate::message::UsageCounts;
 use crate::policy::admission::{is_deadline_too_short, Admission};
 use crate::policy::fleet_mode::gossip_interval;
 use crate::settings::{Plan, Settings};
 use crate::state::deployment::Context;
-use crate::state::quota_state::{silent_gateways, QuotaState};
+use crate::state::quota::{CustomerAccount, QuotaState};
 use crate::state::request::Request;
-use crate::state::token_bucket::TokenBucket;
 use crate::statistics::poisson_below;
 use crate::time::{DurationExt, Timestamp};
-use crate::types::RejectReason;
+use crate::types::{GatewayId, RejectReason};
 use crate::units::Units;
 use std::time::Duration;
 
@@ -25,18 +26,20 @@
 /// Largest probability, weighted with the cost of exceeding the limit, that a first attempt exceeds the
 /// customer's limit on attempts in flight.
 const MAX_CONCURRENCY_RISK: f64 = 0.2;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
 /// Shortest time between two broadcasts of usage.
 const MIN_BROADCAST_INTERVAL: Duration = Duration::from_millis(200);
 /// Time for which the usage of a customer is repeated after it last rose, as messages may be lost.
 pub(crate) const USAGE_LIFETIME: Duration = Duration::from_secs(1);
 
-/// Decides on a request that has just arrived, by the tokens in its customer's bucket.
+/// Decides on a request that has just arrived, by the tokens in its customer's account.
 pub(super) fn on_arrival(
     context: Context<'_>,
-    bucket: &mut TokenBucket,
+    account: &mut CustomerAccount,
     request: &Request,
 ) -> Admission {
-    let is_over_quota = is_quota_exceeded(context, bucket, request);
+    let is_over_quota = is_quota_exceeded(context, account, request);
     if is_deadline_too_short(context, request) {
         Admission::Reject(RejectReason::DeadlineTooShort)
     } else if is_over_quota {
@@ -46,15 +49,20 @@
     }
 }
 
-/// Whether the bucket is short of a request's units, less what is reserved for usage of the peers that this
+/// Whether the account is short of a request's units, less what is reserved for usage of the peers that this
 /// gateway has not been notified of yet. Only the peers' part of the burst is reserved: the even part of this
 /// gateway is its own.
-fn is_quota_exceeded(context: Context<'_>, bucket: &mut TokenBucket, request: &Request) -> bool {
-    let plan = &context.deployment.settings.plans[bucket.plan.0];
-    let reserved = Units::refilled(bucket.peer_rate(context.now), USAGE_DELAY_SECONDS)
-        .min(plan.burst - bucket.capacity)
+fn is_quota_exceeded(
+    context: Context<'_>,
+    account: &mut CustomerAccount,
+    request: &Request,
+) -> bool {
+    let plan = &context.deployment.settings.plans[account.plan().0];
+    let peer_units_per_second = account.peer_units_per_second(context.now);
+    let reserved = Units::refilled(peer_units_per_second, USAGE_DELAY_SECONDS)
+        .min(account.excess_burst(plan))
         .max(Units::ZERO);
-    plan.rate > 0.0 && bucket.tokens - reserved < request.units
+    plan.rate > 0.0 && account.quota_tokens() - reserved < request.units
 }
 
 /// Whether the limits of its customer allow the first attempt of a queued request now; if not, it waits.
@@ -63,37 +71,41 @@
     context: Context<'_>,
     request: &Request,
 ) -> bool {
-    let Some(bucket) = quotas.local.get_mut(&request.customer) else {
+    let Some(entry) = quotas.account_entry(request.customer) else {
         return true;
     };
-    let plan = &context.deployment.settings.plans[bucket.plan.0];
-    let silent = silent_gateways(
-        &quotas.last_heard,
-        bucket.gateways(),
-        context.now,
-        PARTITIONED,
-    );
-    bucket.refill(context.now, plan, silent);
-    if plan.hard_limit.is_some() && bucket.hard_limit_tokens < request.units {
+    let plans = &context.deployment.settings.plans;
+    let account = entry.into_refilled(context.now, plans, &PARTITIONED);
+    let plan = &plans[account.plan().0];
+    if plan.hard_limit.is_some() && account.hard_limit_tokens() < request.units {
         return false;
     }
-    is_below_concurrency_limit(context, bucket, plan)
+    is_below_concurrency_limit(context, account, plan)
 }
 
 /// Whether one more attempt is likely to stay under the plan's limit on attempts in flight.
 ///
 /// This gateway stays under its even part of the limit. Peers' attempts in flight are unknown; their number is
 /// taken as a Poisson variable whose mean is the peers' usage in units a second times the mean latency.
-fn is_below_concurrency_limit(context: Context<'_>, bucket: &mut TokenBucket, plan: &Plan) -> bool {
+fn is_below_concurrency_limit(
+    context: Context<'_>,
+    account: &mut CustomerAccount,
+    plan: &Plan,
+) -> bool {
     let Some(limit) = plan.max_concurrent else {
         return true;
     };
-    let even_part = (f64::from(limit) / bucket.gateway_count).round().max(1.0);
-    let expected_at_peers = bucket.peer_rate(context.now) * context.fleet.mean_latency / 1e6;
-    let below_limit_probability =
-        poisson_below(limit.saturating_sub(bucket.in_flight), expected_at_peers);
+    let even_part = (f64::from(limit) / account.gateway_count())
+        .round()
+        .max(1.0);
+    let expected_at_peers =
+        account.peer_units_per_second(context.now) * context.fleet.mean_latency / MICROS_PER_SECOND;
+    let below_limit_probability = poisson_below(
+        limit.saturating_sub(account.attempts_in_flight()),
+        expected_at_peers,
+    );
     let risk = (1.0 - below_limit_probability) * (1.0 + plan.over_quota_cost);
-    f64::from(bucket.in_flight) < even_part && risk < MAX_CONCURRENCY_RISK
+    f64::from(account.attempts_in_flight()) < even_part && risk < MAX_CONCURRENCY_RISK
 }
 
 /// When this gateway broadcasts its usage.
@@ -123,3 +135,23 @@
         now + self.interval.unwrap_or_default()
     }
 }
+
+/// Takes in what a peer has forwarded since its last message: it is drained from the accounts of the customers
+/// that are known here.
+pub(crate) fn merge_usage(
+    quotas: &mut QuotaState,
+    settings: &Settings,
+    now: Timestamp,
+    from: GatewayId,
+    usage: &UsageCounts,
+) {
+    quotas.record_message(now, from);
+    observe_incarnation(quotas, settings, now, usage.incarnation);
+    for customer_usage in &usage.counts {
+        let Some(entry) = quotas.account_entry(customer_usage.customer) else {
+            continue;
+        };
+        let account = entry.into_refilled(now, &settings.plans, &PARTITIONED);
+        account.merge_peer_usage(now, from, usage.incarnation, customer_usage.count);
+    }
+}
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -10,16 +10,15 @@
 //! 5. [`check_unsent`]: on a timer, what follows when a response is overdue or a grant has expired.
 
 use super::owner::{owner_count, RESPONSE_TIMEOUT};
-use crate::message::{LeaseDecision, LeaseGrant};
+use crate::message::{LeaseDecision, LeaseResponse, ReturnedLease};
 use crate::policy::admission::{is_deadline_too_short, Admission};
 use crate::policy::load_shedding::shed_probability;
 use crate::settings::HardLimit;
 use crate::state::deployment::{Context, Deployment};
-use crate::state::lease::LeaseRenewal;
-use crate::state::quota_owners::QuotaOwners;
-use crate::state::quota_state::QuotaState;
-use crate::state::request::{PendingLeaseRequest, QuotaGrant, QuotaOwner, Request};
-use crate::state::token_bucket::TokenBucket;
+use crate::state::quota::{
+    CustomerAccount, PendingLease, QuotaOwner, QuotaOwners, QuotaState, RequestGrant,
+};
+use crate::state::request::Request;
 use crate::time::{DurationExt, Timestamp};
 use crate::types::RejectReason;
 use crate::units::Units;
@@ -39,21 +38,25 @@
 /// Both random numbers are drawn for every request, so that their sequence doesn't depend on the outcome.
 pub(super) fn on_arrival(
     context: Context<'_>,
-    bucket: &mut TokenBucket,
+    account: &mut CustomerAccount,
     request: &Request,
     random: &mut fastrand::Rng,
 ) -> Admission {
     let now = context.now;
     let is_shed = random.f64() < shed_probability(context, request);
-    let is_throttled = random.f64() > request_probability(bucket, now);
+    let is_throttled = random.f64() > request_probability(account, now);
     if is_deadline_too_short(context, request) {
         return Admission::Reject(RejectReason::DeadlineTooShort);
     }
     if is_shed {
         return Admission::Reject(RejectReason::LoadShed);
     }
-    if let Some(expires_at) = bucket.lease.consume(now, request.units) {
-        return Admission::AdmitOnLease { expires_at };
+    if let Some(expires_at) = account.consume_lease(now, request.units) {
+        return Admission::AdmitOnLease(RequestGrant {
+            owner: context.deployment.settings.gateway_id,
+            sequence: account.held_lease().sequence(),
+            expires_at,
+        });
     }
     if is_throttled {
         return Admission::Reject(RejectReason::LeaseRequestThrottled);
@@ -63,10 +66,11 @@
 
 /// Probability with which a customer's request may ask an owner: what an owner last set, rising to 1 over
 /// [`REQUEST_PROBABILITY_LIFETIME`].
-fn request_probability(bucket: &TokenBucket, now: Timestamp) -> f64 {
-    let age_us = now.micros_since(bucket.probability_set_at);
+fn request_probability(account: &CustomerAccount, now: Timestamp) -> f64 {
+    let probability = account.request_probability();
+    let age_us = now.micros_since(probability.updated_at);
     let expired_fraction = (age_us / REQUEST_PROBABILITY_LIFETIME.as_micros_f64()).min(1.0);
-    bucket.lease_request_probability + (1.0 - bucket.lease_request_probability) * expired_fraction
+    probability.value + (1.0 - probability.value) * expired_fraction
 }
 
 /// The owner that a request asks next. The owners take turns, starting with the one that granted the held
@@ -81,11 +85,11 @@
 ) -> QuotaOwner {
     let start = first_owner_index(quotas, owners, request, random);
     let is_responsive = |index: &u32| is_responsive(quotas, now, &owners, *index);
-    let turns = (0..owners.count).map(|step| (start + step) % owners.count);
+    let turns = (0..owners.count()).map(|step| (start + step) % owners.count());
     let index = turns
-        .chain([owners.count])
+        .chain([owners.count()])
         .find(is_responsive)
-        .unwrap_or(start % owners.count);
+        .unwrap_or(start % owners.count());
     QuotaOwner {
         index,
         gateway: owners.gateway(index),
@@ -101,39 +105,49 @@
     random: &mut fastrand::Rng,
 ) -> u32 {
     if !request.quota.is_first_try() {
-        return request.quota.owner.index + 1;
+        return request.quota.owner().index + 1;
     }
-    let bucket = quotas.local.get(&request.customer);
-    bucket
-        .map(|bucket| &bucket.lease)
-        .filter(|lease| lease.units > Units::ZERO && lease.owner_index < owners.count)
-        .map_or_else(|| random.u32(0..owners.count), |lease| lease.owner_index)
+    let account = quotas.account(request.customer);
+    account
+        .map(CustomerAccount::held_lease)
+        .filter(|lease| lease.has_units() && lease.owner_index() < owners.count())
+        .map_or_else(
+            || random.u32(0..owners.count()),
+            |lease| lease.owner_index(),
+        )
 }
 
 /// Whether an owner has responded recently enough to be asked.
 fn is_responsive(quotas: &QuotaState, now: Timestamp, owners: &QuotaOwners, index: u32) -> bool {
-    let misses = quotas.unresponsive.get(&owners.gateway(index));
+    let misses = quotas.misses_of(owners.gateway(index));
     misses.is_none_or(|misses| {
         misses.count < MISSES_UNTIL_UNRESPONSIVE || misses.cooldown_until <= now
     })
 }
 
+/// A lease as it is asked for.
+#[derive(Default)]
+pub(crate) struct LeaseRenewal {
+    /// Units asked for beyond the request's own.
+    pub(crate) requested_units: Units,
+    /// What remains of the held lease.
+    pub(crate) returned: ReturnedLease,
+}
+
 /// The units that a lease request asks for beyond the request's own, and the rest of the held lease that it
 /// returns. Nothing while a response may be on its way: a second one would replace it.
 pub(crate) fn renew(
-    bucket: &mut TokenBucket,
+    account: &mut CustomerAccount,
     now: Timestamp,
     units: Units,
     owner_index: u32,
 ) -> LeaseRenewal {
-    if now <= bucket.lease.requested_at + RESPONSE_TIMEOUT {
+    if now <= account.lease_requested_at() + RESPONSE_TIMEOUT {
         return LeaseRenewal::default();
     }
-    bucket.lease.requested_at = now;
-    let requested_units = bucket.recent_demand - units;
     LeaseRenewal {
-        requested_units,
-        returned: bucket.lease.give_back(owner_index),
+        requested_units: account.recent_demand() - units,
+        returned: account.request_lease(now, owner_index),
     }
 }
 
@@ -152,7 +166,7 @@
 pub(crate) fn on_response(
     context: Context<'_>,
     request: &Request,
-    response: LeaseGrant,
+    response: &LeaseResponse,
     expires_at: Timestamp,
 ) -> ResponseDecision {
     let hard_limit = context.deployment.plan_of(request).hard_limit.as_ref();
@@ -170,12 +184,14 @@
 
 /// Whether a request that one owner has rejected asks another one. A customer far over its quota has a request
 /// probability below 1, and its requests don't ask again.
-fn asks_another_owner(context: Context<'_>, request: &Request, response: LeaseGrant) -> bool {
+fn asks_another_owner(context: Context<'_>, request: &Request, response: &LeaseResponse) -> bool {
     let settings = &context.deployment.settings;
     let plan = context.deployment.plan_of(request);
     let owners = owner_count(settings, plan, settings.gateway_count);
     let quota = &request.quota;
-    quota.rejections < owners && quota.owner.index < owners && response.request_probability >= 1.0
+    quota.rejections() < owners
+        && quota.owner().index < owners
+        && response.request_probability >= 1.0
 }
 
 /// Whether a grant must not be used any more. Only a hard limit could be exceeded by late use.
@@ -190,10 +206,10 @@
     /// It has neither a grant nor a pending lease request, so it asks an owner.
     RequestLease,
     /// Its grant has expired: the permit is released, and it asks again.
-    RenewGrant(QuotaGrant),
+    RenewGrant(RequestGrant),
     /// Its owner has not responded in time.
     Missed {
-        pending: PendingLeaseRequest,
+        pending: PendingLease,
         next: AfterMiss,
     },
 }
@@ -202,37 +218,37 @@
 pub(crate) enum AfterMiss {
     /// An owner is asked once more.
     AskAgain,
-    /// Owners are unresponsive, and the customer's own bucket covers the request.
+    /// Owners are unresponsive, and the customer's account here covers the request.
     Send,
-    /// Owners are unresponsive, and the own bucket is short too.
+    /// Owners are unresponsive, and the account here is short too.
     Reject(RejectReason),
 }
 
 /// Decides what is done about a request that was never sent: whether its grant has expired, or its lease
-/// request has been pending for too long. `bucket`: its customer's.
+/// request has been pending for too long. `account`: its customer's.
 pub(crate) fn check_unsent(
     deployment: &Deployment,
     now: Timestamp,
     request: &Request,
-    bucket: Option<&TokenBucket>,
+    account: Option<&CustomerAccount>,
 ) -> UnsentDecision {
     let hard_limit = deployment.plan_of(request).hard_limit.as_ref();
-    if let Some(grant) = request.quota.grant {
-        return if has_expired(hard_limit, request.quota.grant_expires_at, now) {
+    if let Some(grant) = request.quota.grant() {
+        return if has_expired(hard_limit, grant.expires_at, now) {
             UnsentDecision::RenewGrant(grant)
         } else {
             UnsentDecision::Wait
         };
     }
-    let Some(pending) = request.quota.pending else {
+    let Some(pending) = request.quota.pending() else {
         return UnsentDecision::RequestLease;
     };
-    if now <= pending.sent_at + response_timeout(request.quota.misses) {
+    if now <= pending.sent_at + response_timeout(request.quota.misses()) {
         return UnsentDecision::Wait;
     }
     UnsentDecision::Missed {
         pending,
-        next: after_miss(request.quota.misses + 1, hard_limit, bucket),
+        next: after_miss(request.quota.misses() + 1, hard_limit, account),
     }
 }
 
@@ -243,23 +259,23 @@
     RESPONSE_TIMEOUT * (1 << doublings)
 }
 
-/// Decides what follows a miss. After enough of them the customer's own bucket decides; under a hard limit it
+/// Decides what follows a miss. After enough of them the customer's account here decides; under a hard limit it
 /// must not, so the request goes on asking. `misses`: those of this request, with the latest one.
 fn after_miss(
     misses: u32,
     hard_limit: Option<&HardLimit>,
-    bucket: Option<&TokenBucket>,
+    account: Option<&CustomerAccount>,
 ) -> AfterMiss {
     if misses < MISSES_UNTIL_UNRESPONSIVE || hard_limit.is_some() {
         AfterMiss::AskAgain
-    } else if bucket.is_some_and(is_covered) {
+    } else if account.is_some_and(is_covered) {
         AfterMiss::Send
     } else {
         AfterMiss::Reject(RejectReason::OwnerUnreachable)
     }
 }
 
-/// Whether the own bucket covers an unsent request, whose units were deducted on arrival.
-fn is_covered(bucket: &TokenBucket) -> bool {
-    bucket.tokens >= Units::ZERO
+/// Whether the account here covers an unsent request, whose units were deducted on arrival.
+fn is_covered(account: &CustomerAccount) -> bool {
+    account.quota_tokens() >= Units::ZERO
 }
--- a/crates/gateway-core/src/policy/quota_sharing/mod.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/mod.rs
@@ -15,9 +15,8 @@
 use super::admission::Admission;
 use crate::settings::Settings;
 use crate::state::deployment::{Context, FleetMode};
-use crate::state::quota_state::QuotaState;
+use crate::state::quota::{CustomerAccount, QuotaState};
 use crate::state::request::Request;
-use crate::state::token_bucket::TokenBucket;
 
 /// How the gateways of a fleet share quotas.
 #[derive(Clone, Copy)]
@@ -37,17 +36,17 @@
         }
     }
 
-    /// Decides on a request that has just arrived. `bucket` is its customer's, refilled up to now.
+    /// Decides on a request that has just arrived. `account` is its customer's, refilled up to now.
     pub(super) fn on_arrival(
         self,
         context: Context<'_>,
-        bucket: &mut TokenBucket,
+        account: &mut CustomerAccount,
         request: &Request,
         random: &mut fastrand::Rng,
     ) -> Admission {
         match self {
-            QuotaSharing::Gossip(_) => gossip::on_arrival(context, bucket, request),
-            QuotaSharing::Leases => lease::on_arrival(context, bucket, request, random),
+            QuotaSharing::Gossip(_) => gossip::on_arrival(context, account, request),
+            QuotaSharing::Leases => lease::on_arrival(context, account, request, random),
         }
     }
 
--- a/crates/gateway-core/src/policy/quota_sharing/owner.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -5,15 +5,13 @@
 //! The rules, in the order in which they apply to a lease request:
 //! 1. [`owner_count`], [`owners_of`]: which gateways own the quota.
 //! 2. [`OwnerRequest::is_for`]: whether the gateway that received the request is the owner that is asked.
-//! 3. [`OwnerRequest::new_bucket`]: the owner's part of the quota and of the hard limit.
+//! 3. [`OwnerRequest::new_part`]: the owner's part of the quota and of the hard limit.
 //! 4. [`OwnerRequest::decide`]: whether the request is granted, and which units go on lease beyond it.
 //! 5. [`throttle_requests`]: with which probability further requests may ask.
 
-use crate::message::{LeaseDecision, LeaseGrant, LeaseRequest};
+use crate::message::{LeaseDecision, LeaseRequest, LeaseResponse};
 use crate::settings::{HardLimit, Plan, Settings};
-use crate::state::permits::{even_share, PermitHolder};
-use crate::state::quota_owners::QuotaOwners;
-use crate::state::token_bucket::{BucketConfig, TokenBucket};
+use crate::state::quota::{even_share, OwnedPart, OwnedQuota, PermitHolder, QuotaOwners};
 use crate::time::{DurationExt, Timestamp};
 use crate::types::{CustomerId, GatewayId, GatewaySet};
 use crate::units::Units;
@@ -92,52 +90,44 @@
     /// Whether a gateway is the owner that is asked.
     pub(crate) fn is_for(&self, gateway: GatewayId) -> bool {
         self.owners.gateway(self.request.owner_index) == gateway
-            && self.request.owner_index <= self.owners.count
+            && self.request.owner_index <= self.owners.count()
     }
 
-    /// A new bucket of this owner: its part of the quota, full, and of the hard limit, empty.
-    pub(crate) fn new_bucket(&self, settings: &Settings, now: Timestamp) -> TokenBucket {
-        let gateways = GatewaySet {
-            first: self.request.gateways.first,
-            count: self.owners.count,
-        };
-        let config = BucketConfig {
+    /// A new part for this owner: of the quota, full, and of the hard limit, empty.
+    pub(crate) fn new_part(&self, settings: &Settings, now: Timestamp) -> OwnedQuota {
+        let fractions = self.fractions();
+        let part = OwnedPart {
             plan_id: self.request.plan,
             plan: self.plan,
-            gateways,
+            quota_fraction: fractions.quota,
+            hard_limit_fraction: fractions.hard_limit,
+            grant_lifetime: lease_lifetime(self.plan.hard_limit.as_ref()),
             max_request_units: settings.max_request_units,
         };
-        let parts = self.parts();
-        let grant_lifetime = lease_lifetime(self.plan.hard_limit.as_ref());
-        TokenBucket::new(now, Duration::ZERO, config).into_part(
-            config,
-            parts.quota_fraction,
-            parts.hard_limit_fraction,
-            grant_lifetime,
-        )
+        OwnedQuota::new(now, part)
     }
 
-    /// What part of the quota and of the hard limit this owner has.
+    /// What fraction of the quota and of the hard limit this owner has.
     ///
     /// The sum of the parts must not exceed the hard limit, so the standby owner's part is taken off the others'.
     /// Its part of the quota is on top: that is the most that a customer gains where lost messages make owners
     /// look unresponsive.
-    fn parts(&self) -> OwnerParts {
-        let even_fraction = 1.0 / f64::from(self.owners.count);
-        let has_standby = self.request.gateways.count > self.owners.count;
-        let is_standby = self.request.owner_index >= self.owners.count;
+    fn fractions(&self) -> OwnedFractions {
+        let even_fraction = 1.0 / f64::from(self.owners.count());
+        let has_standby = self.request.gateways.count > self.owners.count();
+        let is_standby = self.request.owner_index >= self.owners.count();
         match (has_standby, is_standby) {
-            (false, _) => OwnerParts {
-                quota_fraction: even_fraction,
-                hard_limit_fraction: even_fraction,
+            (false, _) => OwnedFractions {
+                quota: even_fraction,
+                hard_limit: even_fraction,
             },
-            (true, false) => OwnerParts {
-                quota_fraction: even_fraction,
-                hard_limit_fraction: even_fraction * (1.0 - STANDBY_FRACTION),
+            (true, false) => OwnedFractions {
+                quota: even_fraction,
+                hard_limit: even_fraction * (1.0 - STANDBY_FRACTION),
             },
-            (true, true) => OwnerParts {
-                quota_fraction: STANDBY_FRACTION,
-                hard_limit_fraction: STANDBY_FRACTION,
+            (true, true) => OwnedFractions {
+                quota: STANDBY_FRACTION,
+                hard_limit: STANDBY_FRACTION,
             },
         }
     }
@@ -148,45 +138,48 @@
         &self,
         settings: &Settings,
         now: Timestamp,
-        bucket: &mut TokenBucket,
-    ) -> LeaseGrant {
-        let seconds_since_refill = now.seconds_since(bucket.refilled_at);
-        bucket.reclaim(self.from, self.request.returned);
-        bucket.refill(now, self.plan, 0.0);
-        bucket.used_at = now;
-        throttle_requests(bucket, settings, self.plan, seconds_since_refill);
-        bucket.permits.drop_expired(now);
-        if !self.fits_limits(bucket) {
-            return LeaseGrant {
-                decision: LeaseDecision::QuotaExceeded,
-                request_probability: bucket.lease_request_probability,
-                leased_units: Units::ZERO,
-            };
+        owned: &mut OwnedQuota,
+    ) -> LeaseResponse {
+        let returned = self.request.returned;
+        let seconds_since_refill = owned.begin_request(now, self.plan, self.from, returned);
+        throttle_requests(owned, settings, self.plan, seconds_since_refill);
+        if !self.fits_limits(owned) {
+            return self.response(LeaseDecision::QuotaExceeded, owned, Units::ZERO);
         }
-        bucket.consume(self.request.units);
+        owned.consume(self.request.units);
         let leased_units = if self.max_permits().is_some() {
-            self.acquire_permit(settings, now, bucket);
+            self.acquire_permit(settings, now, owned);
             Units::ZERO
         } else {
-            self.lease_units(bucket)
+            self.lease_units(owned)
         };
-        bucket.grant_lease(self.from, self.request.sequence, leased_units);
-        LeaseGrant {
-            decision: LeaseDecision::Granted,
-            request_probability: bucket.lease_request_probability,
+        owned.grant_lease(self.from, self.request.sequence, leased_units);
+        self.response(LeaseDecision::Granted, owned, leased_units)
+    }
+
+    fn response(
+        &self,
+        decision: LeaseDecision,
+        owned: &OwnedQuota,
+        leased_units: Units,
+    ) -> LeaseResponse {
+        LeaseResponse {
+            sequence: self.request.sequence,
+            decision,
+            request_probability: owned.request_probability(),
             leased_units,
         }
     }
 
     /// Whether this part has a free permit, and enough units of the quota and of the hard limit.
-    fn fits_limits(&self, bucket: &TokenBucket) -> bool {
+    fn fits_limits(&self, owned: &OwnedQuota) -> bool {
         let units = self.request.units;
         let has_permit = self
             .max_permits()
-            .is_none_or(|maximum| bucket.permits.in_use() < maximum);
-        let is_quota_exceeded = self.plan.rate > 0.0 && bucket.tokens < units;
+            .is_none_or(|maximum| owned.permits_in_use() < maximum);
+        let is_quota_exceeded = self.plan.rate > 0.0 && owned.quota_tokens() < units;
         let is_hard_limit_exceeded =
-            self.plan.hard_limit.is_some() && bucket.hard_limit_tokens < units;
+            self.plan.hard_limit.is_some() && owned.hard_limit_tokens() < units;
         has_permit && !is_quota_exceeded && !is_hard_limit_exceeded
     }
 
@@ -195,33 +188,32 @@
         let limit = self.plan.max_concurrent?;
         Some(even_share(
             limit,
-            self.owners.count,
+            self.owners.count(),
             self.request.owner_index,
         ))
     }
 
     /// Grants a permit for the longest latency objective, in case the message that releases it is lost.
-    fn acquire_permit(&self, settings: &Settings, now: Timestamp, bucket: &mut TokenBucket) {
+    fn acquire_permit(&self, settings: &Settings, now: Timestamp, owned: &mut OwnedQuota) {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let holder = PermitHolder {
             gateway: self.from,
             sequence: self.request.sequence,
         };
-        bucket
-            .permits
-            .acquire(holder, now + objectives.max().unwrap_or_default());
+        let expires_at = now + objectives.max().unwrap_or_default();
+        owned.acquire_permit(holder, expires_at);
     }
 
     /// Units that go on lease: as many as requested, up to a fraction of what remains in this part. Without a
     /// limit by rate there is nothing to lease.
-    fn lease_units(&self, bucket: &TokenBucket) -> Units {
+    fn lease_units(&self, owned: &OwnedQuota) -> Units {
         let remaining_quota = if self.plan.rate > 0.0 {
-            bucket.tokens
+            owned.quota_tokens()
         } else {
             Units::ZERO
         };
         let remaining = self.plan.hard_limit.map_or(remaining_quota, |_| {
-            remaining_quota.min(bucket.hard_limit_tokens)
+            remaining_quota.min(owned.hard_limit_tokens())
         });
         self.request
             .requested_units
@@ -230,27 +222,25 @@
     }
 }
 
-/// What part of a customer's limits one owner has.
-struct OwnerParts {
-    quota_fraction: f64,
-    hard_limit_fraction: f64,
+/// What fraction of a customer's limits one owner has.
+struct OwnedFractions {
+    quota: f64,
+    hard_limit: f64,
 }
 
 /// Updates the rate of a customer's lease requests, and the probability with which its requests may ask: a
 /// customer far over its quota would otherwise exceed its owners' message intake.
 fn throttle_requests(
-    bucket: &mut TokenBucket,
+    owned: &mut OwnedQuota,
     settings: &Settings,
     plan: &Plan,
     seconds_since_refill: f64,
 ) {
     let accepted_per_second = ACCEPTED_INTAKE_FRACTION * settings.peer_messages_per_second;
-    bucket.lease_request_rate = bucket.lease_request_rate * (-seconds_since_refill).exp() + 1.0;
-    let is_excess = plan.rate > 0.0 && bucket.lease_request_rate > accepted_per_second;
-    bucket.lease_request_probability = if is_excess {
-        bucket.lease_request_probability * PROBABILITY_DECREASE_RATIO
+    let requests_per_second = owned.record_lease_request(seconds_since_refill);
+    if plan.rate > 0.0 && requests_per_second > accepted_per_second {
+        owned.decrease_request_probability(PROBABILITY_DECREASE_RATIO);
     } else {
-        let gain = PROBABILITY_INCREASE_PER_SECOND * seconds_since_refill;
-        (bucket.lease_request_probability + gain).min(1.0)
-    };
+        owned.increase_request_probability(PROBABILITY_INCREASE_PER_SECOND * seconds_since_refill);
+    }
 }
--- a/crates/gateway-core/src/state/quota_owners.rs
+++ b/crates/gateway-core/src/state/quota/owners.rs
@@ -6,7 +6,7 @@
 /// The owners of one customer's quota, numbered from 0. The one after the last is the standby owner.
 #[derive(Clone, Copy)]
 pub(crate) struct QuotaOwners {
-    pub(crate) count: u32,
+    count: u32,
     gateways: GatewaySet,
     /// Gateways in the fleet.
     gateway_count: u32,
@@ -14,7 +14,7 @@
 }
 
 impl QuotaOwners {
-    /// `count` owners among the customer's gateways, one of them at the least.
+    /// `count` owners among the customer's gateways; at least one.
     pub(crate) fn new(
         customer: CustomerId,
         gateways: GatewaySet,
@@ -30,6 +30,11 @@
         }
     }
 
+    /// How many there are, without the standby owner.
+    pub(crate) fn count(&self) -> u32 {
+        self.count
+    }
+
     /// The owner of that index, or the standby owner.
     pub(crate) fn gateway(&self, index: u32) -> GatewayId {
         let members = self.gateways.count;
@@ -40,5 +45,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/quota_owners.rs"]
+#[path = "../../../tests/unit/quota_owners.rs"]
 mod tests;
--- a/crates/gateway-core/src/state/peer_usage.rs
+++ b/crates/gateway-core/src/state/quota/peer_usage.rs
@@ -1,11 +1,11 @@
-//! What another gateway has been heard to forward for a customer.
+//! What another gateway has forwarded for a customer, as far as its messages show.
 
 use crate::time::Timestamp;
 use crate::units::Units;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// µs over which a peer's usage ages out (the design's two seconds).
+/// Time after which a peer's usage no longer counts.
 pub(crate) const USAGE_WINDOW: Duration = Duration::from_secs(2);
 
 /// Units at one moment.
@@ -14,13 +14,13 @@
     units: Units,
 }
 
-/// One peer's usage: its running count, and what was added to it of late.
+/// One peer's usage: its running count, and what was added to it recently.
 #[derive(Default)]
 pub(crate) struct PeerUsage {
     /// The peer's incarnation: when it started, in ms.
     incarnation: u32,
     count: u16,
-    heard_at: Timestamp,
+    received_at: Timestamp,
     recent: VecDeque<Usage>,
 }
 
@@ -29,13 +29,13 @@
     /// order; a count that is lower after a silence of a whole window has begun anew, as its sender had
     /// dropped the customer.
     pub(crate) fn delta(&mut self, now: Timestamp, incarnation: u32, count: u16) -> u16 {
-        let silence = now.duration_since(self.heard_at);
-        self.heard_at = now;
+        let silence = now.duration_since(self.received_at);
+        self.received_at = now;
         let restarted = silence > USAGE_WINDOW && count < self.count;
         let delta = match self.incarnation {
             known if known == incarnation && restarted => count,
             known if known == incarnation => count.wrapping_sub(self.count),
-            0 => 0, // first heard of: what was forwarded before is long over
+            0 => 0, // the first count: what was forwarded before is long over
             _ => count,
         };
         if delta > u16::MAX / 2 {
@@ -46,7 +46,7 @@
         delta
     }
 
-    /// Adds units that the peer has just been heard to forward.
+    /// Adds units that the peer has just reported as forwarded.
     pub(crate) fn add(&mut self, now: Timestamp, units: Units) {
         self.recent.push_back(Usage { at: now, units });
     }
@@ -65,5 +65,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/peer_usage.rs"]
+#[path = "../../../tests/unit/peer_usage.rs"]
 mod tests;
--- a/crates/gateway-core/src/state/request.rs
+++ b/crates/gateway-core/src/state/request.rs
@@ -1,10 +1,9 @@
 //! Open requests: what is known of each, and the queue of those that wait to be sent.
 
 use super::attempt::Attempt;
+use super::quota::QuotaProgress;
 use crate::time::Timestamp;
-use crate::types::{
-    AttemptNumber, ClassId, CustomerId, Endpoint, GatewayId, PlanId, RequestId, ServerId,
-};
+use crate::types::{AttemptNumber, ClassId, CustomerId, Endpoint, PlanId, RequestId, ServerId};
 use crate::units::Units;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -95,60 +94,6 @@
     }
 }
 
-/// One of a customer's quota owners.
-#[derive(Clone, Copy, Default)]
-pub(crate) struct QuotaOwner {
-    /// Its index among the customer's owners.
-    pub(crate) index: u32,
-    /// The gateway.
-    pub(crate) gateway: GatewayId,
-}
-
-/// A lease request without an answer.
-#[derive(Clone, Copy)]
-pub(crate) struct PendingLeaseRequest {
-    pub(crate) sequence: u16,
-    pub(crate) sent_at: Timestamp,
-}
-
-/// Who granted a request its quota, and under which lease request.
-#[derive(Clone, Copy)]
-pub(crate) struct QuotaGrant {
-    pub(crate) owner: GatewayId,
-    pub(crate) sequence: u16,
-}
-
-/// How a request fares with its customer's quota owners.
-#[derive(Default)]
-pub(crate) struct QuotaProgress {
-    /// The owner asked last.
-    pub(crate) owner: QuotaOwner,
-    pub(crate) pending: Option<PendingLeaseRequest>,
-    /// Answers that the quota is exceeded.
-    pub(crate) rejections: u32,
-    /// Lease requests without an answer.
-    pub(crate) misses: u32,
-    pub(crate) grant: Option<QuotaGrant>,
-    /// Until when the grant may be used under a hard limit.
-    pub(crate) grant_expires_at: Timestamp,
-}
-
-impl QuotaProgress {
-    /// Notes that an owner has been asked.
-    pub(crate) fn ask(&mut self, now: Timestamp, sequence: u16, owner: QuotaOwner) {
-        self.owner = owner;
-        self.pending = Some(PendingLeaseRequest {
-            sequence,
-            sent_at: now,
-        });
-    }
-
-    /// Whether no owner has rejected it or kept silent so far.
-    pub(crate) fn is_first_try(&self) -> bool {
-        self.rejections + self.misses == 0
-    }
-}
-
 /// All open requests.
 #[derive(Default)]
 pub(crate) struct RequestTable {
--- /dev/null
+++ b/crates/gateway-core/tests/unit/customer_account.rs
@@ -0,0 +1,117 @@
+//! Refill, hard limit, reconfiguration and usage of a customer's account.
+
+use super::*;
+use crate::settings::HardLimit;
+
+const SECOND: Duration = Duration::from_secs(1);
+const START: Timestamp = Timestamp::EPOCH;
+
+/// 10 units a second with a burst of 20, under a hard limit of 4 a second and a capacity of 8.
+fn plan() -> Plan {
+    Plan {
+        rate: 10.0,
+        burst: Units::new(20.0),
+        max_concurrent: None,
+        weight: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 0.0,
+        hard_limit: Some(HardLimit {
+            rate: 4.0,
+            capacity: Units::new(8.0),
+        }),
+    }
+}
+
+fn config(plan: &Plan, gateways: u32) -> AccountConfig<'_> {
+    let gateways = GatewaySet {
+        first: GatewayId(0),
+        count: gateways,
+    };
+    AccountConfig {
+        plan_id: PlanId(0),
+        plan,
+        gateways,
+        max_request_units: Units::new(1.0),
+    }
+}
+
+/// A new account of a customer with so many gateways, at time 0.
+fn account(gateways: u32) -> CustomerAccount {
+    CustomerAccount::new(START, Duration::ZERO, config(&plan(), gateways))
+}
+
+#[test]
+fn it_refills_at_the_rate_up_to_the_burst() {
+    let mut account = account(1);
+    account.charge(Units::new(15.0));
+    account.refill(START + SECOND / 2, &plan(), 0.0);
+    assert_eq!(account.quota_tokens(), Units::new(10.0));
+    account.refill(START + 60 * SECOND, &plan(), 0.0);
+    assert_eq!(account.quota_tokens(), Units::new(20.0));
+}
+
+#[test]
+fn its_share_of_the_hard_limit_starts_empty_and_refills_to_its_share_of_the_capacity() {
+    let mut account = account(2);
+    assert_eq!(account.hard_limit_tokens(), Units::new(0.0));
+    account.refill(START + SECOND, &plan(), 0.0);
+    assert_eq!(account.hard_limit_tokens(), Units::new(2.0));
+    account.refill(START + 60 * SECOND, &plan(), 0.0);
+    assert_eq!(account.hard_limit_tokens(), Units::new(4.0));
+}
+
+#[test]
+fn a_reconfiguration_gains_nothing() {
+    let mut account = account(1);
+    account.charge(Units::new(18.0));
+    account.attempt_sent(START, Units::new(1.0), true);
+    account
+        .peers
+        .entry(GatewayId(1))
+        .or_default()
+        .add(START, Units::new(6.0));
+    account.reconfigure(
+        CustomerAccount::new(START, Duration::ZERO, config(&plan(), 2)),
+        Units::new(-3.0),
+    );
+    assert_eq!(
+        (account.quota_tokens(), account.hard_limit_tokens()),
+        (Units::new(2.0), Units::new(-3.0))
+    );
+    assert_eq!(
+        (account.attempts_in_flight(), account.forwarded_units),
+        (1, Units::new(1.0))
+    );
+    assert_eq!(account.peer_units_per_second(START), 3.0);
+    assert_eq!(account.gateway_count(), 2.0);
+}
+
+#[test]
+fn it_is_idle_once_it_is_full_and_has_long_been_unused() {
+    let is_idle = |account: &mut CustomerAccount, now| account.is_idle(now, &plan(), 0.0);
+    let mut account = account(1);
+    assert!(
+        !is_idle(&mut account, START + MIN_IDLE - Duration::from_micros(1)),
+        "too soon"
+    );
+    assert!(is_idle(&mut account, START + MIN_IDLE));
+    account.attempt_sent(START + MIN_IDLE, Units::new(1.0), true);
+    assert!(
+        !is_idle(&mut account, START + 2 * MIN_IDLE),
+        "an attempt in flight"
+    );
+    account.attempt_finished();
+    account.charge(Units::new(1000.0));
+    assert!(!is_idle(&mut account, START + 2 * MIN_IDLE), "not full");
+}
+
+#[test]
+fn a_retry_is_not_announced_to_peers() {
+    let mut account = account(1);
+    account.attempt_sent(START, Units::new(1.0), true);
+    account.attempt_sent(START + Duration::from_micros(1), Units::new(1.0), false);
+    assert_eq!(
+        (account.forwarded_units, account.last_forwarded_at),
+        (Units::new(1.0), START)
+    );
+}
--- a/crates/gateway-core/tests/unit/lease.rs
+++ b/crates/gateway-core/tests/unit/lease.rs
@@ -1,4 +1,4 @@
-//! A lease at the gateway that holds it, and in its owner's ledger.
+//! A lease at the gateway that holds it.
 
 use super::*;
 
@@ -6,13 +6,12 @@
     Timestamp::from_micros(micros)
 }
 
-fn lease() -> Lease {
-    Lease {
+fn lease() -> HeldLease {
+    HeldLease {
         units: Units::new(3.0),
         expires_at: at(100),
         owner_index: 1,
         sequence: 7,
-        ..Lease::default()
     }
 }
 
@@ -52,24 +51,3 @@
         "what is given back cannot be used"
     );
 }
-
-#[test]
-fn the_ledger_reclaims_the_latest_lease_of_a_gateway_once_and_no_more_than_was_granted() {
-    let (gateway, other) = (GatewayId(1), GatewayId(2));
-    let mut ledger = LeaseLedger::default();
-    ledger.grant(gateway, 7, Units::new(3.0));
-    ledger.grant(gateway, 8, Units::new(4.0));
-    ledger.grant(gateway, 9, Units::new(0.0)); // no lease, so the one before stays
-    let returned = |sequence| ReturnedLease {
-        sequence,
-        units: Units::new(9.0),
-    };
-    assert_eq!(ledger.reclaim(gateway, returned(7)), None, "replaced");
-    assert_eq!(
-        ledger.reclaim(other, returned(8)),
-        None,
-        "another gateway's"
-    );
-    assert_eq!(ledger.reclaim(gateway, returned(8)), Some(Units::new(4.0)));
-    assert_eq!(ledger.reclaim(gateway, returned(8)), None, "again");
-}
--- a/crates/gateway-core/tests/unit/message.rs
+++ b/crates/gateway-core/tests/unit/message.rs
@@ -14,15 +14,13 @@
     }
 }
 
-fn granted(sequence: u16, request_probability: f64, leased_units: f64) -> LeaseAnswer {
+fn granted(sequence: u16, request_probability: f64, leased_units: f64) -> LeaseResponse {
     let decision = LeaseDecision::Granted;
-    LeaseAnswer {
+    LeaseResponse {
         sequence,
-        grant: LeaseGrant {
-            decision,
-            request_probability,
-            leased_units: Units::new(leased_units),
-        },
+        decision,
+        request_probability,
+        leased_units: Units::new(leased_units),
     }
 }
 
@@ -33,9 +31,10 @@
         reports,
         ..GossipDigest::default()
     };
-    let bytes = encode(&Message::LeaseAnswer(granted(7, 1.0, 0.0), digest));
-    let Some(Message::LeaseAnswer(LeaseAnswer { sequence: 7, .. }, digest)) = decode(&bytes) else {
-        panic!("an answer")
+    let bytes = encode(&Message::LeaseResponse(granted(7, 1.0, 0.0), digest));
+    let Some(Message::LeaseResponse(LeaseResponse { sequence: 7, .. }, digest)) = decode(&bytes)
+    else {
+        panic!("a response")
     };
     let classes: Vec<_> = digest.reports.iter().map(|report| report.class.0).collect();
     assert_eq!(classes, [1]);
@@ -172,22 +171,19 @@
     assert_eq!(*returned, expected.returned);
 }
 
-fn assert_same_answer(decoded: &LeaseAnswer, expected: &LeaseAnswer) {
-    let LeaseAnswer {
+fn assert_same_response(decoded: &LeaseResponse, expected: &LeaseResponse) {
+    let LeaseResponse {
         sequence,
-        grant:
-            LeaseGrant {
-                decision,
-                request_probability,
-                leased_units,
-            },
+        decision,
+        request_probability,
+        leased_units,
     } = decoded;
     assert_eq!(
         (*sequence, *decision),
-        (expected.sequence, expected.grant.decision)
+        (expected.sequence, expected.decision)
     );
-    assert_eq!(*request_probability, expected.grant.request_probability);
-    assert_eq!(*leased_units, expected.grant.leased_units);
+    assert_eq!(*request_probability, expected.request_probability);
+    assert_eq!(*leased_units, expected.leased_units);
 }
 
 #[test]
@@ -224,12 +220,12 @@
 #[test]
 fn a_lease_grant_has_fixed_bytes() {
     let bytes = bytes_of(LEASE_GRANT);
-    let answer = granted(0x1234, 1.0, 20.25);
-    assert_eq!(encode(&Message::LeaseAnswer(answer, digest())), bytes);
-    let Some(Message::LeaseAnswer(decoded, decoded_digest)) = decode(&bytes) else {
+    let response = granted(0x1234, 1.0, 20.25);
+    assert_eq!(encode(&Message::LeaseResponse(response, digest())), bytes);
+    let Some(Message::LeaseResponse(decoded, decoded_digest)) = decode(&bytes) else {
         panic!("a grant")
     };
-    assert_same_answer(&decoded, &answer);
+    assert_same_response(&decoded, &response);
     assert_same_digest(&decoded_digest, &digest());
 }
 
@@ -237,23 +233,20 @@
 fn a_refusal_of_a_lease_has_fixed_bytes() {
     let bytes = bytes_of(LEASE_REFUSAL);
     let decision = LeaseDecision::QuotaExceeded;
-    let grant = LeaseGrant {
+    let response = LeaseResponse {
+        sequence: u16::MAX,
         decision,
         request_probability: 0.2,
         leased_units: Units::new(0.0),
     };
-    let answer = LeaseAnswer {
-        sequence: u16::MAX,
-        grant,
-    };
     assert_eq!(
-        encode(&Message::LeaseAnswer(answer, GossipDigest::default())),
+        encode(&Message::LeaseResponse(response, GossipDigest::default())),
         bytes
     );
-    let Some(Message::LeaseAnswer(decoded, decoded_digest)) = decode(&bytes) else {
+    let Some(Message::LeaseResponse(decoded, decoded_digest)) = decode(&bytes) else {
         panic!("a refusal")
     };
-    assert_same_answer(&decoded, &answer);
+    assert_same_response(&decoded, &response);
     assert_same_digest(&decoded_digest, &GossipDigest::default());
 }
 
@@ -292,14 +285,14 @@
         "04 02 0700 00 ff 0f00 ff 08 fe 00 ff 00 01 10 20 fe 0900 1f ff fe ff 0900 30 ff fe ff",
     );
     assert_eq!(
-        encode(&Message::LeaseAnswer(granted(7, 2.0, 0.99), digest)),
+        encode(&Message::LeaseResponse(granted(7, 2.0, 0.99), digest)),
         bytes
     );
 
-    let Some(Message::LeaseAnswer(decoded, decoded_digest)) = decode(&bytes) else {
+    let Some(Message::LeaseResponse(decoded, decoded_digest)) = decode(&bytes) else {
         panic!("a grant")
     };
-    assert_same_answer(&decoded, &granted(7, 1.0, 0.9375));
+    assert_same_response(&decoded, &granted(7, 1.0, 0.9375));
     let nearest = |class: usize, failure_rate: f64| HealthReport {
         wait: 2_040_000.0,
         load: Some(254.0),
--- /dev/null
+++ b/crates/gateway-core/tests/unit/owned_quota.rs
@@ -0,0 +1,83 @@
+//! The part of a quota that an owner keeps: leases, and when it may be dropped.
+
+use super::*;
+use crate::settings::HardLimit;
+
+const START: Timestamp = Timestamp::EPOCH;
+
+/// 10 units a second with a burst of 20, under a hard limit of 4 a second and a capacity of 8.
+fn plan() -> Plan {
+    Plan {
+        rate: 10.0,
+        burst: Units::new(20.0),
+        max_concurrent: None,
+        weight: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 0.0,
+        hard_limit: Some(HardLimit {
+            rate: 4.0,
+            capacity: Units::new(8.0),
+        }),
+    }
+}
+
+/// The whole quota at one owner, at time 0.
+fn owned() -> OwnedQuota {
+    let part = OwnedPart {
+        plan_id: PlanId(0),
+        plan: &plan(),
+        quota_fraction: 1.0,
+        hard_limit_fraction: 1.0,
+        grant_lifetime: Duration::ZERO,
+        max_request_units: Units::new(1.0),
+    };
+    OwnedQuota::new(START, part)
+}
+
+#[test]
+fn a_lease_is_reclaimed_once() {
+    let mut owned = owned();
+    owned.grant_lease(GatewayId(1), 5, Units::new(6.0));
+    assert_eq!(
+        (owned.quota_tokens(), owned.hard_limit_tokens()),
+        (Units::new(14.0), Units::new(-6.0))
+    );
+    for _ in 0..2 {
+        owned.reclaim(
+            GatewayId(1),
+            ReturnedLease {
+                sequence: 5,
+                units: Units::new(2.0),
+            },
+        );
+        assert_eq!(
+            (owned.quota_tokens(), owned.hard_limit_tokens()),
+            (Units::new(16.0), Units::new(-4.0))
+        );
+    }
+}
+
+#[test]
+fn it_is_idle_once_it_is_full_and_has_long_been_unused() {
+    let mut owned = owned();
+    assert!(
+        !owned.is_idle(START + MIN_IDLE - Duration::from_micros(1), &plan()),
+        "too soon"
+    );
+    assert!(owned.is_idle(START + MIN_IDLE, &plan()));
+    owned.consume(Units::new(1000.0));
+    assert!(!owned.is_idle(START + 2 * MIN_IDLE, &plan()), "not full");
+}
+
+#[test]
+fn a_permit_in_use_keeps_it_from_being_idle() {
+    let mut owned = owned();
+    let holder = PermitHolder {
+        gateway: GatewayId(1),
+        sequence: 5,
+    };
+    owned.acquire_permit(holder, Timestamp::MAX);
+    assert!(!owned.is_idle(START + MIN_IDLE, &plan()));
+    owned.release_permit(holder);
+    assert!(owned.is_idle(START + MIN_IDLE, &plan()));
+}
