--- /dev/null
+++ b/crates/xtask/src/main.rs
@@ -0,0 +1,29 @@
+//! The program `xtask`. `xtask test CARGO_ARGUMENTS...`, run in the root of a workspace, runs its tests with
+//! `cargo test CARGO_ARGUMENTS...`, but for those that `KNOWN-RED.txt` lists.
+
+use std::env;
+use std::process::ExitCode;
+use xtask::run_tests::run_tests;
+
+fn main() -> ExitCode {
+    let mut arguments = env::args().skip(1);
+    if arguments.next().as_deref() != Some("test") {
+        eprintln!("usage: xtask test [CARGO_ARGUMENTS...]");
+        return ExitCode::from(2);
+    }
+    let cargo_arguments: Vec<String> = arguments.collect();
+    let root = match env::current_dir() {
+        Ok(root) => root,
+        Err(error) => {
+            eprintln!("error: the working directory: {error}");
+            return ExitCode::FAILURE;
+        }
+    };
+    match run_tests(&root, &cargo_arguments) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("error: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
