--- a/crates/edge-node/src/clients/call_terms.rs
+++ b/crates/edge-node/src/clients/call_terms.rs
@@ -5,18 +5,18 @@
 
 /// The terms of one call, all of them within the settings.
 #[derive(Debug, PartialEq)]
-pub(super) struct CallTerms {
+pub struct CallTerms {
     /// Units of quota that the call costs.
-    pub(super) units: f64,
+    pub units: f64,
     /// The gateways that the customer is spread over.
-    pub(super) gateways: GatewaySet,
+    pub gateways: GatewaySet,
 }
 
 impl CallTerms {
     /// Parses terms such as `units=2.5,spread=3,first=17`, in any order. Terms of other names are ignored.
     ///
     /// `None` if one of the three is missing, repeated or beyond the settings, or if any term has no `=`.
-    pub(super) fn parse(text: &str, settings: &Settings) -> Option<CallTerms> {
+    pub fn parse(text: &str, settings: &Settings) -> Option<CallTerms> {
         let mut units = None;
         let mut gateway_count = None;
         let mut first_gateway = None;
@@ -64,7 +64,3 @@
         .filter(|first| *first < settings.gateway_count)
         .map(GatewayId)
 }
-
-#[cfg(test)]
-#[path = "../../tests/unit/call_terms.rs"]
-mod tests;
--- a/crates/edge-node/src/clients/header_value.rs
+++ b/crates/edge-node/src/clients/header_value.rs
@@ -14,7 +14,7 @@
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
 /// A customer: exactly 16 hex digits without a sign, a number below 2^33.
-pub(super) fn parse_customer(text: &str) -> Option<CustomerId> {
+pub fn parse_customer(text: &str) -> Option<CustomerId> {
     if text.len() != CUSTOMER_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
     }
@@ -23,7 +23,7 @@
 }
 
 /// A plain decimal number: no sign, no exponent, and neither `inf` nor `nan`.
-pub(super) fn parse_decimal(text: &str) -> Option<f64> {
+pub fn parse_decimal(text: &str) -> Option<f64> {
     let is_plain = !text.is_empty()
         && text
             .bytes()
@@ -35,7 +35,7 @@
 }
 
 /// A whole number of decimal digits without a sign.
-pub(super) fn parse_whole_number(text: &str) -> Option<u32> {
+pub fn parse_whole_number(text: &str) -> Option<u32> {
     // The standard parser takes a leading `+` too.
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
@@ -45,7 +45,7 @@
 
 /// A duration above zero and of an hour at most: a decimal number and its unit, `m` for milliseconds or `u` for
 /// microseconds.
-pub(super) fn parse_duration(text: &str) -> Option<Duration> {
+pub fn parse_duration(text: &str) -> Option<Duration> {
     let unit_start = text.len().checked_sub(1)?;
     let (digits, unit) = text.split_at_checked(unit_start)?;
     let number = parse_decimal(digits)?;
@@ -57,7 +57,3 @@
     let in_range = seconds > 0.0 && seconds <= MAX_DURATION_SECONDS;
     in_range.then(|| Duration::from_secs_f64(seconds))
 }
-
-#[cfg(test)]
-#[path = "../../tests/unit/header_value.rs"]
-mod tests;
--- a/crates/edge-node/src/clients/mod.rs
+++ b/crates/edge-node/src/clients/mod.rs
@@ -1,21 +1,21 @@
 //! Clients: their connections, their requests and the responses that they get.
 //!
-//! The accept loop here hands each connection to the [`ConnectionTable`](connection_table::ConnectionTable), which
+//! The accept loop here hands each connection to the `ConnectionTable`, which
 //! serves it in a task of its own.
 
-mod call_terms;
+pub mod call_terms;
 mod connection;
 mod connection_state;
 mod connection_table;
-mod header_value;
+pub mod header_value;
 mod phase;
 mod read_ahead;
 mod request;
-mod request_error;
-mod request_head;
+pub mod request_error;
+pub mod request_head;
 mod response;
 
-pub(crate) use phase::Phase;
+pub use phase::Phase;
 
 use crate::node::Node;
 use connection_table::ConnectionTable;
--- a/crates/edge-node/src/clients/phase.rs
+++ b/crates/edge-node/src/clients/phase.rs
@@ -4,7 +4,7 @@
 
 /// How far the edge node is on its way from start to exit. Phases only ever advance, so they compare in that order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Phase {
+pub enum Phase {
     /// Not ready yet: connections of clients wait in the listener's backlog.
     Starting,
     /// Ready.
@@ -17,7 +17,7 @@
 
 impl Phase {
     /// The word for this phase on the admin listener. Operators' tools read it: `Draining` stays `leaving` there.
-    pub(crate) fn as_str(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
             Phase::Serving => "serving",
@@ -34,7 +34,3 @@
     // An error means that the sender is gone, which counts as closing.
     let _ = phase.wait_for(|phase| *phase == Phase::Closing).await;
 }
-
-#[cfg(test)]
-#[path = "../../tests/unit/phase.rs"]
-mod tests;
--- a/crates/edge-node/src/clients/request_error.rs
+++ b/crates/edge-node/src/clients/request_error.rs
@@ -4,7 +4,7 @@
 
 /// A request that can't be taken. Its `Display` text and its status are what the client is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub(super) enum RequestError {
+pub enum RequestError {
     /// The body has a transfer encoding.
     #[error("a body needs its Content-Length")]
     TransferEncoding,
@@ -57,7 +57,7 @@
 
 impl RequestError {
     /// The status that the client is sent.
-    pub(super) fn status(self) -> StatusCode {
+    pub fn status(self) -> StatusCode {
         match self {
             RequestError::TransferEncoding => StatusCode::LENGTH_REQUIRED,
             RequestError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -65,7 +65,3 @@
         }
     }
 }
-
-#[cfg(test)]
-#[path = "../../tests/unit/request_error.rs"]
-mod tests;
--- a/crates/edge-node/src/clients/request_head.rs
+++ b/crates/edge-node/src/clients/request_head.rs
@@ -17,7 +17,7 @@
 const DEADLINE: &str = "x-deadline";
 const CALL_TERMS: &str = "x-call-terms";
 /// The key by which the back end deduplicates requests of some classes.
-pub(super) const IDEMPOTENCY_KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Headers that a request may have once at most.
 const SINGLE_HEADERS: [&str; 8] = [
     REQUEST_ID,
@@ -34,21 +34,21 @@
 
 /// What the head of a request says, all of it within the settings.
 #[derive(Debug, PartialEq)]
-pub(super) struct RequestHead {
+pub struct RequestHead {
     /// The id under which the request is answered, once at a time.
-    pub(super) id: RequestId,
+    pub id: RequestId,
     /// Its class of service.
-    pub(super) class: ClassId,
+    pub class: ClassId,
     /// The plan of its customer.
-    pub(super) plan: PlanId,
+    pub plan: PlanId,
     /// Whose quota it uses.
-    pub(super) customer: CustomerId,
+    pub customer: CustomerId,
     /// Its costs and the gateways of its customer.
-    pub(super) terms: CallTerms,
+    pub terms: CallTerms,
     /// How long its client waits for the answer, counted from when the request is whole.
-    pub(super) client_timeout: Duration,
+    pub client_timeout: Duration,
     /// Whether requests of its class may have a body.
-    pub(super) allows_body: bool,
+    pub allows_body: bool,
 }
 
 impl RequestHead {
@@ -56,10 +56,7 @@
     ///
     /// # Errors
     /// The first rule that the head breaks; the rules are checked in a fixed order.
-    pub(super) fn parse(
-        settings: &ResolvedSettings,
-        parts: &Parts,
-    ) -> Result<RequestHead, RequestError> {
+    pub fn parse(settings: &ResolvedSettings, parts: &Parts) -> Result<RequestHead, RequestError> {
         let headers = &parts.headers;
         check_framing(headers)?;
         let id = parse_request_id(headers)?;
@@ -171,7 +168,3 @@
 fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
-
-#[cfg(test)]
-#[path = "../../tests/unit/request_head.rs"]
-mod tests;
--- a/crates/edge-node/src/command.rs
+++ b/crates/edge-node/src/command.rs
@@ -1,6 +1,7 @@
 //! The command line: what it may hold, and which part of the program does it.
 
-use crate::config::{markdown_table, Config, ConfigError, CONFIG_VARIABLE};
+use crate::config::schema::markdown_table;
+use crate::config::{Config, ConfigError, CONFIG_VARIABLE};
 use crate::startup;
 use anyhow::{bail, Context, Result};
 use clap::{CommandFactory, Parser, Subcommand};
--- a/crates/edge-node/src/config/environment.rs
+++ b/crates/edge-node/src/config/environment.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 /// The environment variable that names the configuration file.
-pub(crate) const CONFIG_VARIABLE: &str = "LB_CONFIG";
+pub const CONFIG_VARIABLE: &str = "LB_CONFIG";
 /// Overrides `name`.
 const NAME_VARIABLE: &str = "LB_NAME";
 /// Overrides `listen`.
@@ -20,7 +20,7 @@
     ///
     /// # Errors
     /// No file is named, it can't be used, or a variable holds no address where it should.
-    pub(crate) fn from_environment(
+    pub fn from_environment(
         path: Option<PathBuf>,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
--- a/crates/edge-node/src/config/error.rs
+++ b/crates/edge-node/src/config/error.rs
@@ -8,7 +8,7 @@
 
 /// Why there is no configuration to start or go on with.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum ConfigError {
+pub enum ConfigError {
     /// Neither the command line nor the environment names a file.
     #[error("no configuration: LB_CONFIG is not set, and there is no --config")]
     NotGiven,
@@ -37,16 +37,16 @@
 
 /// A configuration file with all that is wrong in it, which is at least one thing. Displayed in one line.
 #[derive(Debug)]
-pub(crate) struct InvalidConfig {
+pub struct InvalidConfig {
     /// The file.
-    pub(crate) path: PathBuf,
+    pub path: PathBuf,
     /// What is wrong, in the order of its lines.
-    pub(crate) diagnostics: Vec<Diagnostic>,
+    pub diagnostics: Vec<Diagnostic>,
 }
 
 impl InvalidConfig {
     /// Each diagnostic in a line of its own, behind the file's path.
-    pub(crate) fn lines(&self) -> impl Iterator<Item = String> + '_ {
+    pub fn lines(&self) -> impl Iterator<Item = String> + '_ {
         self.diagnostics.iter().map(|diagnostic| {
             let separator = if diagnostic.line.is_some() { "" } else { " " };
             format!("{}:{separator}{diagnostic}", self.path.display())
@@ -69,13 +69,13 @@
 
 /// One thing that is wrong with a configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Diagnostic {
+pub struct Diagnostic {
     /// The line, from 1; `None` where something is missing and nothing around it exists.
-    pub(crate) line: Option<usize>,
+    pub line: Option<usize>,
     /// The path of the key, with indexes in lists; empty if the text as a whole is meant.
-    pub(crate) path: String,
+    pub path: String,
     /// What is wrong.
-    pub(crate) message: String,
+    pub message: String,
 }
 
 impl Diagnostic {
--- a/crates/edge-node/src/config/file/mod.rs
+++ b/crates/edge-node/src/config/file/mod.rs
@@ -9,7 +9,7 @@
 
 /// The format of a configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ConfigFormat {
+pub enum ConfigFormat {
     /// TOML, written by operators.
     Toml,
     /// The platform's JSON.
@@ -18,7 +18,7 @@
 
 impl ConfigFormat {
     /// The format by the extension of the file's name, or else by how the text begins.
-    pub(crate) fn detect(path: &Path, text: &str) -> ConfigFormat {
+    pub fn detect(path: &Path, text: &str) -> ConfigFormat {
         match path.extension().and_then(|extension| extension.to_str()) {
             Some("toml") => ConfigFormat::Toml,
             Some("json") => ConfigFormat::PlatformJson,
@@ -30,16 +30,16 @@
 
 /// An item of a configuration.
 #[derive(Debug, PartialEq)]
-pub(crate) struct ConfigItem {
+pub struct ConfigItem {
     /// The line on which it begins, from 1.
-    pub(crate) line: usize,
+    pub line: usize,
     /// What it is.
-    pub(crate) value: ConfigValue,
+    pub value: ConfigValue,
 }
 
 /// The value of an item.
 #[derive(Debug, PartialEq)]
-pub(crate) enum ConfigValue {
+pub enum ConfigValue {
     /// Names with their items. A name may occur twice, which JSON allows.
     Table(Vec<(String, ConfigItem)>),
     /// Items in a row.
@@ -60,7 +60,7 @@
 
 impl ConfigItem {
     /// The entry of that name, if this is a table that has one; the first of several.
-    pub(crate) fn get(&self, name: &str) -> Option<&ConfigItem> {
+    pub fn get(&self, name: &str) -> Option<&ConfigItem> {
         let ConfigValue::Table(entries) = &self.value else {
             return None;
         };
@@ -71,7 +71,7 @@
     }
 
     /// The string, if this is one.
-    pub(crate) fn as_text(&self) -> Option<&str> {
+    pub fn as_text(&self) -> Option<&str> {
         match &self.value {
             ConfigValue::Text(text) => Some(text),
             _ => None,
@@ -79,7 +79,7 @@
     }
 
     /// The whole number, if this is one.
-    pub(crate) fn as_integer(&self) -> Option<i128> {
+    pub fn as_integer(&self) -> Option<i128> {
         match self.value {
             ConfigValue::Integer(number) => Some(number),
             _ => None,
@@ -87,7 +87,7 @@
     }
 
     /// The number, whole or not, if this is one.
-    pub(crate) fn as_number(&self) -> Option<f64> {
+    pub fn as_number(&self) -> Option<f64> {
         match self.value {
             ConfigValue::Integer(number) => Some(number as f64),
             ConfigValue::Number(number) => Some(number),
@@ -96,7 +96,7 @@
     }
 
     /// The strings of a list; none if this is no list.
-    pub(crate) fn texts(&self) -> Vec<&str> {
+    pub fn texts(&self) -> Vec<&str> {
         match &self.value {
             ConfigValue::List(items) => items.iter().filter_map(ConfigItem::as_text).collect(),
             _ => Vec::new(),
@@ -108,13 +108,9 @@
 ///
 /// # Errors
 /// What the grammar of the format forbids, with its lines.
-pub(crate) fn parse(format: ConfigFormat, text: &str) -> Result<ConfigItem, Vec<Diagnostic>> {
+pub fn parse(format: ConfigFormat, text: &str) -> Result<ConfigItem, Vec<Diagnostic>> {
     match format {
         ConfigFormat::Toml => parse_toml::parse(text),
         ConfigFormat::PlatformJson => parse_json::parse(text),
     }
 }
-
-#[cfg(test)]
-#[path = "../../../tests/unit/config_file.rs"]
-mod tests;
--- a/crates/edge-node/src/config/mod.rs
+++ b/crates/edge-node/src/config/mod.rs
@@ -5,76 +5,75 @@
 
 mod environment;
 mod error;
-mod file;
+pub mod file;
 mod platform;
-mod schema;
+pub mod schema;
 
-pub(crate) use environment::CONFIG_VARIABLE;
-pub(crate) use error::{ConfigError, InvalidConfig};
-pub(crate) use schema::{markdown_table, RestartValues};
+pub use environment::CONFIG_VARIABLE;
+pub use error::{ConfigError, Diagnostic, InvalidConfig};
 
 use crate::endpoint_list::EndpointList;
 use crate::log::LogOptions;
-use error::Diagnostic;
 use file::ConfigFormat;
 use gateway_core::settings::ResolvedSettings;
+use schema::RestartValues;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 /// Everything that the edge node is configured with.
-pub(crate) struct Config {
+pub struct Config {
     /// The file that it was read from, to be read again at a reload.
-    pub(crate) path: PathBuf,
+    pub path: PathBuf,
     /// The edge node's name in its log.
-    pub(crate) name: String,
+    pub name: String,
     /// Where clients connect.
-    pub(crate) listen: SocketAddr,
+    pub listen: SocketAddr,
     /// Where the discovery agent listens.
-    pub(crate) discovery: SocketAddr,
+    pub discovery: SocketAddr,
     /// The seed of all random decisions.
-    pub(crate) seed: u64,
+    pub seed: u64,
     /// File descriptors that the process may hold.
-    pub(crate) max_file_descriptors: usize,
+    pub max_file_descriptors: usize,
     /// Memory that the process may use, in bytes.
-    pub(crate) max_memory: usize,
+    pub max_memory: usize,
     /// Where messages between edge nodes arrive and go, if there are any.
-    pub(crate) peers: Option<PeerAddresses>,
+    pub peers: Option<PeerAddresses>,
     /// The endpoint list as the platform last held it, which may be outdated.
-    pub(crate) initial_endpoints: Option<EndpointList>,
+    pub initial_endpoints: Option<EndpointList>,
     /// The settings of the decision module.
-    pub(crate) settings: ResolvedSettings,
+    pub settings: ResolvedSettings,
     /// What only operators' files can configure.
-    pub(crate) operator: OperatorOptions,
+    pub operator: OperatorOptions,
     /// The values that can't change without a restart.
-    pub(crate) restart_values: RestartValues,
+    pub restart_values: RestartValues,
 }
 
 /// What only operators' files have keys for. Under the platform's JSON these are the defaults.
 #[derive(Deserialize, Default)]
-pub(crate) struct OperatorOptions {
+pub struct OperatorOptions {
     /// The log.
-    pub(crate) log: LogOptions,
+    pub log: LogOptions,
     /// The admin listener.
     #[serde(default)]
-    pub(crate) admin: AdminOptions,
+    pub admin: AdminOptions,
 }
 
 /// The admin listener.
 #[derive(Deserialize, Default)]
-pub(crate) struct AdminOptions {
+pub struct AdminOptions {
     /// Where operators and their monitoring connect; `None` for no admin listener.
-    pub(crate) listen: Option<SocketAddr>,
+    pub listen: Option<SocketAddr>,
 }
 
 /// Where messages between edge nodes arrive and go.
-pub(crate) struct PeerAddresses {
+pub struct PeerAddresses {
     /// Where messages arrive.
-    pub(crate) listen: SocketAddr,
+    pub listen: SocketAddr,
     /// The address of each edge node in the order of their numbers, this one's among them.
-    pub(crate) addresses: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// An address that reaches all of them, if there is one.
-    pub(crate) broadcast: Option<SocketAddr>,
+    pub broadcast: Option<SocketAddr>,
 }
 
 impl Config {
@@ -82,7 +81,7 @@
     ///
     /// # Errors
     /// [`ConfigError::Unreadable`] if the file can't be read, [`ConfigError::Invalid`] if something in it is wrong.
-    pub(crate) fn read(path: &Path) -> Result<Config, ConfigError> {
+    pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
             path: path.to_owned(),
             source,
--- a/crates/edge-node/src/config/schema/markdown.rs
+++ b/crates/edge-node/src/config/schema/markdown.rs
@@ -8,7 +8,7 @@
                       | --- | --- | --- | --- | --- | --- |\n";
 
 /// All keys as a table in Markdown, one row a key.
-pub(crate) fn markdown_table() -> String {
+pub fn markdown_table() -> String {
     let rows = all_keys().map(row);
     std::iter::once(HEADER.to_owned()).chain(rows).collect()
 }
--- a/crates/edge-node/src/config/schema/mod.rs
+++ b/crates/edge-node/src/config/schema/mod.rs
@@ -11,7 +11,7 @@
 mod validate;
 
 pub(crate) use keys::MIN_FILE_DESCRIPTORS;
-pub(crate) use markdown::markdown_table;
-pub(crate) use restart::RestartValues;
-pub(super) use translate::to_platform_json;
+pub use markdown::markdown_table;
+pub use restart::RestartValues;
+pub use translate::to_platform_json;
 pub(super) use validate::validate;
--- a/crates/edge-node/src/config/schema/restart.rs
+++ b/crates/edge-node/src/config/schema/restart.rs
@@ -12,15 +12,12 @@
 /// one value an item.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(transparent)]
-pub(crate) struct RestartValues(BTreeMap<&'static str, Vec<Value>>);
+pub struct RestartValues(BTreeMap<&'static str, Vec<Value>>);
 
 impl RestartValues {
     /// Takes the values from a configuration in the platform's JSON, into which files of the other format are
     /// translated. `format` is the file's own.
-    pub(in crate::config) fn from_platform_json(
-        format: ConfigFormat,
-        json: &Value,
-    ) -> RestartValues {
+    pub fn from_platform_json(format: ConfigFormat, json: &Value) -> RestartValues {
         let keys = keys_of(format).filter(|key| key.on_reload == OnReload::RequiresRestart);
         RestartValues(
             keys.map(|key| (key.path(format), values_of(key, json)))
@@ -29,7 +26,7 @@
     }
 
     /// The paths of the keys whose values differ, in alphabetical order.
-    pub(crate) fn changed_keys(&self, other: &RestartValues) -> Vec<&'static str> {
+    pub fn changed_keys(&self, other: &RestartValues) -> Vec<&'static str> {
         let changed = self
             .0
             .iter()
@@ -53,7 +50,3 @@
     }
     found.into_iter().cloned().collect()
 }
-
-#[cfg(test)]
-#[path = "../../../tests/unit/config_restart.rs"]
-mod tests;
--- a/crates/edge-node/src/config/schema/translate.rs
+++ b/crates/edge-node/src/config/schema/translate.rs
@@ -8,8 +8,8 @@
 
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// The platform's JSON of an operator's configuration that [`validate`](super::validate) found nothing wrong with.
-pub(in crate::config) fn to_platform_json(root: &ConfigItem) -> Value {
+/// The platform's JSON of an operator's configuration that `validate` found nothing wrong with.
+pub fn to_platform_json(root: &ConfigItem) -> Value {
     let mut json = Value::Object(Map::new());
     for key in all_keys() {
         for location in locate(root, key.toml_path) {
@@ -104,7 +104,3 @@
     *value = Value::Array(elements);
     &mut value[index]
 }
-
-#[cfg(test)]
-#[path = "../../../tests/unit/config_translate.rs"]
-mod tests;
--- a/crates/edge-node/src/endpoint_list.rs
+++ b/crates/edge-node/src/endpoint_list.rs
@@ -8,25 +8,25 @@
 
 /// The app servers, or changes to them.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
-pub(crate) struct EndpointList {
+pub struct EndpointList {
     /// The version of the list, which grows within one watch.
     #[serde(rename = "seq")]
-    pub(crate) sequence: u64,
+    pub sequence: u64,
     /// The list names every server there is; otherwise it names those that have changed.
     #[serde(rename = "whole", default)]
-    pub(crate) is_snapshot: bool,
+    pub is_snapshot: bool,
     /// The servers that it names.
     #[serde(rename = "hosts", default)]
-    pub(crate) entries: EndpointEntries,
+    pub entries: EndpointEntries,
 }
 
 /// The entries of a list that could be read, and whether there were others.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct EndpointEntries {
+pub struct EndpointEntries {
     /// Those that could be read, in their order.
-    pub(crate) readable: Vec<EndpointEntry>,
+    pub readable: Vec<EndpointEntry>,
     /// At least one entry could not be read.
-    pub(crate) has_malformed: bool,
+    pub has_malformed: bool,
 }
 
 impl<'de> Deserialize<'de> for EndpointEntries {
@@ -47,27 +47,27 @@
 /// An app server on a list. Its name and health have to be readable; any other value that is not is taken as absent.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(try_from = "EntryDocument")]
-pub(crate) struct EndpointEntry {
+pub struct EndpointEntry {
     /// The name of the server, the same at every edge node.
-    pub(crate) name: String,
+    pub name: String,
     /// Where the server listens; present for each that is ready.
-    pub(crate) address: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// The name of its zone; empty if there is none.
-    pub(crate) zone: String,
+    pub zone: String,
     /// The number of its cell.
-    pub(crate) cell: u64,
+    pub cell: u64,
     /// Whether it takes requests.
-    pub(crate) health: EndpointHealth,
+    pub health: EndpointHealth,
     /// Its share of the load relative to the other servers, above 0.
-    pub(crate) weight: f64,
+    pub weight: f64,
     /// When it was started, Unix time in ms; 0 if that is not known.
-    pub(crate) started_at_ms: u64,
+    pub started_at_ms: u64,
 }
 
 /// Whether a server takes requests.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub(crate) enum EndpointHealth {
+pub enum EndpointHealth {
     /// It takes requests.
     Ready,
     /// It finishes what it has and takes nothing new.
--- a/crates/edge-node/src/lib.rs
+++ b/crates/edge-node/src/lib.rs
@@ -1,14 +1,17 @@
 //! The edge node (a gateway): sockets, timers, files and signals around the decisions, which are all in
 //! [`gateway_core`]. [`run`] is the whole program; `main` only calls it.
+//!
+//! The public modules are those that only read a format: configurations, endpoint lists, the log and the heads of
+//! requests. Tests call them directly.
 
 mod admin;
 mod bind;
-mod clients;
+pub mod clients;
 mod command;
-mod config;
+pub mod config;
 mod discovery;
-mod endpoint_list;
-mod log;
+pub mod endpoint_list;
+pub mod log;
 mod metrics;
 mod node;
 mod peers;
--- a/crates/edge-node/src/log/mod.rs
+++ b/crates/edge-node/src/log/mod.rs
@@ -2,7 +2,7 @@
 //! the same message and, beside it, the cause and the ids as fields of their own.
 
 mod rate_limit_layer;
-mod rate_limiter;
+pub mod rate_limiter;
 mod text_format;
 
 use rate_limit_layer::RateLimitLayer;
@@ -20,17 +20,17 @@
 /// What a configuration says of the log.
 #[derive(Deserialize, Clone, Copy, Debug, Default)]
 #[serde(default)]
-pub(crate) struct LogOptions {
+pub struct LogOptions {
     /// The least severity that is logged.
-    pub(crate) level: LogLevel,
+    pub level: LogLevel,
     /// How lines are written.
-    pub(crate) format: LogFormat,
+    pub format: LogFormat,
 }
 
 /// The least severity that is logged.
 #[derive(Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub(crate) enum LogLevel {
+pub enum LogLevel {
     /// Nothing.
     Off,
     /// What stops the edge node from doing what it was told.
@@ -65,7 +65,7 @@
 /// How lines of the log are written.
 #[derive(Deserialize, Clone, Copy, Debug, Default)]
 #[serde(rename_all = "lowercase")]
-pub(crate) enum LogFormat {
+pub enum LogFormat {
     /// Time, level and message, for people.
     #[default]
     Text,
@@ -75,7 +75,7 @@
 
 /// Why the log can't be started or changed.
 #[derive(Debug, Error)]
-pub(crate) enum LogError {
+pub enum LogError {
     /// The process has a log already.
     #[error(transparent)]
     AlreadyStarted(#[from] SetGlobalDefaultError),
@@ -85,7 +85,7 @@
 }
 
 /// The running log of this process.
-pub(crate) struct Log {
+pub struct Log {
     level: reload::Handle<LevelFilter, Registry>,
 }
 
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// [`LogError::AlreadyStarted`].
-    pub(crate) fn start(options: LogOptions) -> Result<Log, LogError> {
+    pub fn start(options: LogOptions) -> Result<Log, LogError> {
         let (level_filter, level) = reload::Layer::new(LevelFilter::from(options.level));
         // A line that can't be written is dropped silently: the reader of the log may end, and reporting that on the
         // same standard error would fail again, and end the edge node.
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     /// [`LogError::Stopped`].
-    pub(crate) fn set_level(&self, level: LogLevel) -> Result<(), LogError> {
+    pub fn set_level(&self, level: LogLevel) -> Result<(), LogError> {
         self.level.modify(|filter| *filter = level.into())?;
         Ok(())
     }
--- a/crates/edge-node/src/log/rate_limiter.rs
+++ b/crates/edge-node/src/log/rate_limiter.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// A rate limiter that counts each kind on its own.
-pub(crate) struct RateLimiter<K> {
+pub struct RateLimiter<K> {
     max_per_window: u32,
     window: Duration,
     windows: HashMap<K, Window>,
@@ -14,7 +14,7 @@
 
 /// Whether an event passes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Decision {
+pub enum Decision {
     /// It passes.
     Pass {
         /// How many of its kind were suppressed in the window before; reported once, with the first that passes.
@@ -44,7 +44,7 @@
 impl<K: Eq + Hash> RateLimiter<K> {
     /// Lets `max_per_window` of each kind pass in each window. A kind's window begins with its first event after the
     /// end of the window before.
-    pub(crate) fn new(max_per_window: u32, window: Duration) -> RateLimiter<K> {
+    pub fn new(max_per_window: u32, window: Duration) -> RateLimiter<K> {
         RateLimiter {
             max_per_window,
             window,
@@ -53,7 +53,7 @@
     }
 
     /// Counts an event, and decides whether it passes. A `now` before the window's start counts as in the window.
-    pub(crate) fn check(&mut self, kind: K, now: Instant) -> Decision {
+    pub fn check(&mut self, kind: K, now: Instant) -> Decision {
         let window = self.windows.entry(kind).or_insert_with(|| Window::new(now));
         let mut suppressed_before = 0;
         if now.saturating_duration_since(window.started_at) >= self.window {
--- a/crates/edge-node/src/reload.rs
+++ b/crates/edge-node/src/reload.rs
@@ -1,6 +1,7 @@
 //! Reload on SIGHUP: the configuration is read again and applied whole or not at all.
 
-use crate::config::{Config, RestartValues};
+use crate::config::schema::RestartValues;
+use crate::config::Config;
 use crate::log::Log;
 use anyhow::Result;
 use std::net::SocketAddr;
--- a/crates/edge-node/tests/fixtures.rs
+++ b/crates/edge-node/tests/fixtures.rs
@@ -1,25 +1,15 @@
 //! Configuration files as operators and the platform have them in use: each has to read to the same values for as long
 //! as its format is supported. The files and the values expected here don't change with the code's names.
 
-// Modules of the program, of which this test uses a part: the library does not read whole configurations.
-#[allow(dead_code, unused_imports)]
-#[path = "../src/config/mod.rs"]
-mod config;
-#[allow(dead_code)]
-#[path = "../src/endpoint_list.rs"]
-mod endpoint_list;
-#[allow(dead_code)]
-#[path = "../src/log/mod.rs"]
-mod log;
-
-use config::{AdminOptions, Config, OperatorOptions, PeerAddresses, RestartValues};
-use endpoint_list::{EndpointEntries, EndpointEntry, EndpointHealth, EndpointList};
+use edge_node::config::schema::RestartValues;
+use edge_node::config::{AdminOptions, Config, OperatorOptions, PeerAddresses};
+use edge_node::endpoint_list::{EndpointEntries, EndpointEntry, EndpointHealth, EndpointList};
+use edge_node::log::{LogFormat, LogLevel, LogOptions};
 use gateway_core::settings::{self, ResolvedSettings};
 use gateway_core::{
     Class, DeduplicationScope, EndpointDiscovery, GatewayId, HardLimit, Idempotency, Permissions,
     Plan, Rules, Settings, ZoneId,
 };
-use log::{LogFormat, LogLevel, LogOptions};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
--- a/crates/edge-node/tests/unit/call_terms.rs
+++ b/crates/edge-node/tests/library/call_terms.rs
@@ -1,7 +1,7 @@
 //! Call terms: all three, once each, within the settings.
 
-use super::*;
-use gateway_core::settings;
+use edge_node::clients::call_terms::CallTerms;
+use gateway_core::{settings, GatewayId, GatewaySet, Settings};
 
 /// Settings of three gateways, with 8 units for a request at most.
 fn settings() -> Settings {
--- a/crates/edge-node/tests/unit/config_file.rs
+++ b/crates/edge-node/tests/library/config_file.rs
@@ -1,6 +1,7 @@
 //! Configuration files: their format, and the lines of their items.
 
-use super::*;
+use edge_node::config::file::{parse, ConfigFormat, ConfigValue};
+use std::path::Path;
 
 #[test]
 fn the_extension_decides_the_format_and_else_the_first_character() {
--- a/crates/edge-node/tests/unit/config_restart.rs
+++ b/crates/edge-node/tests/library/config_restart.rs
@@ -1,7 +1,8 @@
 //! Which changes of a configuration require a restart.
 
-use super::*;
-use serde_json::json;
+use edge_node::config::file::ConfigFormat;
+use edge_node::config::schema::RestartValues;
+use serde_json::{json, Value};
 
 fn values(json: &Value) -> RestartValues {
     RestartValues::from_platform_json(ConfigFormat::Toml, json)
--- a/crates/edge-node/tests/unit/config_translate.rs
+++ b/crates/edge-node/tests/library/config_translate.rs
@@ -1,7 +1,8 @@
 //! The translation of operators' TOML to the platform's JSON.
 
-use super::*;
-use crate::config::file::parse;
+use edge_node::config::file::{parse, ConfigFormat};
+use edge_node::config::schema::to_platform_json;
+use serde_json::{json, Value};
 
 fn translated(text: &str) -> Value {
     to_platform_json(&parse(ConfigFormat::Toml, text).expect("valid TOML"))
--- a/crates/edge-node/tests/unit/header_value.rs
+++ b/crates/edge-node/tests/library/header_value.rs
@@ -1,6 +1,8 @@
 //! Values of headers and path segments: what is one, and what is none.
 
-use super::*;
+use edge_node::clients::header_value::{parse_customer, parse_duration};
+use gateway_core::CustomerId;
+use std::time::Duration;
 
 #[test]
 fn durations_have_a_number_and_a_unit() {
--- a/crates/edge-node/tests/unit/phase.rs
+++ b/crates/edge-node/tests/library/phase.rs
@@ -1,6 +1,6 @@
 //! Phases: their order and the words that operators' tools read.
 
-use super::*;
+use edge_node::clients::Phase;
 
 const ALL: [Phase; 4] = [
     Phase::Starting,
--- a/crates/edge-node/tests/unit/request_error.rs
+++ b/crates/edge-node/tests/library/request_error.rs
@@ -1,6 +1,6 @@
 //! What a client is sent for each way in which its request can be wrong: clients read the status, people the text.
 
-use super::*;
+use edge_node::clients::request_error::RequestError;
 
 #[test]
 fn each_error_keeps_its_status_and_text() {
--- a/crates/edge-node/tests/unit/request_head.rs
+++ b/crates/edge-node/tests/library/request_head.rs
@@ -1,8 +1,12 @@
 //! Heads of requests: what a good one says, and which rule a bad one breaks first.
 
-use super::*;
-use gateway_core::{settings, GatewayId, GatewaySet};
+use edge_node::clients::call_terms::CallTerms;
+use edge_node::clients::request_error::RequestError;
+use edge_node::clients::request_head::RequestHead;
+use gateway_core::settings::{self, ResolvedSettings};
+use gateway_core::{ClassId, CustomerId, GatewayId, GatewaySet, PlanId, RequestId};
 use hyper::Request;
+use std::time::Duration;
 
 fn resolved_settings() -> ResolvedSettings {
     let config: serde_json::Value =
