--- a/crates/fleet-lab/src/hybrid/endpoint_registry.rs
+++ b/crates/fleet-lab/src/hybrid/endpoint_registry.rs
@@ -5,9 +5,7 @@
 //! [`DrainingServers`](crate::world::draining::DrainingServers).
 
 use super::scenario::ListedState;
-use crate::Micros;
-use gateway_core::Timestamp;
-use gateway_core::{CellId, Endpoint, EndpointState, ServerId, ZoneId};
+use gateway_core::{CellId, Endpoint, EndpointState, ServerId, Timestamp, ZoneId};
 use serde_json::json;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -19,7 +17,7 @@
     id: ServerId,
     address: SocketAddr,
     state: EndpointState,
-    started_at: Option<Micros>,
+    started_at: Option<Timestamp>,
     /// The version in which it was changed last.
     changed_in: u64,
 }
@@ -32,7 +30,7 @@
             cell: CellId(0),
             state: self.state,
             weight: 1.0,
-            started_at: self.started_at.map(Timestamp::from_micros),
+            started_at: self.started_at,
         }
     }
 
@@ -44,7 +42,7 @@
         };
         json!({
             "host": self.name, "dial": self.address, "site": "a", "class": "std", "block": 0, "share": 1.0,
-            "born_ms": self.started_at.unwrap_or(0) / 1000, "health": health,
+            "born_ms": self.started_at.unwrap_or(Timestamp::EPOCH).as_micros() / 1000, "health": health,
         })
     }
 }
@@ -77,8 +75,8 @@
         });
     }
 
-    /// Changes the state of a server, by index, and publishes a new version; `now` is in µs.
-    pub(super) fn update(&self, now: Micros, server: usize, state: ListedState) {
+    /// Changes the state of a server, by index, and publishes a new version.
+    pub(super) fn update(&self, now: Timestamp, server: usize, state: ListedState) {
         let version = self.version() + 1;
         if let Some(server) = self.servers.borrow_mut().get_mut(server) {
             server.changed_in = version;
--- a/crates/fleet-lab/src/hybrid/environment.rs
+++ b/crates/fleet-lab/src/hybrid/environment.rs
@@ -5,8 +5,7 @@
 use super::ledger::Ledger;
 use super::scenario::Scenario;
 use super::servers::Server;
-use crate::Micros;
-use gateway_core::{Endpoint, GatewayId};
+use gateway_core::{Endpoint, GatewayId, Timestamp};
 use std::cell::RefCell;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -14,8 +13,8 @@
 /// time is that of the next event.
 pub(super) struct Clock {
     started: Instant,
-    /// Unix time at the start, µs.
-    unix_start: Micros,
+    /// Unix time at the start.
+    unix_start: Timestamp,
 }
 
 impl Clock {
@@ -26,13 +25,13 @@
             .unwrap_or_default();
         Clock {
             started: Instant::now(),
-            unix_start: unix_start.as_micros() as Micros,
+            unix_start: Timestamp::EPOCH + unix_start,
         }
     }
 
-    /// The time, µs.
-    pub(super) fn now(&self) -> Micros {
-        self.unix_start + self.started.elapsed().as_micros() as Micros
+    /// The time.
+    pub(super) fn now(&self) -> Timestamp {
+        self.unix_start + self.started.elapsed()
     }
 }
 
--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -6,13 +6,10 @@
 use super::scenario::{PlannedRequest, CLIENT_TIMEOUT};
 use super::servers::{AttemptReply, AttemptStatus};
 use crate::world::final_answer::FinalAnswer;
-use crate::Micros;
 use anyhow::{Context, Result};
-use gateway_core::Gateway;
-use gateway_core::Timestamp;
 use gateway_core::{
-    Action, AttemptNumber, AttemptOutcome, ClassId, EndpointUpdate, Event, GatewayId, GatewaySet,
-    RequestId, ServerId,
+    Action, AttemptNumber, AttemptOutcome, ClassId, EndpointUpdate, Event, Gateway, GatewayId,
+    GatewaySet, RequestId, ServerId, Timestamp,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -53,12 +50,8 @@
     ) -> Result<Rc<HollowNode>> {
         let settings = environment.scenario.settings(id).to_string();
         let resolved = gateway_core::settings::parse(&settings).context("settings")?;
-        let gateway = Gateway::new(
-            seed,
-            resolved.settings,
-            Timestamp::from_micros(environment.clock.now()),
-        )
-        .context("settings")?;
+        let gateway =
+            Gateway::new(seed, resolved.settings, environment.clock.now()).context("settings")?;
         let node = Rc::new(HollowNode {
             id,
             environment: Rc::clone(environment),
@@ -110,7 +103,7 @@
 
     /// Gives the decision module an event, and carries out the resulting actions.
     fn post(self: &Rc<Self>, event: Event) {
-        let now = Timestamp::from_micros(self.environment.clock.now());
+        let now = self.environment.clock.now();
         let mut actions = Vec::new();
         let started = Instant::now();
         self.gateway.borrow_mut().handle(now, event, &mut actions);
@@ -160,12 +153,12 @@
         }
     }
 
-    /// Handles a client's request to its final answer; `None` if none came until then, µs, when the client gives up.
+    /// Handles a client's request to its final answer; `None` if none came until then, when the client gives up.
     pub(super) async fn request(
         self: &Rc<Self>,
         id: &RequestId,
         request: &PlannedRequest,
-        give_up_at: Micros,
+        give_up_at: Timestamp,
     ) -> Option<FinalAnswer> {
         let (sender, receiver) = oneshot::channel();
         self.open_requests.borrow_mut().insert(
@@ -186,10 +179,9 @@
                 first: customer.first_node,
                 count: customer.node_count,
             },
-            client_timeout: Duration::from_micros(CLIENT_TIMEOUT),
+            client_timeout: CLIENT_TIMEOUT,
         });
-        let time_left =
-            Duration::from_micros(give_up_at.saturating_sub(self.environment.clock.now()));
+        let time_left = give_up_at.duration_since(self.environment.clock.now());
         let answer = tokio::time::timeout(time_left, receiver)
             .await
             .ok()
--- a/crates/fleet-lab/src/hybrid/ledger.rs
+++ b/crates/fleet-lab/src/hybrid/ledger.rs
@@ -3,22 +3,22 @@
 //! The records and checks of single requests, quotas and drains are those of the simulation. What differs is what can be
 //! observed: here attempts are seen only where they arrive and run, and a client's end of waiting ends nothing.
 
+use crate::time::seconds_between;
 use crate::world::draining::{DrainGrace, DrainingServers};
 use crate::world::final_answer::FinalAnswer;
 use crate::world::request_record::RequestRecord;
-use crate::world::seconds_between;
 use crate::world::usage_limit::{Excess, UsageLimit};
-use crate::Micros;
-use gateway_core::{CustomerId, EndpointState, GatewayId, ServerId};
+use gateway_core::{CustomerId, EndpointState, GatewayId, ServerId, Timestamp};
 use serde::Serialize;
 use std::collections::HashMap;
 use std::sync::Arc;
+use std::time::Duration;
 
-/// A final answer is missing if it comes later than this after the client's timeout, µs: half a second, and
+/// A final answer is missing if it comes later than this after the client's timeout: half a second, and
 /// [`SOCKET_TOLERANCE`]. The simulation allows far less, as its clock does not go on while a gateway computes.
-pub const ANSWER_GRACE: Micros = 550_000;
-/// By this every time limit is longer on sockets, µs.
-pub const SOCKET_TOLERANCE: Micros = 50_000;
+pub const ANSWER_GRACE: Duration = Duration::from_millis(550);
+/// By this every time limit is longer on sockets.
+pub const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 
 /// A customer's quota over all nodes together, and by how much nodes may exceed it while they lack information.
 #[derive(Clone, Copy, Debug)]
@@ -55,8 +55,8 @@
     pub units: f64,
     /// Whether it must not run twice.
     pub is_non_idempotent: bool,
-    /// How long the client waits, µs.
-    pub timeout: Micros,
+    /// How long the client waits.
+    pub timeout: Duration,
 }
 
 /// A final answer as its client receives it.
@@ -85,14 +85,14 @@
 }
 
 impl QuotaUsage {
-    fn new(quota: Quota, now: Micros) -> QuotaUsage {
+    fn new(quota: Quota, now: Timestamp) -> QuotaUsage {
         QuotaUsage {
             quota,
             limit: UsageLimit::unused(now, quota.rate, quota.burst),
         }
     }
 
-    fn consume(&mut self, started_at: Micros, now: Micros, units: f64) {
+    fn consume(&mut self, started_at: Timestamp, now: Timestamp, units: f64) {
         let elapsed = seconds_between(started_at, now);
         let tolerated = self.quota.tolerance + self.quota.tolerance_per_s * elapsed;
         self.limit.consume(now, units, tolerated);
@@ -120,7 +120,7 @@
 /// The record of all requests of one run.
 #[derive(Debug)]
 pub struct Ledger {
-    started_at: Micros,
+    started_at: Timestamp,
     drain_grace: DrainGrace,
     quotas: HashMap<CustomerId, QuotaUsage>,
     requests: HashMap<Arc<str>, ObservedRequest>,
@@ -134,10 +134,10 @@
 }
 
 impl Ledger {
-    /// An empty record. Times are in µs.
+    /// An empty record.
     pub fn new(
-        now: Micros,
-        drain_grace: Micros,
+        now: Timestamp,
+        drain_grace: Duration,
         quotas: impl IntoIterator<Item = CustomerQuota>,
     ) -> Ledger {
         let usage = |CustomerQuota { customer, quota }| (customer, QuotaUsage::new(quota, now));
@@ -156,12 +156,12 @@
     }
 
     /// The first clients arrive now: the tolerance of quotas grows from here on.
-    pub fn start(&mut self, now: Micros) {
+    pub fn start(&mut self, now: Timestamp) {
         self.started_at = now;
     }
 
     /// A client has sent a request. Ids are never used twice.
-    pub fn request_sent(&mut self, now: Micros, id: Arc<str>, request: SentRequest) {
+    pub fn request_sent(&mut self, now: Timestamp, id: Arc<str>, request: SentRequest) {
         let record = RequestRecord::new(now, request);
         self.requests.insert(
             id,
@@ -173,7 +173,7 @@
     }
 
     /// An attempt has arrived at a server. Returns the units of its request; `None` if no client sent it.
-    pub fn attempt_arrived(&mut self, now: Micros, id: &str, server: ServerId) -> Option<f64> {
+    pub fn attempt_arrived(&mut self, now: Timestamp, id: &str, server: ServerId) -> Option<f64> {
         let Some(ObservedRequest { record, .. }) = self.requests.get_mut(id) else {
             self.unknown_requests += 1;
             return None;
@@ -192,7 +192,7 @@
         Some(units)
     }
 
-    fn count_attempt_while_draining(&mut self, now: Micros, node: GatewayId, server: ServerId) {
+    fn count_attempt_while_draining(&mut self, now: Timestamp, node: GatewayId, server: ServerId) {
         let draining_since = self
             .draining
             .get(&node)
@@ -211,7 +211,7 @@
     }
 
     /// A client has received an answer.
-    pub fn answered(&mut self, now: Micros, id: &str, answer: ReceivedAnswer) {
+    pub fn answered(&mut self, now: Timestamp, id: &str, answer: ReceivedAnswer) {
         let Some(observed) = self.requests.get_mut(id) else {
             self.unknown_requests += 1;
             return;
@@ -225,7 +225,7 @@
     /// A node has received a server's state from discovery.
     pub fn endpoint_received(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         node: GatewayId,
         server: ServerId,
         state: EndpointState,
--- a/crates/fleet-lab/src/hybrid/load.rs
+++ b/crates/fleet-lab/src/hybrid/load.rs
@@ -147,7 +147,7 @@
                 answer.map(ReceivedAnswer::Genuine)
             }
         };
-        let wait = environment.clock.now() - sent_at;
+        let wait = environment.clock.now().duration_since(sent_at);
         self.totals.borrow_mut().of(node).count(answer, wait);
     }
 }
--- a/crates/fleet-lab/src/hybrid/real_node.rs
+++ b/crates/fleet-lab/src/hybrid/real_node.rs
@@ -4,10 +4,9 @@
 use super::ledger::ReceivedAnswer;
 use super::scenario::{plan_name, PlannedRequest, CLASSES, CLIENT_TIMEOUT};
 use crate::world::final_answer::FinalAnswer;
-use crate::Micros;
 use anyhow::{bail, Context, Result};
 use bytes::Bytes;
-use gateway_core::{GatewayId, RequestId};
+use gateway_core::{GatewayId, RequestId, Timestamp};
 use http_body_util::{BodyExt, Full};
 use hyper::{Method, Request, StatusCode};
 use hyper_util::client::legacy::connect::HttpConnector;
@@ -134,15 +133,15 @@
         ))
     }
 
-    /// Sends a client's request over HTTP and waits for its final answer; `None` if none came until then, µs.
+    /// Sends a client's request over HTTP and waits for its final answer; `None` if none came until then.
     pub(super) async fn request(
         &self,
         environment: &Environment,
         id: &RequestId,
         request: &PlannedRequest,
-        give_up_at: Micros,
+        give_up_at: Timestamp,
     ) -> Option<ReceivedAnswer> {
-        let time_left = Duration::from_micros(give_up_at.saturating_sub(environment.clock.now()));
+        let time_left = give_up_at.duration_since(environment.clock.now());
         let exchange = self.exchange(id, request);
         let answer = tokio::time::timeout(time_left, exchange).await.ok()?.ok()?;
         environment
@@ -196,7 +195,7 @@
             .header("x-request-id", &*id.0)
             .header("x-class", class)
             .header("x-tier", plan_name(customer.plan))
-            .header("x-deadline", format!("{}m", CLIENT_TIMEOUT / 1000))
+            .header("x-deadline", format!("{}m", CLIENT_TIMEOUT.as_millis()))
             .header("x-call-terms", terms)
             .body(Full::from(body))?;
         Ok(request)
--- a/crates/fleet-lab/src/hybrid/report.rs
+++ b/crates/fleet-lab/src/hybrid/report.rs
@@ -1,16 +1,17 @@
 //! What real and hollow nodes cost and sent, side by side, and whether it agrees.
 
 use super::ledger::{InvariantResult, ReceivedAnswer};
+use crate::time::DurationExt;
 use crate::world::final_answer::FinalAnswer;
-use crate::Micros;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::fmt;
+use std::time::Duration;
 
 /// Standard errors by which a figure may be off by chance.
 const STANDARD_ERRORS: f64 = 3.0;
 /// Longest wait that the histogram holds, µs.
-const MAX_WAIT: u64 = 60_000_000;
+const MAX_WAIT_US: u64 = 60_000_000;
 
 /// What the nodes of one kind did.
 #[derive(Debug)]
@@ -38,7 +39,7 @@
             served: 0,
             rejected: 0,
             failed: 0,
-            waits: Histogram::new_with_max(MAX_WAIT, 3).ok()?,
+            waits: Histogram::new_with_max(MAX_WAIT_US, 3).ok()?,
             messages: 0,
             bytes: 0,
             too_long: 0,
@@ -46,13 +47,13 @@
         })
     }
 
-    /// Counts a request by its final answer, and how long its client waited, µs.
-    pub fn count(&mut self, answer: Option<ReceivedAnswer>, wait: Micros) {
+    /// Counts a request by its final answer, and how long its client waited.
+    pub fn count(&mut self, answer: Option<ReceivedAnswer>, wait: Duration) {
         self.requests += 1;
         match answer {
             Some(ReceivedAnswer::Genuine(FinalAnswer::Served)) => {
                 self.served += 1;
-                self.waits.saturating_record(wait);
+                self.waits.saturating_record(wait.whole_micros());
             }
             Some(ReceivedAnswer::Genuine(FinalAnswer::Rejected)) => self.rejected += 1,
             Some(ReceivedAnswer::Genuine(FinalAnswer::Failed)) => self.failed += 1,
--- a/crates/fleet-lab/src/hybrid/scenario.rs
+++ b/crates/fleet-lab/src/hybrid/scenario.rs
@@ -1,18 +1,19 @@
 //! The scenario of a run: what the clients ask for, the settings of all nodes, and the faults of the servers.
 
 use super::ledger::{CustomerQuota, Quota};
+use crate::time::DurationExt;
 use crate::world::Rng;
-use crate::Micros;
 use gateway_core::{CustomerId, GatewayId, PlanId};
 use rand::Rng as _;
 use serde_json::json;
-
-/// How long any client waits, µs.
-pub(super) const CLIENT_TIMEOUT: Micros = 2_000_000;
-/// Latency objective of all classes, µs.
-const LATENCY_OBJECTIVE: Micros = 1_000_000;
-/// How long a node may go on sending to a server that drains, µs.
-pub(super) const DRAIN_GRACE: Micros = 500_000;
+use std::time::Duration;
+
+/// How long any client waits.
+pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Latency objective of all classes.
+const LATENCY_OBJECTIVE: Duration = Duration::from_secs(1);
+/// How long a node may go on sending to a server that drains.
+pub(super) const DRAIN_GRACE: Duration = Duration::from_millis(500);
 /// Messages a second that a node accepts.
 const ACCEPTED_MESSAGES_PER_S: f64 = 40.0;
 /// Units of the largest request; all sizes up to it are equally likely.
@@ -23,9 +24,9 @@
 const DEMAND: [f64; 2] = [0.5, 3.0];
 /// Share of requests that may be repeated.
 const IDEMPOTENT_SHARE: f64 = 0.64;
-/// Most time from a quota decision to the arrival of the first attempt at its server, µs: a connection may have to be
+/// Most time from a quota decision to the arrival of the first attempt at its server: a connection may have to be
 /// opened.
-const FIRST_SEND_TIME: Micros = 250_000;
+const FIRST_SEND_TIME: Duration = Duration::from_millis(250);
 /// As in the decision module: share of the messages that a node accepts which may be usage counts of its peers.
 const USAGE_MESSAGE_SHARE: f64 = 0.7;
 /// As in the decision module: least time between two usage counts, s.
@@ -35,9 +36,11 @@
 /// Number of servers.
 pub(super) const SERVER_COUNT: usize = 6;
 /// Mean work of a request, µs.
-pub(super) const MEAN_WORK: f64 = 40_000.0;
+pub(super) const MEAN_WORK_US: f64 = 40_000.0;
 /// How far the work of single requests lies from the mean, as a share of it.
 pub(super) const WORK_DEVIATION: f64 = 0.5;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
 /// Utilization of the servers by demand within the quotas.
 const UTILIZATION: f64 = 0.5;
 
@@ -203,7 +206,7 @@
     fn quota_of(&self, customer: &Customer) -> Quota {
         let rate = self.quotas[customer.plan.0];
         let burst = self.burst(customer.plan.0);
-        let in_transit = rate * FIRST_SEND_TIME as f64 / 1e6;
+        let in_transit = rate * FIRST_SEND_TIME.as_micros_f64() / MICROS_PER_SECOND;
         let lack_of_information = if self.quotas_have_owners() {
             self.owner_tolerance(burst)
         } else {
@@ -246,7 +249,7 @@
     pub(super) fn server_slots(&self) -> usize {
         let within_quotas: f64 = DEMAND.iter().map(|demand| demand.min(1.0)).sum();
         let share_within_quotas = within_quotas / DEMAND.iter().sum::<f64>();
-        let busy_slots = self.rate() * share_within_quotas * MEAN_WORK / 1e6;
+        let busy_slots = self.rate() * share_within_quotas * MEAN_WORK_US / MICROS_PER_SECOND;
         ((busy_slots / SERVER_COUNT as f64 / UTILIZATION).ceil() as usize).max(1)
     }
 
@@ -261,7 +264,7 @@
                         class_settings(CLASSES[1], 5.0, "non_idempotent")],
             "packages": (0..PLANS.len()).map(|plan| self.plan_settings(plan)).collect::<Vec<_>>(),
             "rules": {"coldFrom": 0.3, "coldUs": 2_000_000, "fallMultiple": 2.5, "overloadForUs": 1_000_000,
-                      "drainGraceUs": DRAIN_GRACE},
+                      "drainGraceUs": DRAIN_GRACE.whole_micros()},
             "extra": {"peerInPerS": ACCEPTED_MESSAGES_PER_S, "maxUnits": MAX_UNITS},
         })
     }
@@ -274,7 +277,7 @@
 }
 
 fn class_settings(name: &str, priority_weight: f64, repeat: &str) -> serde_json::Value {
-    json!({"name": name, "aimUs": LATENCY_OBJECTIVE, "deadlineUs": CLIENT_TIMEOUT, "lateValue": 0.2,
+    json!({"name": name, "aimUs": LATENCY_OBJECTIVE.whole_micros(), "deadlineUs": CLIENT_TIMEOUT.whole_micros(), "lateValue": 0.2,
            "worth": priority_weight, "repeat": repeat})
 }
 
--- a/crates/fleet-lab/src/lib.rs
+++ b/crates/fleet-lab/src/lib.rs
@@ -5,18 +5,9 @@
 pub mod hybrid;
 pub mod scaling;
 pub mod simulate;
+pub mod time;
 pub mod world;
 
-/// A point in time or a duration of the simulated world, in microseconds. Gateways take
-/// [`gateway_core::Timestamp`] and [`std::time::Duration`]: times are converted where events go in and actions
-/// come out.
-pub type Micros = u64;
-
-/// A duration in whole microseconds.
-pub(crate) fn whole_micros(duration: std::time::Duration) -> Micros {
-    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
-}
-
 /// Why an experiment did not succeed.
 #[derive(Debug)]
 pub enum Failure {
--- a/crates/fleet-lab/src/scaling/cost.rs
+++ b/crates/fleet-lab/src/scaling/cost.rs
@@ -1,16 +1,14 @@
 //! What work of a gateway costs, and how that is measured.
 
-use crate::Micros;
 use cpu_time::ThreadTime;
-use gateway_core::Timestamp;
-use gateway_core::{Action, Event, Gateway};
+use gateway_core::{Action, Event, Gateway, Timestamp};
 use stats_alloc::INSTRUMENTED_SYSTEM;
 
 /// What some work of a gateway has cost.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Cost {
     /// Processor time of this thread, µs.
-    pub(super) cpu_time: f64,
+    pub(super) cpu_time_us: f64,
     /// Allocations.
     pub(super) allocations: u64,
     /// Entries of the list of servers that the gateway visited.
@@ -28,7 +26,7 @@
 impl Cost {
     /// Adds another cost.
     pub(super) fn add(&mut self, other: Cost) {
-        self.cpu_time += other.cpu_time;
+        self.cpu_time_us += other.cpu_time_us;
         self.allocations += other.allocations;
         self.visited += other.visited;
         self.messages += other.messages;
@@ -46,22 +44,22 @@
     }
 }
 
-/// Gives a gateway an event at a time, µs, and measures what that costs. The messages among the actions are not
+/// Gives a gateway an event at a time, and measures what that costs. The messages among the actions are not
 /// counted yet.
 pub(super) fn measure_event(
     gateway: &mut Gateway,
-    now: Micros,
+    now: Timestamp,
     event: Event,
     actions: &mut Vec<Action>,
 ) -> Cost {
     let visited_before = gateway.entries_visited();
     let allocations_before = INSTRUMENTED_SYSTEM.stats().allocations;
     let started = ThreadTime::now();
-    gateway.handle(Timestamp::from_micros(now), event, actions);
-    let cpu_time = started.elapsed().as_nanos() as f64 / 1e3;
+    gateway.handle(now, event, actions);
+    let cpu_time_us = started.elapsed().as_nanos() as f64 / 1e3;
     let allocations = INSTRUMENTED_SYSTEM.stats().allocations - allocations_before;
     Cost {
-        cpu_time,
+        cpu_time_us,
         allocations: allocations as u64,
         visited: gateway.entries_visited() - visited_before,
         events: 1,
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -1,19 +1,20 @@
 //! The fleet of which two gateways are measured: its settings, its servers and its customers.
 
 use super::sizes::FleetSizes;
-use crate::Micros;
 use anyhow::{Context, Result};
 use gateway_core::*;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// A millisecond, µs.
-pub(super) const MILLISECOND: Micros = 1_000;
-/// Interval of the control ticks of the decision module, µs.
-pub(super) const CONTROL_TICK: Micros = 500 * MILLISECOND;
-/// How long a client waits, µs; long enough for requests that stay open.
-pub(super) const CLIENT_TIMEOUT: Micros = 3_600_000 * MILLISECOND;
+/// A millisecond.
+pub(super) const MILLISECOND: Duration = Duration::from_millis(1);
+/// Interval of the control ticks of the decision module.
+pub(super) const CONTROL_TICK: Duration = Duration::from_millis(500);
+/// When measured gateways start.
+pub(super) const START: Timestamp = Timestamp::from_micros(5_000_000);
+/// How long a client waits; long enough for requests that stay open.
+pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_secs(3_600);
 /// Least number of customers whose requests are served by turns: enough that gateways need not throttle their lease
 /// requests. Where more requests stay open, each has a customer of its own.
 pub(super) const MIN_ACTIVE_CUSTOMERS: u64 = 64;
@@ -120,9 +121,8 @@
 
 /// How many gateways after the first of its gateways a customer's quota owner is; 0 where quotas have no owners.
 fn owner_offset(customer: CustomerId, sizes: FleetSizes) -> Result<u32> {
-    let now = Timestamp::from_micros(10 * CONTROL_TICK);
     let settings = settings(PAIR[0], sizes.gateways);
-    let mut gateway = Gateway::new(1, settings, now).context("a gateway that shows the owner")?;
+    let mut gateway = Gateway::new(1, settings, START).context("a gateway that shows the owner")?;
     let event = Event::RequestReceived {
         id: RequestId("probe".into()),
         class: ClassId(0),
@@ -133,10 +133,10 @@
             first: PAIR[0],
             count: sizes.effective_gateways_per_customer(),
         },
-        client_timeout: Duration::from_micros(CLIENT_TIMEOUT),
+        client_timeout: CLIENT_TIMEOUT,
     };
     let mut actions = Vec::new();
-    gateway.handle(now, event, &mut actions);
+    gateway.handle(START, event, &mut actions);
     let owner = actions.iter().find_map(|action| match action {
         Action::SendToPeer { to, .. } => Some(to.0),
         _ => None,
--- a/crates/fleet-lab/src/scaling/gateway_pair.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair.rs
@@ -4,11 +4,9 @@
 use super::cost::{measure_event, Cost};
 use super::fleet::{
     draw_customers, draw_endpoints, settings, Customer, CLIENT_TIMEOUT, CONTROL_TICK,
-    CUSTOMER_NUMBERS, MILLISECOND, PAIR,
+    CUSTOMER_NUMBERS, MILLISECOND, PAIR, START,
 };
 use super::sizes::FleetSizes;
-use crate::whole_micros;
-use crate::Micros;
 use anyhow::{bail, Result};
 use gateway_core::*;
 use rand::{Rng, SeedableRng};
@@ -16,10 +14,10 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time between two requests at one gateway, µs: 236 a second.
-const REQUEST_INTERVAL: Micros = 1_000_000 / 236;
-/// Time that a server takes for a request, µs.
-const SERVICE_TIME: Micros = 3 * MILLISECOND;
+/// Time between two requests at one gateway: 236 a second.
+const REQUEST_INTERVAL: Duration = Duration::from_micros(1_000_000 / 236);
+/// Time that a server takes for a request.
+const SERVICE_TIME: Duration = Duration::from_millis(3);
 /// The index of the gateway that is measured.
 pub(super) const MEASURED: usize = 0;
 /// The second byte of a datagram is its kind; this one answers a lease request.
@@ -28,8 +26,8 @@
 struct Member {
     gateway: Gateway,
     customers: Vec<Customer>,
-    /// When its next timer fires, µs.
-    timer_at: Micros,
+    /// When its next timer fires.
+    timer_at: Timestamp,
 }
 
 /// An event for one of the gateways.
@@ -57,8 +55,8 @@
 
 /// The two gateways and their clock.
 pub(super) struct GatewayPair {
-    /// The time, µs.
-    pub(super) now: Micros,
+    /// The time.
+    pub(super) now: Timestamp,
     /// The list of servers as the first gateway has it.
     pub(super) endpoints: Vec<Endpoint>,
     rng: ChaCha8Rng,
@@ -79,7 +77,7 @@
     pub(super) fn new(seed: u64, sizes: FleetSizes) -> Result<GatewayPair> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let endpoints = draw_endpoints(&mut rng, sizes.servers);
-        let now = 10 * CONTROL_TICK;
+        let now = START;
         let first = draw_member(&mut rng, sizes, now, PAIR[0], PAIR[1])?;
         let second = draw_member(&mut rng, sizes, now, PAIR[1], PAIR[0])?;
         let mut pair = GatewayPair {
@@ -114,7 +112,7 @@
             self.request()?;
         }
         // Both have a control tick now, so that none falls into what is measured afterwards.
-        self.now += CONTROL_TICK + MILLISECOND;
+        self.now = self.now + CONTROL_TICK + MILLISECOND;
         for member in 0..self.members.len() {
             self.fire_timer(member);
         }
@@ -144,7 +142,7 @@
                     id,
                     first_gateway: PAIR[MEASURED],
                 },
-                0,
+                Duration::ZERO,
             );
             self.post(MEASURED, event);
         }
@@ -175,7 +173,7 @@
         self.enqueue(member, event);
     }
 
-    fn request_event(&mut self, customer: Customer, client_timeout: Micros) -> Event {
+    fn request_event(&mut self, customer: Customer, client_timeout: Duration) -> Event {
         self.last_request += 1;
         let count = self.sizes.effective_gateways_per_customer();
         Event::RequestReceived {
@@ -188,7 +186,7 @@
                 first: customer.first_gateway,
                 count,
             },
-            client_timeout: Duration::from_micros(client_timeout),
+            client_timeout,
         }
     }
 
@@ -214,15 +212,15 @@
     fn deliver(&mut self) {
         while let Some(PendingEvent { member, event }) = self.pending.pop_front() {
             if member == MEASURED && matches!(event, Event::AttemptFinished { .. }) {
-                self.now += SERVICE_TIME;
+                self.now = self.now + SERVICE_TIME;
             }
             let costs = self.post(member, event);
             self.costs.add(costs);
         }
     }
 
-    /// Lets time pass until then, µs, with the timers that fire meanwhile. What these cost is not part of a request.
-    pub(super) fn advance(&mut self, until: Micros) {
+    /// Lets time pass until then, with the timers that fire meanwhile. What these cost is not part of a request.
+    pub(super) fn advance(&mut self, until: Timestamp) {
         while let Some(member) = self
             .members
             .iter()
@@ -245,12 +243,12 @@
 
     /// Fires a gateway's timer now; returns what that costs.
     pub(super) fn fire_timer(&mut self, member: usize) -> Cost {
-        self.members[member].timer_at = Micros::MAX;
+        self.members[member].timer_at = Timestamp::MAX;
         self.post(member, Event::TimerFired { token: 0 }).own
     }
 
-    /// When the first gateway's timer fires, µs.
-    pub(super) fn next_timer(&self) -> Micros {
+    /// When the first gateway's timer fires.
+    pub(super) fn next_timer(&self) -> Timestamp {
         self.members[MEASURED].timer_at
     }
 
@@ -311,7 +309,7 @@
             }
             Action::SetTimer { after, .. } => {
                 let member = &mut self.members[member];
-                member.timer_at = member.timer_at.min(self.now + whole_micros(after));
+                member.timer_at = member.timer_at.min(self.now + after);
             }
             Action::Reject { .. }
             | Action::Fail { .. }
@@ -343,15 +341,11 @@
 fn draw_member(
     rng: &mut ChaCha8Rng,
     sizes: FleetSizes,
-    now: Micros,
+    now: Timestamp,
     id: GatewayId,
     owner: GatewayId,
 ) -> Result<Member> {
-    let gateway = Gateway::new(
-        rng.random(),
-        settings(id, sizes.gateways),
-        Timestamp::from_micros(now),
-    )?;
+    let gateway = Gateway::new(rng.random(), settings(id, sizes.gateways), now)?;
     let customers = draw_customers(rng, sizes, owner)?;
     Ok(Member {
         gateway,
--- a/crates/fleet-lab/src/scaling/measure.rs
+++ b/crates/fleet-lab/src/scaling/measure.rs
@@ -2,12 +2,10 @@
 
 use super::cost::{counts_allocations, live_bytes, Cost};
 use super::fleet::{draw_endpoints, settings, CONTROL_TICK, MILLISECOND};
-
 use super::gateway_pair::{GatewayPair, MEASURED};
 use super::report::Figure;
 use super::sizes::{Dimension, FleetSizes};
 use anyhow::{ensure, Result};
-use gateway_core::Gateway;
 use gateway_core::*;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -98,6 +96,8 @@
     },
 ];
 
+/// When gateways whose memory is measured start.
+const FIRST_TICK: Timestamp = Timestamp::from_micros(500_000);
 /// Requests in a run. They take less than half of the latency objective in all: servers of requests that stay open
 /// for longer would look hung, which costs more than what is measured.
 const REQUESTS: u64 = 80;
@@ -113,7 +113,7 @@
     let mut figures = vec![
         Figure {
             name: "time_us",
-            value: cost.cpu_time / count.max(1) as f64,
+            value: cost.cpu_time_us / count.max(1) as f64,
         },
         Figure {
             name: "visited",
@@ -218,7 +218,7 @@
     )?;
     let mut cost = Cost::default();
     for _ in 0..REPETITIONS {
-        pair.now += CONTROL_TICK + MILLISECOND;
+        pair.now = pair.now + CONTROL_TICK + MILLISECOND;
         cost.add(pair.fire_timer(MEASURED));
     }
     Ok(local_figures(cost, REPETITIONS))
@@ -306,11 +306,7 @@
         "this program does not count its allocations"
     );
     let before = live_bytes();
-    let gateway = Gateway::new(
-        seed,
-        settings(GatewayId(0), gateways),
-        Timestamp::from_micros(CONTROL_TICK),
-    )?;
+    let gateway = Gateway::new(seed, settings(GatewayId(0), gateways), FIRST_TICK)?;
     let bytes = live_bytes().saturating_sub(before);
     Ok(FreshGateway { gateway, bytes })
 }
@@ -339,7 +335,7 @@
         kind,
         endpoints: endpoints.clone(),
     };
-    gateway.handle(Timestamp::from_micros(CONTROL_TICK), event, &mut actions);
+    gateway.handle(FIRST_TICK, event, &mut actions);
     actions.clear();
     actions.shrink_to_fit();
     Ok(memory_figures(
@@ -364,7 +360,7 @@
             },
             client_timeout: Duration::ZERO,
         };
-        gateway.handle(Timestamp::from_micros(CONTROL_TICK), event, &mut Vec::new());
+        gateway.handle(FIRST_TICK, event, &mut Vec::new());
     }
     Ok(memory_figures(
         live_bytes().saturating_sub(before),
--- a/crates/fleet-lab/src/simulate/engine/attempts.rs
+++ b/crates/fleet-lab/src/simulate/engine/attempts.rs
@@ -2,37 +2,39 @@
 
 use super::queue::{AttemptKey, AttemptResult, SimulationEvent};
 use super::{Engine, OpenAttempt};
-use crate::whole_micros;
+use crate::time::draw_duration;
 use crate::world::final_answer::FinalAnswer;
 use crate::world::invariant::Invariant;
 use crate::world::invariant_checker::SentAttempt;
 use crate::world::servers::{Job, Server, ServerEvent};
 use crate::world::RequestNumber;
-use crate::Micros;
 use gateway_core::{
     AttemptNumber, AttemptOutcome, Endpoint, EndpointState, Event, GatewayId, RequestId, ServerId,
+    Timestamp,
 };
-use rand::Rng as _;
 use std::ops::Range;
+use std::time::Duration;
 
-/// Delay one way between a gateway and a server in the same zone, µs.
-const SAME_ZONE_DELAY: Range<Micros> = 200..500;
-/// Delay one way between a gateway and a server in another zone, µs.
-const CROSS_ZONE_DELAY: Range<Micros> = 1_400..2_600;
+/// Delay one way between a gateway and a server in the same zone.
+const SAME_ZONE_DELAY: Range<Duration> = Duration::from_micros(200)..Duration::from_micros(500);
+/// Delay one way between a gateway and a server in another zone.
+const CROSS_ZONE_DELAY: Range<Duration> =
+    Duration::from_micros(1_400)..Duration::from_micros(2_600);
 
 impl Engine<'_> {
     fn is_same_zone(&self, gateway: GatewayId, server: usize) -> bool {
         self.gateway(gateway).zone == self.servers[server].endpoint.zone
     }
 
-    /// Draws the delay one way between a gateway and a server, µs.
-    pub(super) fn draw_server_delay(&mut self, gateway: GatewayId, server: usize) -> Micros {
+    /// Draws the delay one way between a gateway and a server.
+    pub(super) fn draw_server_delay(&mut self, gateway: GatewayId, server: usize) -> Duration {
         let is_same_zone = self.is_same_zone(gateway, server);
-        self.rng.random_range(if is_same_zone {
+        let range = if is_same_zone {
             SAME_ZONE_DELAY
         } else {
             CROSS_ZONE_DELAY
-        })
+        };
+        draw_duration(&mut self.rng, &range)
     }
 
     fn is_partitioned(&self, gateway: GatewayId, server: usize) -> bool {
@@ -49,7 +51,7 @@
         gateway: GatewayId,
         id: &RequestId,
         to: ServerId,
-        timeout: Option<Micros>,
+        timeout: Option<Duration>,
     ) {
         let request = RequestNumber::parse(id).unwrap_or(RequestNumber::UNKNOWN);
         let Some(server) = self.listed_server(gateway, to) else {
@@ -69,7 +71,7 @@
         let expires_at = timeout.map_or(open.deadline, |timeout| {
             open.deadline.min(self.now + timeout)
         });
-        let work = self.rng.random_range(self.experiment.machine.work.clone());
+        let work = draw_duration(&mut self.rng, &self.experiment.machine.work);
         let start_known = self.discovery.knows_latest_start(gateway, to);
         let job = Job {
             request,
@@ -82,7 +84,7 @@
         let attempt = AttemptKey { request, number };
         self.schedule_result(expires_at, attempt, AttemptOutcome::TimedOut);
         if self.is_partitioned(gateway, server) {
-            let at = self.now + whole_micros(self.experiment.resolved.connect_timeout);
+            let at = self.now + self.experiment.resolved.connect_timeout;
             self.schedule_result(at, attempt, AttemptOutcome::Unreachable);
             return;
         }
@@ -130,7 +132,7 @@
         true
     }
 
-    fn schedule_result(&mut self, at: Micros, attempt: AttemptKey, outcome: AttemptOutcome) {
+    fn schedule_result(&mut self, at: Timestamp, attempt: AttemptKey, outcome: AttemptOutcome) {
         let result = AttemptResult::without_report(outcome);
         self.schedule(at, SimulationEvent::AttemptFinished { attempt, result });
     }
@@ -139,7 +141,7 @@
     pub(super) fn with_server(
         &mut self,
         server: usize,
-        call: impl FnOnce(&mut Server, Micros, &mut Vec<ServerEvent>),
+        call: impl FnOnce(&mut Server, Timestamp, &mut Vec<ServerEvent>),
     ) {
         let mut events = std::mem::take(&mut self.server_event_buffer);
         call(&mut self.servers[server], self.now, &mut events);
--- a/crates/fleet-lab/src/simulate/engine/faults.rs
+++ b/crates/fleet-lab/src/simulate/engine/faults.rs
@@ -2,15 +2,15 @@
 
 use super::Engine;
 use crate::simulate::faults::FaultAction;
+use crate::time::draw_duration;
 use crate::world::servers::Server;
 use crate::Failure;
-use crate::Micros;
 use gateway_core::{Endpoint, EndpointState, GatewayId, ServerId};
-use rand::Rng as _;
 use std::ops::Range;
+use std::time::Duration;
 
-/// Time for which requests still go to a gateway that is down, µs.
-const DOWN_UNNOTICED: Range<Micros> = 850_000..3_200_000;
+/// Time for which requests still go to a gateway that is down.
+const DOWN_UNNOTICED: Range<Duration> = Duration::from_millis(850)..Duration::from_millis(3_200);
 
 impl Engine<'_> {
     pub(super) fn inject(&mut self, action: FaultAction) -> Result<(), Failure> {
@@ -80,7 +80,7 @@
     }
 
     fn kill_gateway(&mut self, id: GatewayId) {
-        let down_noticed_at = self.now + self.rng.random_range(DOWN_UNNOTICED);
+        let down_noticed_at = self.now + draw_duration(&mut self.rng, &DOWN_UNNOTICED);
         let gateway = &mut self.gateways[id.0 as usize];
         gateway.module = None;
         gateway.down_noticed_at = down_noticed_at;
--- a/crates/fleet-lab/src/simulate/engine/gateways.rs
+++ b/crates/fleet-lab/src/simulate/engine/gateways.rs
@@ -2,13 +2,11 @@
 
 use super::queue::{AttemptKey, AttemptResult, GatewayRun, SimulationEvent};
 use super::Engine;
-use crate::whole_micros;
 use crate::world::clients::ClientError;
 use crate::world::discovery::{PollKind, PollResult};
 use crate::world::final_answer::FinalAnswer;
 use crate::world::{seconds_since_start, RequestNumber};
 use crate::Failure;
-use crate::Micros;
 use gateway_core::{
     Action, AttemptNumber, AttemptOutcome, Endpoint, Event, GatewayId, RequestId, Settings,
 };
@@ -16,10 +14,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time after which discovery answers a gateway's call, µs.
-const DISCOVERY_CALL_TIME: Micros = 5_000;
-/// Time after which a call to discovery fails during an outage, µs.
-const DISCOVERY_CALL_TIMEOUT: Micros = 250_000;
+/// Time after which discovery answers a gateway's call.
+const DISCOVERY_CALL_TIME: Duration = Duration::from_millis(5);
+/// Time after which a call to discovery fails during an outage.
+const DISCOVERY_CALL_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Engine<'_> {
     /// Starts a gateway with the list of servers that it last had.
@@ -63,7 +61,7 @@
                 id,
                 server,
                 timeout,
-            } => self.send_attempt(gateway, &id, server, timeout.map(whole_micros)),
+            } => self.send_attempt(gateway, &id, server, timeout),
             Action::Reject { id, retry_after } => self.reject(&id, retry_after),
             Action::Fail { id } => self.answer(&id, FinalAnswer::Failed, ClientError::Failed),
             Action::CancelAttempt { id, attempt } => self.cancel_attempt(gateway, &id, attempt),
@@ -71,10 +69,7 @@
             Action::SendToPeer { to, bytes } => self.send_message(gateway, to, bytes),
             Action::SetTimer { after, token } => {
                 let run = self.current_run(gateway);
-                self.schedule(
-                    now + whole_micros(after),
-                    SimulationEvent::TimerFired { run, token },
-                );
+                self.schedule(now + after, SimulationEvent::TimerFired { run, token });
             }
             Action::WatchEndpoints => {
                 let kind = PollKind::Requested;
@@ -99,7 +94,7 @@
             .max_retry_after;
         let retry_after = retry_after
             .zip(max_retry_after)
-            .map(|(advice, max)| whole_micros(advice.min(max)));
+            .map(|(advice, max)| advice.min(max));
         self.answer(
             id,
             FinalAnswer::Rejected,
--- a/crates/fleet-lab/src/simulate/engine/mod.rs
+++ b/crates/fleet-lab/src/simulate/engine/mod.rs
@@ -8,7 +8,6 @@
 
 use super::experiment::Experiment;
 use super::report::Report;
-use crate::whole_micros;
 use crate::world::clients::{ClientRequest, Clients, Demand};
 use crate::world::customer_account::CustomerPlan;
 use crate::world::datagrams::{Datagrams, NetworkConditions};
@@ -17,23 +16,22 @@
 use crate::world::servers::{Server, ServerEvent};
 use crate::world::{random_stream, RequestNumber, Rng, START};
 use crate::Failure;
-use crate::Micros;
-use gateway_core::Gateway;
-use gateway_core::Timestamp;
-use gateway_core::{Action, Event, GatewayId, ServerId, Settings, SettingsError, ZoneId};
+use gateway_core::{
+    Action, Event, Gateway, GatewayId, ServerId, Settings, SettingsError, Timestamp, ZoneId,
+};
 use queue::{AttemptKey, EventQueue, GatewayRun, SimulationEvent};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::time::Duration;
 
-/// Delay after which a gateway receives a change of the list, µs.
-const DISCOVERY_DELAY: Range<Micros> = 300_000..3_000_000;
-/// Delay of a message between gateways, µs.
-const MESSAGE_DELAY: Range<Micros> = 1_500..10_000;
+/// Delay after which a gateway receives a change of the list.
+const DISCOVERY_DELAY: Range<Duration> = Duration::from_millis(300)..Duration::from_secs(3);
+/// Delay of a message between gateways.
+const MESSAGE_DELAY: Range<Duration> = Duration::from_micros(1_500)..Duration::from_millis(10);
 /// Share of messages between gateways that is lost at any time.
 const MESSAGE_LOSS: f64 = 0.03;
-/// Simulated time between two calls that show the progress, µs.
-const PROGRESS_INTERVAL: Micros = 1_000_000;
+/// Simulated time between two calls that show the progress.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Numbers of the random streams of the parts.
 const ENGINE_STREAM: u64 = 0;
@@ -43,13 +41,13 @@
 
 /// What makes the decisions of one gateway: the decision module, or a wrapper that a test puts around it.
 pub trait DecisionModule {
-    /// Handles one event at a simulated time, µs, and adds the resulting actions.
-    fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>);
+    /// Handles one event at a simulated time, and adds the resulting actions.
+    fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>);
 }
 
 impl DecisionModule for Gateway {
-    fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        Gateway::handle(self, Timestamp::from_micros(now), event, actions);
+    fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
+        Gateway::handle(self, now, event, actions);
     }
 }
 
@@ -64,8 +62,8 @@
 /// A new decision module, or why its settings are invalid.
 pub type NewModule = Result<Box<dyn DecisionModule>, SettingsError>;
 
-/// Makes the decision module of a gateway from a seed, its settings and the time of its start, µs.
-type ModuleFactory<'a> = dyn FnMut(u64, Settings, Micros) -> NewModule + 'a;
+/// Makes the decision module of a gateway from a seed, its settings and the time of its start.
+type ModuleFactory<'a> = dyn FnMut(u64, Settings, Timestamp) -> NewModule + 'a;
 
 /// A gateway.
 struct SimulatedGateway {
@@ -74,8 +72,8 @@
     /// Counts its starts and kills.
     incarnation: u32,
     zone: ZoneId,
-    /// While it is down: from when on its clients are sent elsewhere, µs.
-    down_noticed_at: Micros,
+    /// While it is down: from when on its clients are sent elsewhere.
+    down_noticed_at: Timestamp,
 }
 
 impl SimulatedGateway {
@@ -95,7 +93,7 @@
 struct OpenRequest {
     run: GatewayRun,
     request: ClientRequest,
-    deadline: Micros,
+    deadline: Timestamp,
     is_answered: bool,
     /// By attempt number.
     attempts: Vec<OpenAttempt>,
@@ -110,7 +108,7 @@
 /// The state of a simulation.
 struct Engine<'a> {
     experiment: &'a Experiment,
-    now: Micros,
+    now: Timestamp,
     queue: EventQueue,
     /// By number.
     gateways: Vec<SimulatedGateway>,
@@ -138,8 +136,8 @@
 /// Settings that a gateway refuses.
 pub fn simulate(
     experiment: &Experiment,
-    mut new_module: impl FnMut(u64, Settings, Micros) -> NewModule,
-    progress: &mut dyn FnMut(Micros),
+    mut new_module: impl FnMut(u64, Settings, Timestamp) -> NewModule,
+    progress: &mut dyn FnMut(Timestamp),
     log: &mut dyn FnMut(&str),
 ) -> Result<SimulationResult, Failure> {
     let mut engine = Engine::new(experiment, &mut new_module, log)?;
@@ -186,7 +184,7 @@
             customer: customer.id,
             plan: customer.plan,
         });
-        let drain_grace = whole_micros(experiment.resolved.drain_grace);
+        let drain_grace = experiment.resolved.drain_grace;
         let checker = InvariantChecker::new(settings.clone(), drain_grace, plans)?;
         let mut rng = stream(ENGINE_STREAM);
         let servers = new_servers(experiment, &mut rng);
@@ -237,7 +235,7 @@
         }
     }
 
-    fn schedule(&mut self, at: Micros, event: SimulationEvent) {
+    fn schedule(&mut self, at: Timestamp, event: SimulationEvent) {
         self.queue.push(at, event);
     }
 
@@ -301,7 +299,7 @@
 fn demand(experiment: &Experiment) -> Demand {
     Demand {
         rate: experiment.rate,
-        max_deadline: whole_micros(experiment.resolved.longest_deadline),
+        max_deadline: experiment.resolved.longest_deadline,
         surges: experiment.faults.surges.clone(),
         flood: experiment.faults.flood,
     }
--- a/crates/fleet-lab/src/simulate/engine/queue.rs
+++ b/crates/fleet-lab/src/simulate/engine/queue.rs
@@ -5,8 +5,7 @@
 use crate::world::discovery::PollKind;
 use crate::world::servers::Job;
 use crate::world::RequestNumber;
-use crate::Micros;
-use gateway_core::{AttemptNumber, AttemptOutcome, GatewayId};
+use gateway_core::{AttemptNumber, AttemptOutcome, GatewayId, Timestamp};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
@@ -81,8 +80,8 @@
 
 /// An event and its time.
 pub(super) struct ScheduledEvent {
-    /// When, µs.
-    pub(super) at: Micros,
+    /// When.
+    pub(super) at: Timestamp,
     /// Events of the same time happen in the order in which they were scheduled.
     sequence: u64,
     pub(super) event: SimulationEvent,
@@ -116,8 +115,8 @@
 }
 
 impl EventQueue {
-    /// Schedules an event for a time, µs.
-    pub(super) fn push(&mut self, at: Micros, event: SimulationEvent) {
+    /// Schedules an event for a time.
+    pub(super) fn push(&mut self, at: Timestamp, event: SimulationEvent) {
         self.last_sequence += 1;
         self.heap.push(Reverse(ScheduledEvent {
             at,
--- a/crates/fleet-lab/src/simulate/engine/requests.rs
+++ b/crates/fleet-lab/src/simulate/engine/requests.rs
@@ -6,7 +6,6 @@
 use crate::world::final_answer::FinalAnswer;
 use crate::world::invariant_checker::ANSWER_GRACE;
 use crate::world::{RequestNumber, START};
-use crate::Micros;
 use gateway_core::{Event, GatewayId, GatewaySet, RequestId};
 use std::time::Duration;
 
@@ -73,7 +72,7 @@
         &self,
         number: RequestNumber,
         request: &ClientRequest,
-        client_timeout: Micros,
+        client_timeout: Duration,
     ) -> Event {
         let customer = &self.clients.customers[request.customer];
         Event::RequestReceived {
@@ -86,7 +85,7 @@
                 first: customer.first_gateway,
                 count: customer.gateway_count,
             },
-            client_timeout: Duration::from_micros(client_timeout),
+            client_timeout,
         }
     }
 
--- a/crates/fleet-lab/src/simulate/experiment.rs
+++ b/crates/fleet-lab/src/simulate/experiment.rs
@@ -1,16 +1,16 @@
 //! What is to be simulated, derived from the arguments.
 
 use super::faults::{Fault, FaultSchedule, FaultScheduler};
-use crate::whole_micros;
+use crate::time::DurationExt;
 use crate::world::servers::Machine;
-use crate::world::{micros, random_stream, Rng};
+use crate::world::{random_stream, Rng};
 use crate::Failure;
-use crate::Micros;
 use gateway_core::settings::{self, ResolvedSettings};
-use gateway_core::Timestamp;
-use gateway_core::{CellId, Endpoint, EndpointState, ServerId, Settings, ZoneId};
+use gateway_core::{CellId, Endpoint, EndpointState, ServerId, Settings, Timestamp, ZoneId};
 use rand::Rng as _;
 use std::collections::BTreeSet;
+use std::ops::Range;
+use std::time::Duration;
 
 /// Settings of an experiment that is given none: two classes, three plans of which one has a hard limit.
 const DEFAULT_SETTINGS: &str = include_str!("settings.json");
@@ -19,12 +19,17 @@
 const MAX_SERVERS: u32 = 100_000;
 const MAX_SECONDS: u32 = 3_600;
 const MAX_LOAD: f64 = 2.0;
-/// Shortest latency objective of a class, µs.
-const MIN_LATENCY_OBJECTIVE: Micros = 1_000;
+/// Shortest latency objective of a class.
+const MIN_LATENCY_OBJECTIVE: Duration = Duration::from_millis(1);
 /// Mean work of a request, as a share of the shortest latency objective.
-const MEAN_WORK: f64 = 0.119;
+const MEAN_WORK_RATIO: f64 = 0.119;
 /// How far the work of single requests lies from the mean, as a share of it.
-const WORK_DEVIATION: f64 = 0.26;
+const WORK_DEVIATION_RATIO: f64 = 0.26;
+/// Interval at which a server measures the load that it reports.
+const LOAD_REPORT_INTERVAL: Range<Duration> =
+    Duration::from_millis(110)..Duration::from_millis(540);
+/// The unit of all times.
+const MICROSECOND: Duration = Duration::from_micros(1);
 /// Number of the random stream that draws ids of servers.
 const ENDPOINT_STREAM: u64 = 16;
 /// Number of the random stream that draws the fault schedule.
@@ -54,8 +59,8 @@
 pub struct Experiment {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Time in which clients arrive, µs.
-    pub duration: Micros,
+    /// Time in which clients arrive.
+    pub duration: Duration,
     /// The settings of the first gateway.
     pub resolved: ResolvedSettings,
     /// Zones; one if the settings name none.
@@ -98,7 +103,7 @@
         let servers: Vec<Endpoint> = (0..server_count)
             .map(|number| endpoints.draw(number, None))
             .collect();
-        let duration = micros(f64::from(config.seconds));
+        let duration = Duration::from_secs(config.seconds.into());
         let mut rng = random_stream(config.seed, FAULT_STREAM);
         let mut new_endpoint = |zone, started_at| endpoints.draw(zone, started_at);
         let scheduler = FaultScheduler::new(
@@ -165,8 +170,7 @@
         return invalid(format!("settings: {error}"));
     }
     let mut classes = resolved.settings.classes.iter();
-    let is_too_short =
-        classes.any(|class| whole_micros(class.latency_objective) < MIN_LATENCY_OBJECTIVE);
+    let is_too_short = classes.any(|class| class.latency_objective < MIN_LATENCY_OBJECTIVE);
     if resolved.longest_deadline.is_zero() || is_too_short {
         return invalid(
             "settings: each class needs an aim of 1 ms or more, and one of them a deadline",
@@ -208,7 +212,7 @@
     }
 
     /// An entry with an id of its own, in a zone by number.
-    fn draw(&mut self, zone: u32, started_at: Option<Micros>) -> Endpoint {
+    fn draw(&mut self, zone: u32, started_at: Option<Timestamp>) -> Endpoint {
         let zone = zone % self.zones;
         let mut id = self.rng.random_range(1..1 << 32);
         while !self.used_ids.insert(id) {
@@ -220,7 +224,7 @@
             cell: CellId(u64::from(zone)),
             state: EndpointState::Ready,
             weight: 1.0,
-            started_at: started_at.map(Timestamp::from_micros),
+            started_at,
         }
     }
 }
@@ -228,13 +232,14 @@
 /// The kind of the servers, by the shortest latency objective.
 fn machine(settings: &Settings) -> Machine {
     let objectives = settings.classes.iter().map(|class| class.latency_objective);
-    let mean_work = objectives.min().map_or(1, whole_micros) as f64 * MEAN_WORK;
-    let least = (mean_work * (1.0 - WORK_DEVIATION)) as Micros;
-    let most = (mean_work * (1.0 + WORK_DEVIATION)) as Micros;
+    let shortest = objectives.min().unwrap_or(MICROSECOND);
+    let mean_work_us = shortest.as_micros_f64() * MEAN_WORK_RATIO;
+    let min_work = Duration::from_micros_f64(mean_work_us * (1.0 - WORK_DEVIATION_RATIO));
+    let max_work = Duration::from_micros_f64(mean_work_us * (1.0 + WORK_DEVIATION_RATIO));
     Machine {
         cores: 4,
         slots: 64,
-        work: least..most + 1,
-        report_interval: 110_000..540_000,
+        work: min_work..max_work + MICROSECOND,
+        report_interval: LOAD_REPORT_INTERVAL,
     }
 }
--- a/crates/fleet-lab/src/simulate/faults.rs
+++ b/crates/fleet-lab/src/simulate/faults.rs
@@ -1,17 +1,20 @@
 //! Fault injection: faults by name, and the schedule of what each one does. Spans are bounded by the duration of the
 //! simulation, so that a short one sees their end too.
 
+use crate::time::{draw_timestamp, DurationExt};
 use crate::world::datagrams::{Partition, Partitions, Temporary};
-use crate::world::{micros, Rng, TimeSpan, START};
+use crate::world::{Rng, TimeSpan, START};
 use crate::Failure;
-use crate::Micros;
-use gateway_core::{Endpoint, GatewayId, ServerId, ZoneId};
+use gateway_core::{Endpoint, GatewayId, ServerId, Timestamp, ZoneId};
 use rand::seq::SliceRandom;
 use rand::Rng as _;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
-/// Time from a server's drain to the end of its process, s: all lists have arrived long before.
-const DRAIN_TO_STOP: f64 = 8.0;
+/// Time from a server's drain to the end of its process: all lists have arrived long before.
+const DRAIN_TO_STOP: Duration = Duration::from_secs(8);
+/// Time from the start of an outage of discovery to the drains that no gateway knows of.
+const OUTAGE_TO_DRAIN: Duration = Duration::from_millis(100);
 /// No fault lasts longer than until this share of the simulation.
 const LATEST_END: f64 = 0.8;
 /// One of so many servers is affected by a fault of single servers.
@@ -85,8 +88,8 @@
     HangServer {
         /// The server.
         server: ServerId,
-        /// When it answers again, µs.
-        until: Micros,
+        /// When it answers again.
+        until: Timestamp,
     },
     /// A server takes longer for all work.
     SlowServer {
@@ -112,8 +115,8 @@
 /// A fault action and its time.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduledAction {
-    /// When, µs.
-    pub at: Micros,
+    /// When.
+    pub at: Timestamp,
     /// What is done.
     pub action: FaultAction,
 }
@@ -135,14 +138,14 @@
     pub message_loss: Option<Temporary>,
 }
 
-/// Draws the entry of a new server, in a zone by number and with its start time, µs.
-pub(super) type NewEndpoint<'a> = dyn FnMut(u32, Option<Micros>) -> Endpoint + 'a;
+/// Draws the entry of a new server, in a zone by number and with its start time.
+pub(super) type NewEndpoint<'a> = dyn FnMut(u32, Option<Timestamp>) -> Endpoint + 'a;
 
 /// Draws a schedule for a fleet.
 pub(super) struct FaultScheduler<'a> {
     rng: &'a mut Rng,
-    /// Time in which clients arrive, µs.
-    duration: Micros,
+    /// Time in which clients arrive.
+    duration: Duration,
     gateways: u32,
     zones: u32,
     new_endpoint: &'a mut NewEndpoint<'a>,
@@ -153,10 +156,10 @@
 }
 
 impl<'a> FaultScheduler<'a> {
-    /// A scheduler that has drawn no fault yet. `duration` is in µs.
+    /// A scheduler that has drawn no fault yet.
     pub(super) fn new(
         rng: &'a mut Rng,
-        duration: Micros,
+        duration: Duration,
         gateways: u32,
         zones: u32,
         servers: &[Endpoint],
@@ -240,7 +243,7 @@
 
     fn schedule_replacement(&mut self) {
         for endpoint in self.take_servers(REPLACED_ONE_OF) {
-            let at = self.rng.random_range(self.at(0.2)..self.at(0.6));
+            let at = draw_timestamp(self.rng, self.at(0.2)..self.at(0.6));
             let replacement = (self.new_endpoint)(endpoint.zone.0, Some(at));
             self.add(at, FaultAction::StartServer(replacement));
             self.add_drain(at, endpoint.server);
@@ -253,7 +256,7 @@
         gateways.truncate(self.gateways as usize * KILLED_OF_TEN / 10);
         let killed_at = self.at(0.3);
         for gateway in gateways.into_iter().map(GatewayId) {
-            let restarted_at = killed_at + micros(self.rng.random_range(1.7..7.5));
+            let restarted_at = killed_at + Duration::from_seconds(self.rng.random_range(1.7..7.5));
             self.add(killed_at, FaultAction::KillGateway(gateway));
             self.add(restarted_at, FaultAction::RestartGateway(gateway));
         }
@@ -269,7 +272,7 @@
     fn schedule_discovery_outage(&mut self) {
         let outage = self.span(0.25, 8.0);
         self.schedule.discovery_outages.push(outage);
-        let drained_at = outage.start + micros(0.1);
+        let drained_at = outage.start + OUTAGE_TO_DRAIN;
         for endpoint in self.take_servers(ONE_SERVER_OF) {
             self.add_drain(drained_at, endpoint.server);
         }
@@ -285,14 +288,14 @@
         let stopped_at = self.at(0.25);
         for endpoint in self.take_servers(ONE_SERVER_OF) {
             self.add(stopped_at, FaultAction::StopServer(endpoint.server));
-            let restarted_at = stopped_at + micros(self.rng.random_range(1.0..4.0));
+            let restarted_at = stopped_at + Duration::from_seconds(self.rng.random_range(1.0..4.0));
             self.add(restarted_at, FaultAction::RestartServer(endpoint.server));
         }
     }
 
-    /// The time at which this share of the simulation has passed, µs.
-    fn at(&self, share: f64) -> Micros {
-        START + (self.duration as f64 * share) as Micros
+    /// The time at which this share of the simulation has passed.
+    fn at(&self, share: f64) -> Timestamp {
+        START + Duration::from_micros_f64(self.duration.as_micros_f64() * share)
     }
 
     /// A span of so many seconds, or shorter if it would last too long.
@@ -300,7 +303,7 @@
         let start = self.at(from_share);
         TimeSpan {
             start,
-            end: (start + micros(seconds)).min(self.at(LATEST_END)),
+            end: (start + Duration::from_seconds(seconds)).min(self.at(LATEST_END)),
         }
     }
 
@@ -312,12 +315,12 @@
             .collect()
     }
 
-    fn add(&mut self, at: Micros, action: FaultAction) {
+    fn add(&mut self, at: Timestamp, action: FaultAction) {
         self.schedule.actions.push(ScheduledAction { at, action });
     }
 
-    fn add_drain(&mut self, at: Micros, server: ServerId) {
+    fn add_drain(&mut self, at: Timestamp, server: ServerId) {
         self.add(at, FaultAction::DrainServer(server));
-        self.add(at + micros(DRAIN_TO_STOP), FaultAction::StopServer(server));
+        self.add(at + DRAIN_TO_STOP, FaultAction::StopServer(server));
     }
 }
--- a/crates/fleet-lab/src/simulate/host.rs
+++ b/crates/fleet-lab/src/simulate/host.rs
@@ -1,8 +1,9 @@
 //! What a simulation uses of the machine that it runs on. None of this is compared between simulations.
 
 use super::report::Report;
+use crate::time::DurationExt;
 use crate::world::seconds_since_start;
-use crate::Micros;
+use gateway_core::Timestamp;
 use std::fs;
 use std::io::{stderr, IsTerminal, Write};
 use std::time::{Duration, Instant};
@@ -80,8 +81,8 @@
     }
 }
 
-/// Shows the simulated time on standard error if that is a terminal; `duration` is in µs.
-pub(super) fn progress(duration: Micros) -> impl FnMut(Micros) {
+/// Shows the simulated time on standard error if that is a terminal.
+pub(super) fn progress(duration: Duration) -> impl FnMut(Timestamp) {
     let is_terminal = stderr().is_terminal();
     move |now| {
         if is_terminal {
@@ -90,7 +91,7 @@
                 stderr(),
                 "\r{:.0} of {:.0} s ",
                 seconds_since_start(now),
-                duration as f64 / 1e6
+                duration.as_seconds()
             );
         }
     }
--- a/crates/fleet-lab/src/simulate/mod.rs
+++ b/crates/fleet-lab/src/simulate/mod.rs
@@ -17,7 +17,6 @@
 use crate::Failure;
 use anyhow::{anyhow, Context};
 use gateway_core::Gateway;
-use gateway_core::Timestamp;
 use std::fs::{self, File};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -112,13 +111,8 @@
 }
 
 fn run_experiment(experiment: &Experiment, show_logs: bool) -> Result<SimulationResult, Failure> {
-    let new_module = |seed, settings, now| -> NewModule {
-        Ok(Box::new(Gateway::new(
-            seed,
-            settings,
-            Timestamp::from_micros(now),
-        )?))
-    };
+    let new_module =
+        |seed, settings, now| -> NewModule { Ok(Box::new(Gateway::new(seed, settings, now)?)) };
     let mut progress = host::progress(experiment.duration);
     let mut log = |line: &str| {
         if show_logs {
--- a/crates/fleet-lab/src/simulate/report.rs
+++ b/crates/fleet-lab/src/simulate/report.rs
@@ -8,7 +8,7 @@
 use crate::world::request_counts::{RequestCounts, SecondCounts};
 use crate::world::seconds_since_start;
 use crate::world::servers::Server;
-use crate::Micros;
+use gateway_core::Timestamp;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -135,10 +135,10 @@
 }
 
 impl Report {
-    /// Collects the results of a simulation that ended at `now`, µs.
+    /// Collects the results of a simulation that ended at `now`.
     pub(super) fn new(
         experiment: &Experiment,
-        now: Micros,
+        now: Timestamp,
         servers: &[Server],
         traffic: &Traffic,
         checker: InvariantChecker,
--- a/crates/fleet-lab/src/simulate/table.rs
+++ b/crates/fleet-lab/src/simulate/table.rs
@@ -1,6 +1,7 @@
 //! A report as text.
 
 use super::report::{ColdServer, Report};
+use crate::time::DurationExt;
 use crate::world::request_counts::RequestCounts;
 use std::fmt::{Display, Formatter, Result};
 
@@ -118,7 +119,7 @@
                 "  server {server:<16} {:.1} calls of a budget of {:.1} at {:.2} s, {:.0}% told{}",
                 load.calls,
                 load.budget,
-                load.age as f64 / 1e6,
+                load.age.as_seconds(),
                 100.0 * load.start_known_share,
                 if *crashed { "; it fell" } else { "" }
             )?;
--- /dev/null
+++ b/crates/fleet-lab/src/time.rs
@@ -0,0 +1,79 @@
+//! Conversions of points in time and durations to the numbers that the lab calculates with, draws and reports.
+//!
+//! Instants are [`Timestamp`]s and durations are [`Duration`]s everywhere. All of them are whole microseconds, since
+//! those are what gateways calculate with.
+
+use gateway_core::Timestamp;
+use rand::Rng;
+use std::ops::Range;
+use std::time::Duration;
+
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// Durations as numbers.
+///
+/// Unlike [`Duration::as_secs_f64`], which adds two rounded parts, these round once.
+pub trait DurationExt {
+    /// Whole microseconds.
+    fn whole_micros(&self) -> u64;
+
+    /// Whole microseconds, to be calculated with.
+    fn as_micros_f64(&self) -> f64;
+
+    /// Seconds, from whole microseconds.
+    fn as_seconds(&self) -> f64;
+
+    /// A duration of so many microseconds, rounded down; negative numbers count as 0.
+    fn from_micros_f64(micros: f64) -> Self;
+
+    /// A duration of so many seconds, rounded to whole microseconds.
+    fn from_seconds(seconds: f64) -> Self;
+}
+
+impl DurationExt for Duration {
+    fn whole_micros(&self) -> u64 {
+        u64::try_from(self.as_micros()).unwrap_or(u64::MAX)
+    }
+
+    fn as_micros_f64(&self) -> f64 {
+        self.whole_micros() as f64
+    }
+
+    fn as_seconds(&self) -> f64 {
+        self.as_micros_f64() / MICROS_PER_SECOND
+    }
+
+    fn from_micros_f64(micros: f64) -> Duration {
+        Duration::from_micros(micros as u64)
+    }
+
+    fn from_seconds(seconds: f64) -> Duration {
+        Duration::from_micros((seconds * MICROS_PER_SECOND).round() as u64)
+    }
+}
+
+/// Seconds from one point in time to another; 0 if that is not later.
+pub(crate) fn seconds_between(since: Timestamp, now: Timestamp) -> f64 {
+    now.duration_since(since).as_seconds()
+}
+
+/// Draws a duration of whole microseconds, uniformly distributed.
+pub(crate) fn draw_duration(rng: &mut impl Rng, range: &Range<Duration>) -> Duration {
+    let micros = range.start.whole_micros()..range.end.whole_micros();
+    Duration::from_micros(rng.random_range(micros))
+}
+
+/// Draws a point in time, uniformly distributed.
+pub(crate) fn draw_timestamp(rng: &mut impl Rng, range: Range<Timestamp>) -> Timestamp {
+    let micros = range.start.as_micros()..range.end.as_micros();
+    Timestamp::from_micros(rng.random_range(micros))
+}
+
+/// Serializes a duration as its number of whole microseconds.
+pub(crate) fn serialize_whole_micros<S: serde::Serializer>(
+    duration: &Duration,
+    serializer: S,
+) -> Result<S::Ok, S::Error> {
+    serializer.serialize_u64(duration.whole_micros())
+}
--- a/crates/fleet-lab/src/world/clients.rs
+++ b/crates/fleet-lab/src/world/clients.rs
@@ -4,10 +4,12 @@
 use super::datagrams::Temporary;
 use super::demand_pattern::{DemandPattern, Phase};
 use super::request_size::{draw_units, mean_units};
-use super::{micros, time_to_next_event, Rng, TimeSpan};
-use crate::Micros;
-use gateway_core::{ClassId, CustomerId, GatewayId, Idempotency, PlanId, Settings};
+use super::{time_to_next_event, Rng, TimeSpan};
+use crate::time::{draw_duration, DurationExt};
+use gateway_core::{ClassId, CustomerId, GatewayId, Idempotency, PlanId, Settings, Timestamp};
 use rand::Rng as _;
+use std::ops::Range;
+use std::time::Duration;
 
 /// Share of the requests that are of the first class; the other classes have equal parts of the rest.
 const FIRST_CLASS_SHARE: f64 = 0.64;
@@ -17,6 +19,10 @@
 const MISESTIMATED_SHARE: f64 = 0.2;
 /// Requests a second of a customer whose plan has no quota.
 const UNLIMITED_RATE: f64 = 5.0;
+/// Pause of a client before its retry, if it was not advised another one.
+const RETRY_PAUSE: Range<Duration> = Duration::from_millis(10)..Duration::from_millis(200);
+/// The unit of all times.
+const MICROSECOND: Duration = Duration::from_micros(1);
 /// Customers that take part in a flood.
 const FLOODING_CUSTOMERS: usize = 2;
 
@@ -24,7 +30,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PreferredGateway {
     offset: u32,
-    until: Micros,
+    until: Timestamp,
 }
 
 /// A customer.
@@ -58,10 +64,10 @@
     pub estimated_units: f64,
     /// Its size as its answer tells it, in units.
     pub actual_units: f64,
-    /// When the client gives up, retries included, µs.
-    pub deadline: Micros,
-    /// When the client disconnects, if it does, µs.
-    pub disconnect_at: Option<Micros>,
+    /// When the client gives up, retries included.
+    pub deadline: Timestamp,
+    /// When the client disconnects, if it does.
+    pub disconnect_at: Option<Timestamp>,
     /// How many times the client has already tried.
     pub retries: u32,
 }
@@ -71,8 +77,8 @@
 pub enum ClientError {
     /// The request was rejected.
     Rejected {
-        /// After what time to try again, µs.
-        retry_after: Option<Micros>,
+        /// After what time to try again.
+        retry_after: Option<Duration>,
     },
     /// The request failed, or there was no answer.
     Failed,
@@ -83,8 +89,8 @@
 /// A client's retry.
 #[derive(Clone, Debug)]
 pub struct ClientRetry {
-    /// When, µs.
-    pub at: Micros,
+    /// When.
+    pub at: Timestamp,
     /// The request as it is sent then.
     pub request: ClientRequest,
 }
@@ -96,7 +102,7 @@
     /// By class: whether repeating a request is harmless.
     idempotent: Vec<bool>,
     max_request_units: f64,
-    max_deadline: Micros,
+    max_deadline: Duration,
     surges: Vec<Temporary>,
     flood: Option<TimeSpan>,
     rng: Rng,
@@ -107,8 +113,8 @@
 pub struct Demand {
     /// Requests a second within the quotas.
     pub rate: f64,
-    /// How long a client waits in all at most, µs.
-    pub max_deadline: Micros,
+    /// How long a client waits in all at most.
+    pub max_deadline: Duration,
     /// Spans in which all customers ask for a multiple.
     pub surges: Vec<Temporary>,
     /// A span in which two customers add a share to all traffic.
@@ -117,7 +123,7 @@
 
 impl Clients {
     /// Customers of each plan, as many as ask for an equal part of the demand within their quotas.
-    pub fn new(mut rng: Rng, now: Micros, settings: &Settings, demand: &Demand) -> Clients {
+    pub fn new(mut rng: Rng, now: Timestamp, settings: &Settings, demand: &Demand) -> Clients {
         let mut customers = Vec::new();
         for plan in 0..settings.plans.len() {
             customers.extend(draw_customers(
@@ -149,8 +155,8 @@
         }
     }
 
-    /// When a customer's next request arrives, µs, if one does.
-    pub fn next_arrival(&mut self, now: Micros, customer: usize) -> Option<Micros> {
+    /// When a customer's next request arrives, if one does.
+    pub fn next_arrival(&mut self, now: Timestamp, customer: usize) -> Option<Timestamp> {
         let active_surges = self.surges.iter().filter(|surge| surge.span.contains(now));
         let surge: f64 = active_surges.map(|surge| surge.value).product();
         let is_flooding = self.flood.is_some_and(|span| span.contains(now));
@@ -171,7 +177,7 @@
     }
 
     /// Draws a new request of a customer.
-    pub fn new_request(&mut self, now: Micros, customer: usize) -> ClientRequest {
+    pub fn new_request(&mut self, now: Timestamp, customer: usize) -> ClientRequest {
         let class = self.draw_class();
         let estimated_units = draw_units(&mut self.rng, self.max_request_units);
         let is_misestimated = self.rng.random::<f64>() < MISESTIMATED_SHARE;
@@ -180,9 +186,10 @@
         } else {
             estimated_units
         };
+        let disconnect_range = Duration::ZERO..self.max_deadline / 2 + MICROSECOND;
         let disconnects = self.rng.random::<f64>() < DISCONNECT_SHARE;
         let disconnect_at =
-            disconnects.then(|| now + self.rng.random_range(0..self.max_deadline / 2 + 1));
+            disconnects.then(|| now + draw_duration(&mut self.rng, &disconnect_range));
         let deadline = now + self.max_deadline;
         ClientRequest {
             customer,
@@ -206,23 +213,23 @@
         ClassId(class.min(last))
     }
 
-    /// Draws how long a client waits for one answer, µs.
-    pub fn draw_timeout(&mut self, now: Micros, request: &ClientRequest) -> Micros {
-        let remaining = request.deadline.saturating_sub(now);
-        (remaining as f64 * self.rng.random_range(0.5..1.0)) as Micros
+    /// Draws how long a client waits for one answer.
+    pub fn draw_timeout(&mut self, now: Timestamp, request: &ClientRequest) -> Duration {
+        let remaining = request.deadline.duration_since(now);
+        Duration::from_micros_f64(remaining.as_micros_f64() * self.rng.random_range(0.5..1.0))
     }
 
     /// Draws the gateway that a request goes to, among those of its customer that are not excluded.
     pub fn pick_gateway(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         request: &ClientRequest,
         gateways: u32,
         is_excluded: impl Fn(GatewayId) -> bool,
     ) -> Option<GatewayId> {
         let customer = &mut self.customers[request.customer];
         if now >= customer.preferred.until {
-            let until = now + micros(self.rng.random_range(7.8..22.0));
+            let until = now + Duration::from_seconds(self.rng.random_range(7.8..22.0));
             let offset = self.rng.random_range(0..customer.gateway_count);
             customer.preferred = PreferredGateway { offset, until };
         }
@@ -249,7 +256,7 @@
     /// not run twice is only sent again if it cannot have run.
     pub fn retry(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         request: &ClientRequest,
         error: ClientError,
     ) -> Option<ClientRetry> {
@@ -258,7 +265,7 @@
             ClientError::Rejected {
                 retry_after: Some(advice),
             } => advice,
-            _ => self.rng.random_range(10_000..200_000),
+            _ => draw_duration(&mut self.rng, &RETRY_PAUSE),
         };
         let at = now + pause;
         let is_connected = request
@@ -278,7 +285,7 @@
 /// Draws as many customers of one plan as ask for its equal part of `total_rate` requests a second.
 fn draw_customers(
     rng: &mut Rng,
-    now: Micros,
+    now: Timestamp,
     settings: &Settings,
     plan: PlanId,
     total_rate: f64,
@@ -298,7 +305,7 @@
     customers
 }
 
-fn draw_customer(rng: &mut Rng, now: Micros, settings: &Settings, plan: PlanId) -> Customer {
+fn draw_customer(rng: &mut Rng, now: Timestamp, settings: &Settings, plan: PlanId) -> Customer {
     let quota = settings.plans[plan.0].rate;
     let quota_rate = if quota > 0.0 {
         quota / mean_units(settings.max_request_units)
--- a/crates/fleet-lab/src/world/cold_start.rs
+++ b/crates/fleet-lab/src/world/cold_start.rs
@@ -1,9 +1,12 @@
 //! The warm-up of a server after its start, and the load that it bears meanwhile.
 
-use crate::whole_micros;
-use crate::Micros;
-use gateway_core::Rules;
+use crate::time::{serialize_whole_micros, DurationExt};
+use gateway_core::{Rules, Timestamp};
 use std::collections::VecDeque;
+use std::time::Duration;
+
+/// A warm-up of no time is over after this.
+const SHORTEST_WARM_UP: Duration = Duration::from_micros(1);
 
 /// The highest load of a cold server, compared with what it can bear.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
@@ -17,8 +20,9 @@
     /// Share of the calls that came from gateways which knew of the start.
     #[serde(rename = "told")]
     pub start_known_share: f64,
-    /// Time since the server's start, µs.
-    pub age: Micros,
+    /// Time since the server's start, in whole µs where it is reported.
+    #[serde(serialize_with = "serialize_whole_micros")]
+    pub age: Duration,
 }
 
 impl ColdStartLoad {
@@ -30,8 +34,8 @@
 
 /// A call to a server.
 pub(super) struct ColdCall {
-    /// When, µs.
-    pub(super) at: Micros,
+    /// When.
+    pub(super) at: Timestamp,
     /// Its work as a multiple of the mean.
     pub(super) work: f64,
     /// Whether its gateway knew of the server's latest start.
@@ -69,18 +73,22 @@
         self.highest_load
     }
 
-    /// Fraction of its capacity that a server has reached since its start, µs; all of it if that was long ago.
-    pub(super) fn warm_up_fraction(&self, now: Micros, started_at: Option<Micros>) -> f64 {
+    /// Fraction of its capacity that a server has reached since its start; all of it if that was long ago.
+    pub(super) fn warm_up_fraction(&self, now: Timestamp, started_at: Option<Timestamp>) -> f64 {
         let Some(started_at) = started_at else {
             return 1.0;
         };
-        let age = now.saturating_sub(started_at) as f64
-            / whole_micros(self.rules.warm_up_period).max(1) as f64;
+        let period = self.rules.warm_up_period.max(SHORTEST_WARM_UP);
+        let age = now.duration_since(started_at).as_micros_f64() / period.as_micros_f64();
         (self.rules.warm_up_from + (1.0 - self.rules.warm_up_from) * age).min(1.0)
     }
 
     /// Counts a call while the server is cold; returns whether it is overloaded by it.
-    pub(super) fn is_overloaded_by(&mut self, call: ColdCall, started_at: Option<Micros>) -> bool {
+    pub(super) fn is_overloaded_by(
+        &mut self,
+        call: ColdCall,
+        started_at: Option<Timestamp>,
+    ) -> bool {
         let now = call.at;
         let warm_up_fraction = self.warm_up_fraction(now, started_at);
         if warm_up_fraction >= 1.0 {
@@ -91,11 +99,11 @@
         while self
             .calls
             .front()
-            .is_some_and(|call| call.at + whole_micros(window) <= now)
+            .is_some_and(|call| call.at + window <= now)
         {
             self.calls.pop_front();
         }
-        let age = now.saturating_sub(started_at.unwrap_or(now));
+        let age = now.duration_since(started_at.unwrap_or(now));
         let load = self.load(warm_up_fraction, age);
         if load.fraction() > self.highest_load.fraction() {
             self.highest_load = load;
@@ -103,11 +111,11 @@
         load.calls > load.budget
     }
 
-    fn load(&self, warm_up_fraction: f64, age: Micros) -> ColdStartLoad {
+    fn load(&self, warm_up_fraction: f64, age: Duration) -> ColdStartLoad {
         let calls: f64 = self.calls.iter().map(|call| call.work).sum();
         let with_start_known = self.calls.iter().filter(|call| call.start_known);
         let start_known_calls: f64 = with_start_known.map(|call| call.work).sum();
-        let window = whole_micros(self.rules.overload_window) as f64 / 1e6;
+        let window = self.rules.overload_window.as_seconds();
         let allowed = self.rules.overload_multiple * self.warm_capacity * warm_up_fraction * window;
         ColdStartLoad {
             calls,
--- a/crates/fleet-lab/src/world/customer_account.rs
+++ b/crates/fleet-lab/src/world/customer_account.rs
@@ -3,8 +3,7 @@
 use super::token_bucket::TokenBucket;
 use super::usage_limit::{Excess, UsageLimit};
 use super::START;
-use crate::Micros;
-use gateway_core::{CustomerId, PlanId, Settings};
+use gateway_core::{CustomerId, PlanId, Settings, Timestamp};
 
 /// Tolerance of a hard limit, as a share of its capacity; the largest request if that is more.
 const HARD_LIMIT_TOLERANCE: f64 = 0.1;
@@ -63,7 +62,7 @@
     }
 
     /// A request's first attempt consumes its units.
-    pub(super) fn charge(&mut self, now: Micros, units: f64) -> Charge {
+    pub(super) fn charge(&mut self, now: Timestamp, units: f64) -> Charge {
         let has_permit = self
             .max_concurrent
             .is_none_or(|max| self.attempts_in_flight < max);
@@ -79,14 +78,14 @@
     }
 
     /// The actual size of a request has become known: `units` more than were charged, or less if negative.
-    pub(super) fn correct(&mut self, now: Micros, units: f64) {
+    pub(super) fn correct(&mut self, now: Timestamp, units: f64) {
         if let Some(quota) = &mut self.quota {
             quota.take(now, units);
         }
     }
 
     /// Whether at least half of the quota is unused, and as many units as a request has; not if there is no quota.
-    pub(super) fn is_half_unused(&mut self, now: Micros, units: f64) -> bool {
+    pub(super) fn is_half_unused(&mut self, now: Timestamp, units: f64) -> bool {
         let Some(quota) = &mut self.quota else {
             return false;
         };
--- a/crates/fleet-lab/src/world/datagrams.rs
+++ b/crates/fleet-lab/src/world/datagrams.rs
@@ -2,10 +2,11 @@
 
 use super::token_bucket::TokenBucket;
 use super::{Rng, TimeSpan};
-use crate::Micros;
-use gateway_core::{GatewayId, ZoneId};
+use crate::time::draw_duration;
+use gateway_core::{GatewayId, Timestamp, ZoneId};
 use rand::Rng as _;
 use std::ops::Range;
+use std::time::Duration;
 
 /// A zone that is separated from all others for a while.
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +23,7 @@
 
 impl Partitions {
     /// Whether no message passes between two zones.
-    pub fn separate(&self, now: Micros, one: ZoneId, other: ZoneId) -> bool {
+    pub fn separate(&self, now: Timestamp, one: ZoneId, other: ZoneId) -> bool {
         let separates = |partition: &Partition| {
             let is_between = (partition.zone == one) != (partition.zone == other);
             is_between && partition.span.contains(now)
@@ -30,8 +31,8 @@
         self.0.iter().any(separates)
     }
 
-    /// The end of the partition that separates a zone from all others now, µs.
-    pub fn isolated_until(&self, now: Micros, zone: ZoneId) -> Option<Micros> {
+    /// The end of the partition that separates a zone from all others now.
+    pub fn isolated_until(&self, now: Timestamp, zone: ZoneId) -> Option<Timestamp> {
         let isolates =
             |partition: &&Partition| partition.zone == zone && partition.span.contains(now);
         self.0
@@ -54,8 +55,8 @@
 /// What messages between gateways are subject to.
 #[derive(Clone, Debug)]
 pub struct NetworkConditions {
-    /// Delay one way, µs.
-    pub delay: Range<Micros>,
+    /// Delay one way.
+    pub delay: Range<Duration>,
     /// Share of messages lost at any time.
     pub loss: f64,
     /// Share of messages lost within some span, if that is more.
@@ -106,7 +107,12 @@
 
 impl Datagrams {
     /// A network of so many gateways.
-    pub fn new(rng: Rng, now: Micros, conditions: NetworkConditions, gateways: usize) -> Datagrams {
+    pub fn new(
+        rng: Rng,
+        now: Timestamp,
+        conditions: NetworkConditions,
+        gateways: usize,
+    ) -> Datagrams {
         // What arrives within one second is accepted if it is no more than the rate.
         let rate = conditions.accepted_per_second;
         let budget = TokenBucket::full(now, rate, rate.max(1.0));
@@ -122,8 +128,8 @@
         }
     }
 
-    /// Sends a message. Returns when it arrives, µs, or `None` if it is lost.
-    pub fn send(&mut self, now: Micros, is_partitioned: bool) -> Option<Micros> {
+    /// Sends a message. Returns when it arrives, or `None` if it is lost.
+    pub fn send(&mut self, now: Timestamp, is_partitioned: bool) -> Option<Timestamp> {
         self.traffic.sent += 1;
         let temporary = self
             .conditions
@@ -135,14 +141,14 @@
             .max(temporary.map_or(0.0, |loss| loss.value));
         // Both are drawn in any case, so that a loss does not alter what is drawn after it.
         let chance = self.rng.random::<f64>();
-        let delay = self.rng.random_range(self.conditions.delay.clone());
+        let delay = draw_duration(&mut self.rng, &self.conditions.delay);
         let is_lost = is_partitioned || chance < loss;
         self.traffic.lost += u64::from(is_lost);
         (!is_lost).then_some(now + delay)
     }
 
     /// A message arrives; returns whether its receiver accepts it.
-    pub fn accept(&mut self, now: Micros, to: GatewayId, bytes: usize) -> bool {
+    pub fn accept(&mut self, now: Timestamp, to: GatewayId, bytes: usize) -> bool {
         self.traffic.received[to.0 as usize].add(bytes);
         let accepted = self.accept_budgets[to.0 as usize].try_take(now, 1.0);
         self.traffic.dropped += u64::from(!accepted);
--- a/crates/fleet-lab/src/world/demand_pattern.rs
+++ b/crates/fleet-lab/src/world/demand_pattern.rs
@@ -1,8 +1,10 @@
 //! How customers use their quotas over time: steadily, in long phases beyond the quota, or in short bursts.
 
-use super::{micros, Rng, START};
-use crate::Micros;
+use super::{Rng, START};
+use crate::time::DurationExt;
+use gateway_core::Timestamp;
 use rand::Rng as _;
+use std::time::Duration;
 
 /// What a customer uses of its quota between two bursts.
 const BETWEEN_BURSTS_SHARE: f64 = 0.4;
@@ -33,8 +35,8 @@
 pub(super) struct Phase {
     /// Whether the customer is at the peak.
     pub(super) is_peak: bool,
-    /// End of the phase, µs.
-    pub(super) until: Micros,
+    /// End of the phase.
+    pub(super) until: Timestamp,
 }
 
 impl DemandPattern {
@@ -53,7 +55,7 @@
     }
 
     /// Draws the phase that follows the last one.
-    pub(super) fn next_phase(self, rng: &mut Rng, now: Micros, last: Phase) -> Phase {
+    pub(super) fn next_phase(self, rng: &mut Rng, now: Timestamp, last: Phase) -> Phase {
         // The first burst comes at any time, not in the first moment of the simulation.
         let is_started = last.until > START;
         let (is_peak, seconds) = match self {
@@ -64,7 +66,7 @@
         };
         Phase {
             is_peak,
-            until: now + micros(rng.random_range(seconds)),
+            until: now + Duration::from_seconds(rng.random_range(seconds)),
         }
     }
 
--- a/crates/fleet-lab/src/world/discovery.rs
+++ b/crates/fleet-lab/src/world/discovery.rs
@@ -4,11 +4,13 @@
 
 use super::draining::DrainingServers;
 use super::{Rng, TimeSpan};
-use crate::Micros;
-use gateway_core::{Endpoint, EndpointState, EndpointUpdate, Event, GatewayId, ServerId};
-use rand::Rng as _;
+use crate::time::draw_duration;
+use gateway_core::{
+    Endpoint, EndpointState, EndpointUpdate, Event, GatewayId, ServerId, Timestamp,
+};
 use std::collections::BTreeMap;
 use std::ops::Range;
+use std::time::Duration;
 
 /// Why a gateway's list is brought up to date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,8 +27,8 @@
     Update(Event),
     /// The gateway's call fails.
     CallFailed,
-    /// Nothing arrives now: poll again at this time, µs.
-    RetryAt(Micros),
+    /// Nothing arrives now: poll again at this time.
+    RetryAt(Timestamp),
     /// There is nothing new.
     NoChange,
 }
@@ -45,18 +47,18 @@
     received: Vec<usize>,
     /// By gateway: servers that it knows to be draining or gone.
     draining: Vec<DrainingServers>,
-    delay: Range<Micros>,
+    delay: Range<Duration>,
     outages: Vec<TimeSpan>,
     rng: Rng,
 }
 
 impl Discovery {
-    /// A discovery service whose first list all gateways have received. `delay` is in µs.
+    /// A discovery service whose first list all gateways have received.
     pub fn new(
         rng: Rng,
         first: Vec<Endpoint>,
         gateways: usize,
-        delay: Range<Micros>,
+        delay: Range<Duration>,
         outages: Vec<TimeSpan>,
     ) -> Discovery {
         let history = |(position, endpoint): (usize, &Endpoint)| {
@@ -93,9 +95,9 @@
         self.log.push(endpoint);
     }
 
-    /// Draws the delay after which one gateway receives a change, µs.
-    pub fn draw_delay(&mut self) -> Micros {
-        self.rng.random_range(self.delay.clone())
+    /// Draws the delay after which one gateway receives a change.
+    pub fn draw_delay(&mut self) -> Duration {
+        draw_duration(&mut self.rng, &self.delay)
     }
 
     /// Whether a gateway has received any entry of a server.
@@ -114,8 +116,8 @@
             .is_some_and(|history| history.last_ready < received)
     }
 
-    /// Since when a gateway has known that a server is draining or gone, µs.
-    pub fn draining_since(&self, gateway: GatewayId, server: ServerId) -> Option<Micros> {
+    /// Since when a gateway has known that a server is draining or gone.
+    pub fn draining_since(&self, gateway: GatewayId, server: ServerId) -> Option<Timestamp> {
         self.draining[gateway.0 as usize].since(server)
     }
 
@@ -132,13 +134,13 @@
         }
     }
 
-    /// Brings a gateway's list up to date; `isolated_until` is the end of a partition between it and discovery, µs.
+    /// Brings a gateway's list up to date; `isolated_until` is the end of a partition between it and discovery.
     /// A requested poll returns a result even if there is nothing new, or if the call fails.
     pub fn poll(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         gateway: GatewayId,
-        isolated_until: Option<Micros>,
+        isolated_until: Option<Timestamp>,
         kind: PollKind,
     ) -> PollResult {
         let outage = self
@@ -166,7 +168,7 @@
     }
 
     /// Takes what a gateway has not received yet, and notes which servers it now knows to be draining.
-    fn deliver(&mut self, now: Micros, gateway: GatewayId) -> Vec<Endpoint> {
+    fn deliver(&mut self, now: Timestamp, gateway: GatewayId) -> Vec<Endpoint> {
         let received = &mut self.received[gateway.0 as usize];
         let endpoints = self.log[*received..].to_vec();
         *received = self.log.len();
--- a/crates/fleet-lab/src/world/draining.rs
+++ b/crates/fleet-lab/src/world/draining.rs
@@ -1,20 +1,25 @@
 //! Which servers a gateway knows to be draining or gone, and how long it may go on sending to them.
 
-use crate::Micros;
-use gateway_core::{EndpointState, ServerId};
+use gateway_core::{EndpointState, ServerId, Timestamp};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// The servers that one gateway knows to be draining or gone.
 #[derive(Clone, Debug, Default)]
 pub struct DrainingServers {
-    /// Since when, µs.
-    since: BTreeMap<ServerId, Micros>,
+    /// Since when.
+    since: BTreeMap<ServerId, Timestamp>,
 }
 
 impl DrainingServers {
     /// The gateway has received a server's state from discovery. Returns whether it learns from this that the server
     /// is draining or gone.
-    pub fn state_received(&mut self, now: Micros, server: ServerId, state: EndpointState) -> bool {
+    pub fn state_received(
+        &mut self,
+        now: Timestamp,
+        server: ServerId,
+        state: EndpointState,
+    ) -> bool {
         if state == EndpointState::Ready {
             self.since.remove(&server);
             return false;
@@ -24,19 +29,19 @@
         is_new_drain
     }
 
-    /// Since when the gateway has known that a server is draining or gone, µs.
-    pub fn since(&self, server: ServerId) -> Option<Micros> {
+    /// Since when the gateway has known that a server is draining or gone.
+    pub fn since(&self, server: ServerId) -> Option<Timestamp> {
         self.since.get(&server).copied()
     }
 }
 
-/// How long a gateway may go on sending to a server once it knows that the server is draining or gone, µs.
+/// How long a gateway may go on sending to a server once it knows that the server is draining or gone.
 #[derive(Clone, Copy, Debug)]
-pub struct DrainGrace(pub Micros);
+pub struct DrainGrace(pub Duration);
 
 impl DrainGrace {
-    /// Whether the grace is over for a gateway that has known of the drain since then, µs.
-    pub fn is_over(self, now: Micros, draining_since: Micros) -> bool {
+    /// Whether the grace is over for a gateway that has known of the drain since then.
+    pub fn is_over(self, now: Timestamp, draining_since: Timestamp) -> bool {
         now > draining_since + self.0
     }
 }
--- a/crates/fleet-lab/src/world/invariant_checker.rs
+++ b/crates/fleet-lab/src/world/invariant_checker.rs
@@ -11,23 +11,23 @@
 use super::request_record::{AttemptRecord, RequestRecord, SimulatedRequestRecord};
 use super::usage_limit::Excess;
 use super::{seconds_since_start, RequestNumber, START};
-use crate::whole_micros;
-use crate::Micros;
+use crate::time::DurationExt;
 use gateway_core::{
-    AttemptNumber, AttemptOutcome, Endpoint, GatewayId, Idempotency, ServerId, Settings,
+    AttemptNumber, AttemptOutcome, Endpoint, GatewayId, Idempotency, ServerId, Settings, Timestamp,
 };
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
-/// Simulated time after a request's timeout in which its final answer is still in time, µs. On sockets it is longer, as
+/// Simulated time after a request's timeout in which its final answer is still in time. On sockets it is longer, as
 /// processes have to wait for the processor there.
-pub const ANSWER_GRACE: Micros = 8_000;
+pub const ANSWER_GRACE: Duration = Duration::from_millis(8);
 /// Above this share of calls from gateways that knew of the start, the crash of a cold server is their fault.
 const MAX_START_KNOWN_SHARE: f64 = 2.0 / 3.0;
 /// Violations of one invariant that are described.
 const MAX_EXAMPLES: usize = 3;
 /// Longest wait that the histogram holds, µs.
-const MAX_WAIT: Micros = 3_600_000_000;
+const MAX_WAIT_US: u64 = 3_600_000_000;
 
 /// An attempt that a gateway is about to send.
 #[derive(Clone, Copy, Debug)]
@@ -38,8 +38,8 @@
     pub request: RequestNumber,
     /// The server.
     pub server: Endpoint,
-    /// Since when the gateway has known that the server is draining or gone, µs.
-    pub draining_since: Option<Micros>,
+    /// Since when the gateway has known that the server is draining or gone.
+    pub draining_since: Option<Timestamp>,
 }
 
 /// The invariant checker.
@@ -63,13 +63,13 @@
 }
 
 impl InvariantChecker {
-    /// A checker without records; requests name customers by their index here. `drain_grace` is in µs.
+    /// A checker without records; requests name customers by their index here.
     ///
     /// # Errors
     /// If the histogram of waits cannot be made.
     pub fn new(
         settings: Settings,
-        drain_grace: Micros,
+        drain_grace: Duration,
         customers: impl IntoIterator<Item = CustomerPlan>,
     ) -> anyhow::Result<InvariantChecker> {
         let accounts = customers
@@ -88,12 +88,12 @@
             seconds: Vec::new(),
             attempts: 0,
             cross_zone_attempts: 0,
-            waits: Histogram::new_with_bounds(1, MAX_WAIT, 3)?,
+            waits: Histogram::new_with_bounds(1, MAX_WAIT_US, 3)?,
         })
     }
 
     /// Records a violation.
-    pub fn record_violation(&mut self, now: Micros, invariant: Invariant, description: String) {
+    pub fn record_violation(&mut self, now: Timestamp, invariant: Invariant, description: String) {
         let violations = self.violations.entry(invariant).or_default();
         violations.count += 1;
         if violations.examples.len() < MAX_EXAMPLES {
@@ -103,34 +103,39 @@
         }
     }
 
-    fn second(&mut self, now: Micros) -> &mut SecondCounts {
-        let index = (now.saturating_sub(START) / 1_000_000) as usize;
+    fn second(&mut self, now: Timestamp) -> &mut SecondCounts {
+        let index = now.duration_since(START).as_secs() as usize;
         if self.seconds.len() <= index {
             self.seconds.resize(index + 1, SecondCounts::default());
         }
         &mut self.seconds[index]
     }
 
-    fn count(&mut self, now: Micros, request: &ClientRequest, count: impl Fn(&mut RequestCounts)) {
+    fn count(
+        &mut self,
+        now: Timestamp,
+        request: &ClientRequest,
+        count: impl Fn(&mut RequestCounts),
+    ) {
         let plan = self.accounts[request.customer].plan;
         count(&mut self.counts[request.class.0][plan.0]);
         count(&mut self.second(now).requests);
     }
 
     /// No gateway accepted a request.
-    pub fn gateway_unreachable(&mut self, now: Micros, request: &ClientRequest) {
+    pub fn gateway_unreachable(&mut self, now: Timestamp, request: &ClientRequest) {
         self.count(now, request, |counts| counts.unreachable += 1);
     }
 
     /// A request arrived at a gateway.
-    pub fn request_arrived(&mut self, now: Micros, request: ClientRequest) -> RequestNumber {
+    pub fn request_arrived(&mut self, now: Timestamp, request: ClientRequest) -> RequestNumber {
         self.count(now, &request, |counts| counts.arrived += 1);
         self.requests.push(RequestRecord::new(now, request));
         RequestNumber(self.requests.len() as u64 - 1)
     }
 
     /// A gateway sends an attempt. Returns whether the request is open, so that the attempt may be carried out.
-    pub fn attempt_sent(&mut self, now: Micros, sent: SentAttempt) -> bool {
+    pub fn attempt_sent(&mut self, now: Timestamp, sent: SentAttempt) -> bool {
         if !self.check_request_is_open(now, &sent) {
             return false;
         }
@@ -138,7 +143,7 @@
         self.check_drain(now, &sent);
         let record = &mut self.requests[sent.request.0 as usize];
         let request = record.request.clone();
-        let wait = now - record.arrived_at;
+        let wait = now.duration_since(record.arrived_at);
         let (server, sent_at) = (sent.server, now);
         let attempt = AttemptRecord {
             server,
@@ -150,7 +155,7 @@
         self.attempts += 1;
         if is_first {
             // Waits are bounded by the deadlines, far below the histogram's limit.
-            self.waits.saturating_record(wait.max(1));
+            self.waits.saturating_record(wait.whole_micros().max(1));
             self.charge(now, &request);
         }
         self.accounts[request.customer].attempt_sent();
@@ -161,7 +166,7 @@
         self.settings.classes[request.class.0].idempotency
     }
 
-    fn check_request_is_open(&mut self, now: Micros, sent: &SentAttempt) -> bool {
+    fn check_request_is_open(&mut self, now: Timestamp, sent: &SentAttempt) -> bool {
         let (gateway, number) = (sent.gateway.0, sent.request.0);
         let problem = match self.requests.get(number as usize) {
             None => format!("gateway {gateway} sent what no client asked"),
@@ -179,7 +184,7 @@
         false
     }
 
-    fn check_idempotency(&mut self, now: Micros, sent: &SentAttempt) {
+    fn check_idempotency(&mut self, now: Timestamp, sent: &SentAttempt) {
         let record = &self.requests[sent.request.0 as usize];
         if !record.may_be_sent(now, &sent.server, self.idempotency(&record.request)) {
             let (gateway, number) = (sent.gateway.0, sent.request.0);
@@ -189,13 +194,13 @@
         }
     }
 
-    fn check_drain(&mut self, now: Micros, sent: &SentAttempt) {
+    fn check_drain(&mut self, now: Timestamp, sent: &SentAttempt) {
         let Some(draining_since) = sent.draining_since else {
             return;
         };
         if self.drain_grace.is_over(now, draining_since) {
             let (gateway, server) = (sent.gateway.0, sent.server.server.0);
-            let late = (now - draining_since) / 1000;
+            let late = now.duration_since(draining_since).as_millis();
             let problem =
                 format!("gateway {gateway} sent to server {server} {late} ms after it left");
             self.record_violation(now, Invariant::Drain, problem);
@@ -203,7 +208,7 @@
     }
 
     /// A request's first attempt consumes its customer's quota and hard limit.
-    fn charge(&mut self, now: Micros, request: &ClientRequest) {
+    fn charge(&mut self, now: Timestamp, request: &ClientRequest) {
         let units = request.estimated_units;
         let account = &mut self.accounts[request.customer];
         let customer = account.id.0;
@@ -226,7 +231,7 @@
     }
 
     /// An attempt begins to run at a server.
-    pub fn execution_started(&mut self, now: Micros, number: RequestNumber) {
+    pub fn execution_started(&mut self, now: Timestamp, number: RequestNumber) {
         let record = &mut self.requests[number.0 as usize];
         record.execution_started();
         let record = &self.requests[number.0 as usize];
@@ -261,7 +266,7 @@
     }
 
     /// A gateway gave a final answer; returns whether it was the request's first.
-    pub fn answered(&mut self, now: Micros, number: RequestNumber, answer: FinalAnswer) -> bool {
+    pub fn answered(&mut self, now: Timestamp, number: RequestNumber, answer: FinalAnswer) -> bool {
         let Some(record) = self.requests.get_mut(number.0 as usize) else {
             let problem = "an answer to what no client asked".to_owned();
             self.record_violation(now, Invariant::AnsweredTwice, problem);
@@ -279,7 +284,7 @@
 
     fn count_answer(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         number: RequestNumber,
         request: &ClientRequest,
         answer: FinalAnswer,
@@ -291,19 +296,19 @@
         }
     }
 
-    fn count_served(&mut self, now: Micros, number: RequestNumber, request: &ClientRequest) {
+    fn count_served(&mut self, now: Timestamp, number: RequestNumber, request: &ClientRequest) {
         // The actual size becomes known with the answer.
         let correction = request.actual_units - request.estimated_units;
         self.accounts[request.customer].correct(now, correction);
         let latency_objective = self.settings.classes[request.class.0].latency_objective;
-        if now <= self.requests[number.0 as usize].arrived_at + whole_micros(latency_objective) {
+        if now <= self.requests[number.0 as usize].arrived_at + latency_objective {
             self.count(now, request, |counts| counts.served += 1);
         } else {
             self.count(now, request, |counts| counts.late += 1);
         }
     }
 
-    fn count_rejected(&mut self, now: Micros, number: RequestNumber, request: &ClientRequest) {
+    fn count_rejected(&mut self, now: Timestamp, number: RequestNumber, request: &ClientRequest) {
         let record = &self.requests[number.0 as usize];
         let was_sent = !record.attempts.is_empty();
         let is_harmless = record.may_be_rejected(self.idempotency(request));
@@ -320,7 +325,7 @@
     }
 
     /// The client disconnected; returns whether the request was still open.
-    pub fn client_disconnected(&mut self, now: Micros, number: RequestNumber) -> bool {
+    pub fn client_disconnected(&mut self, now: Timestamp, number: RequestNumber) -> bool {
         let Some(request) = self.close(number) else {
             return false;
         };
@@ -329,14 +334,14 @@
     }
 
     /// The gateway that held the request was killed.
-    pub fn gateway_killed(&mut self, now: Micros, number: RequestNumber) {
+    pub fn gateway_killed(&mut self, now: Timestamp, number: RequestNumber) {
         if let Some(request) = self.close(number) {
             self.count(now, &request, |counts| counts.gateway_killed += 1);
         }
     }
 
     /// The time for a final answer is over; returns whether there was none.
-    pub fn answer_overdue(&mut self, now: Micros, number: RequestNumber) -> bool {
+    pub fn answer_overdue(&mut self, now: Timestamp, number: RequestNumber) -> bool {
         let Some(request) = self.close(number) else {
             return false;
         };
@@ -353,10 +358,10 @@
     }
 
     /// A cold server was overloaded until it crashed.
-    pub fn server_crashed(&mut self, now: Micros, server: ServerId, load: ColdStartLoad) {
+    pub fn server_crashed(&mut self, now: Timestamp, server: ServerId, load: ColdStartLoad) {
         if load.start_known_share > MAX_START_KNOWN_SHARE {
             let ColdStartLoad { calls, budget, .. } = load;
-            let age = load.age as f64 / 1e6;
+            let age = load.age.as_seconds();
             let problem = format!(
                 "server {} got {calls:.1} calls of {budget:.1} at {age:.2} s",
                 server.0
--- a/crates/fleet-lab/src/world/mod.rs
+++ b/crates/fleet-lab/src/world/mod.rs
@@ -21,17 +21,21 @@
 pub mod token_bucket;
 pub mod usage_limit;
 
-use crate::Micros;
-use gateway_core::RequestId;
+use crate::time::{seconds_between, DurationExt};
+use gateway_core::{RequestId, Timestamp};
 use rand::Rng as _;
 use rand::SeedableRng;
+use std::time::Duration;
+
+/// Events of a Poisson process do not coincide.
+const MIN_TIME_TO_NEXT_EVENT: Duration = Duration::from_micros(1);
 
 /// The random source of all parts of a simulation.
 pub type Rng = rand_chacha::ChaCha8Rng;
 
-/// Simulated time at which a simulation starts, µs. It is far from 0, since a start time near 0 in a list of servers
+/// Simulated time at which a simulation starts. It is far from 0, since a start time near 0 in a list of servers
 /// would make a server that has just started look like one that started long ago.
-pub const START: Micros = 1_000_000_000;
+pub const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
 /// A random source of its own for one part, so that a change in one part does not alter what another one draws.
 pub fn random_stream(seed: u64, part: u64) -> Rng {
@@ -40,21 +44,11 @@
     rng
 }
 
-/// Converts seconds to µs.
-pub fn micros(seconds: f64) -> Micros {
-    (seconds * 1e6).round() as Micros
-}
-
 /// Seconds since [`START`].
-pub fn seconds_since_start(now: Micros) -> f64 {
+pub fn seconds_since_start(now: Timestamp) -> f64 {
     seconds_between(START, now)
 }
 
-/// Seconds from one time to another; 0 if that is not later.
-pub fn seconds_between(since: Micros, now: Micros) -> f64 {
-    now.saturating_sub(since) as f64 / 1e6
-}
-
 /// Number of a client's request, from 0; a client's retry is a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestNumber(pub u64);
@@ -77,22 +71,24 @@
 /// A half-open span of simulated time.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeSpan {
-    /// First moment, µs.
-    pub start: Micros,
-    /// First moment after the span, µs.
-    pub end: Micros,
+    /// First moment.
+    pub start: Timestamp,
+    /// First moment after the span.
+    pub end: Timestamp,
 }
 
 impl TimeSpan {
     /// Whether a time lies within the span.
-    pub fn contains(&self, now: Micros) -> bool {
+    pub fn contains(&self, now: Timestamp) -> bool {
         (self.start..self.end).contains(&now)
     }
 }
 
-/// Time to the next event of a Poisson process, µs, at `rate` events a second; `None` at rate 0.
-pub fn time_to_next_event(rng: &mut Rng, rate: f64) -> Option<Micros> {
-    (rate > 0.0).then(|| micros(seconds_to_next_event(rng, rate)).max(1))
+/// Time to the next event of a Poisson process at `rate` events a second; `None` at rate 0.
+pub fn time_to_next_event(rng: &mut Rng, rate: f64) -> Option<Duration> {
+    (rate > 0.0).then(|| {
+        Duration::from_seconds(seconds_to_next_event(rng, rate)).max(MIN_TIME_TO_NEXT_EVENT)
+    })
 }
 
 /// Time to the next event of a Poisson process, s, at `rate` events a second, which is above 0.
--- a/crates/fleet-lab/src/world/request_record.rs
+++ b/crates/fleet-lab/src/world/request_record.rs
@@ -2,17 +2,15 @@
 //! permits after its attempts.
 
 use super::clients::ClientRequest;
-use crate::whole_micros;
-use crate::Micros;
-use gateway_core::{DeduplicationScope, Endpoint, Idempotency};
+use gateway_core::{DeduplicationScope, Endpoint, Idempotency, Timestamp};
 
 /// The record of one request. What is known of a request and of an attempt depends on who observes them.
 #[derive(Clone, Debug)]
 pub struct RequestRecord<Request, Attempt> {
     /// The request.
     pub request: Request,
-    /// When the client sent it, µs.
-    pub arrived_at: Micros,
+    /// When the client sent it.
+    pub arrived_at: Timestamp,
     /// Its attempts, in their order.
     pub attempts: Vec<Attempt>,
     is_open: bool,
@@ -22,7 +20,7 @@
 
 impl<Request, Attempt> RequestRecord<Request, Attempt> {
     /// The record of a request that a client has just sent.
-    pub fn new(now: Micros, request: Request) -> RequestRecord<Request, Attempt> {
+    pub fn new(now: Timestamp, request: Request) -> RequestRecord<Request, Attempt> {
         RequestRecord {
             request,
             arrived_at: now,
@@ -81,7 +79,7 @@
 /// The record of a simulated attempt.
 pub(super) struct AttemptRecord {
     pub(super) server: Endpoint,
-    pub(super) sent_at: Micros,
+    pub(super) sent_at: Timestamp,
     pub(super) is_in_flight: bool,
     /// It certainly never ran.
     pub(super) is_proved_unexecuted: bool,
@@ -100,7 +98,12 @@
     }
 
     /// Whether the request may be sent to a server after its earlier attempts.
-    pub(super) fn may_be_sent(&self, now: Micros, to: &Endpoint, idempotency: Idempotency) -> bool {
+    pub(super) fn may_be_sent(
+        &self,
+        now: Timestamp,
+        to: &Endpoint,
+        idempotency: Idempotency,
+    ) -> bool {
         let Some(executed) = self.possibly_executed() else {
             return true;
         };
@@ -113,7 +116,7 @@
                     DeduplicationScope::Zone => to.zone == executed.server.zone,
                     DeduplicationScope::Cell => to.cell == executed.server.cell,
                 };
-                is_in_scope && now <= executed.sent_at + whole_micros(window)
+                is_in_scope && now <= executed.sent_at + window
             }
         }
     }
--- a/crates/fleet-lab/src/world/servers.rs
+++ b/crates/fleet-lab/src/world/servers.rs
@@ -2,12 +2,14 @@
 
 use super::cold_start::{ColdCall, ColdStart, ColdStartLoad};
 use super::{RequestNumber, Rng, TimeSpan};
-use crate::Micros;
-use gateway_core::Timestamp;
-use gateway_core::{AttemptNumber, AttemptOutcome, Endpoint, GatewayId, Rules};
-use rand::Rng as _;
+use crate::time::{draw_duration, DurationExt};
+use gateway_core::{AttemptNumber, AttemptOutcome, Endpoint, GatewayId, Rules, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
+use std::time::Duration;
+
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// What kind of machine the servers are.
 #[derive(Clone, Debug)]
@@ -16,21 +18,21 @@
     pub cores: u32,
     /// Requests that it holds at most, running or queued; further ones are rejected without running.
     pub slots: usize,
-    /// Work of a request on a warm core, µs, uniformly distributed.
-    pub work: Range<Micros>,
-    /// Interval at which a server measures the load that it reports, µs; each server draws its own.
-    pub report_interval: Range<Micros>,
+    /// Work of a request on a warm core, uniformly distributed.
+    pub work: Range<Duration>,
+    /// Interval at which a server measures the load that it reports; each server draws its own.
+    pub report_interval: Range<Duration>,
 }
 
 impl Machine {
     /// Mean work of a request, µs.
-    pub fn mean_work(&self) -> f64 {
-        (self.work.start + self.work.end) as f64 / 2.0
+    pub fn mean_work_us(&self) -> f64 {
+        (self.work.start + self.work.end).as_micros_f64() / 2.0
     }
 
     /// Requests of mean work that a warm server completes in a second.
     pub fn capacity(&self) -> f64 {
-        f64::from(self.cores) * 1e6 / self.mean_work()
+        f64::from(self.cores) * MICROS_PER_SECOND / self.mean_work_us()
     }
 }
 
@@ -43,10 +45,10 @@
     pub attempt: AttemptNumber,
     /// The gateway that waits for the answer.
     pub gateway: GatewayId,
-    /// When it is dropped if it is still queued, µs.
-    pub expires_at: Micros,
-    /// Its work on a warm core, µs.
-    pub work: Micros,
+    /// When it is dropped if it is still queued.
+    pub expires_at: Timestamp,
+    /// Its work on a warm core.
+    pub work: Duration,
     /// Whether its gateway knew of the server's latest start.
     pub start_known: bool,
 }
@@ -58,8 +60,8 @@
     Started {
         /// For [`Server::complete`].
         run: u64,
-        /// When it is done, unless the server hangs meanwhile, µs.
-        done_at: Micros,
+        /// When it is done, unless the server hangs meanwhile.
+        done_at: Timestamp,
         /// The attempt.
         job: Job,
     },
@@ -67,8 +69,8 @@
     Delayed {
         /// For [`Server::complete`].
         run: u64,
-        /// When it is done, µs.
-        done_at: Micros,
+        /// When it is done.
+        done_at: Timestamp,
     },
     /// An attempt ends; its gateway gets the outcome unless a partition separates them.
     Finished {
@@ -94,7 +96,7 @@
 /// The load that a server reports until the next measurement.
 #[derive(Default)]
 struct LoadReport {
-    expires_at: Micros,
+    expires_at: Timestamp,
     load: f64,
 }
 
@@ -112,14 +114,14 @@
     /// Factor by which all work takes longer.
     slowdown: f64,
     report: LoadReport,
-    report_interval: Micros,
+    report_interval: Duration,
     cold_start: ColdStart,
 }
 
 impl Server {
     /// An idle server.
     pub fn new(rng: &mut Rng, endpoint: Endpoint, machine: Machine, rules: Rules) -> Server {
-        let report_interval = rng.random_range(machine.report_interval.clone());
+        let report_interval = draw_duration(rng, &machine.report_interval);
         Server {
             endpoint,
             cold_start: ColdStart::new(rules, machine.capacity()),
@@ -158,7 +160,7 @@
     }
 
     /// It accepts requests and answers none until then.
-    pub fn hang(&mut self, now: Micros, until: Micros) {
+    pub fn hang(&mut self, now: Timestamp, until: Timestamp) {
         self.hang = Some(TimeSpan {
             start: now,
             end: until,
@@ -166,9 +168,9 @@
     }
 
     /// Its process starts again, cold.
-    pub fn restart(&mut self, now: Micros) {
+    pub fn restart(&mut self, now: Timestamp) {
         self.process = ProcessState::Up;
-        self.endpoint.started_at = Some(Timestamp::from_micros(now));
+        self.endpoint.started_at = Some(now);
         self.hang = None;
         self.slowdown = 1.0;
         self.report = LoadReport {
@@ -202,7 +204,7 @@
     }
 
     /// The load that an answer reports, measured anew when the last report has expired.
-    fn reported_load(&mut self, now: Micros) -> Option<f64> {
+    fn reported_load(&mut self, now: Timestamp) -> Option<f64> {
         if now >= self.report.expires_at {
             self.report = LoadReport {
                 expires_at: now + self.report_interval,
@@ -213,7 +215,7 @@
     }
 
     /// An attempt arrives.
-    pub fn arrive(&mut self, now: Micros, job: Job, events: &mut Vec<ServerEvent>) {
+    pub fn arrive(&mut self, now: Timestamp, job: Job, events: &mut Vec<ServerEvent>) {
         if !self.is_up() {
             let outcome = AttemptOutcome::Unreachable;
             events.push(ServerEvent::Finished {
@@ -223,7 +225,7 @@
             });
             return;
         }
-        let work = job.work as f64 / self.machine.mean_work();
+        let work = job.work.as_micros_f64() / self.machine.mean_work_us();
         let call = ColdCall {
             at: now,
             work,
@@ -231,7 +233,7 @@
         };
         if self
             .cold_start
-            .is_overloaded_by(call, self.endpoint.started_at.map(Timestamp::as_micros))
+            .is_overloaded_by(call, self.endpoint.started_at)
         {
             self.queue.push_back(job);
             self.end_process(ProcessState::Crashed, events);
@@ -252,7 +254,7 @@
     }
 
     /// Starts queued requests while there are idle cores.
-    fn start_queued(&mut self, now: Micros, events: &mut Vec<ServerEvent>) {
+    fn start_queued(&mut self, now: Timestamp, events: &mut Vec<ServerEvent>) {
         while self.running.len() < self.machine.cores as usize {
             let Some(job) = self.queue.pop_front() else {
                 return;
@@ -262,8 +264,10 @@
             }
             let warm_up_fraction = self
                 .cold_start
-                .warm_up_fraction(now, self.endpoint.started_at.map(Timestamp::as_micros));
-            let duration = (job.work as f64 * self.slowdown / warm_up_fraction) as Micros;
+                .warm_up_fraction(now, self.endpoint.started_at);
+            let duration = Duration::from_micros_f64(
+                job.work.as_micros_f64() * self.slowdown / warm_up_fraction,
+            );
             let starts_at = self.hang.map_or(now, |hang| hang.end.max(now));
             self.last_run += 1;
             self.running.insert(self.last_run, job);
@@ -276,12 +280,12 @@
     }
 
     /// A running request is due: it is done now, or later if the server hangs.
-    pub fn complete(&mut self, now: Micros, run: u64, events: &mut Vec<ServerEvent>) {
+    pub fn complete(&mut self, now: Timestamp, run: u64, events: &mut Vec<ServerEvent>) {
         if let Some(hang) = self.hang.filter(|hang| hang.contains(now)) {
             if self.running.contains_key(&run) {
                 events.push(ServerEvent::Delayed {
                     run,
-                    done_at: hang.end + (now - hang.start),
+                    done_at: hang.end + now.duration_since(hang.start),
                 });
             }
             return;
--- a/crates/fleet-lab/src/world/token_bucket.rs
+++ b/crates/fleet-lab/src/world/token_bucket.rs
@@ -1,7 +1,7 @@
 //! A token bucket on simulated time.
 
-use super::seconds_between;
-use crate::Micros;
+use crate::time::seconds_between;
+use gateway_core::Timestamp;
 
 /// Tokens that are added at a steady rate up to a capacity, and removed by use.
 #[derive(Clone, Copy, Debug)]
@@ -10,12 +10,12 @@
     capacity: f64,
     /// Tokens a second.
     rate: f64,
-    updated_at: Micros,
+    updated_at: Timestamp,
 }
 
 impl TokenBucket {
     /// A full bucket; `rate` is in tokens a second.
-    pub fn full(now: Micros, rate: f64, capacity: f64) -> TokenBucket {
+    pub fn full(now: Timestamp, rate: f64, capacity: f64) -> TokenBucket {
         TokenBucket {
             tokens: capacity,
             capacity,
@@ -25,7 +25,7 @@
     }
 
     /// Tokens in the bucket now; negative while it is overdrawn.
-    pub fn tokens(&mut self, now: Micros) -> f64 {
+    pub fn tokens(&mut self, now: Timestamp) -> f64 {
         let elapsed = seconds_between(self.updated_at, now);
         self.updated_at = now;
         self.tokens = (self.tokens + self.rate * elapsed).min(self.capacity);
@@ -33,14 +33,14 @@
     }
 
     /// Removes tokens even if that overdraws the bucket, or adds them if `count` is negative. Returns what is left.
-    pub fn take(&mut self, now: Micros, count: f64) -> f64 {
+    pub fn take(&mut self, now: Timestamp, count: f64) -> f64 {
         self.tokens(now);
         self.tokens = (self.tokens - count).min(self.capacity);
         self.tokens
     }
 
     /// Removes tokens if the bucket holds as many; returns whether it did.
-    pub fn try_take(&mut self, now: Micros, count: f64) -> bool {
+    pub fn try_take(&mut self, now: Timestamp, count: f64) -> bool {
         let available = self.tokens(now) >= count;
         if available {
             self.tokens -= count;
@@ -49,7 +49,7 @@
     }
 
     /// Fraction of the capacity that is available.
-    pub fn fill_fraction(&mut self, now: Micros) -> f64 {
+    pub fn fill_fraction(&mut self, now: Timestamp) -> f64 {
         self.tokens(now) / self.capacity.max(f64::MIN_POSITIVE)
     }
 }
--- a/crates/fleet-lab/src/world/usage_limit.rs
+++ b/crates/fleet-lab/src/world/usage_limit.rs
@@ -1,7 +1,7 @@
 //! A limit on what a customer uses over all gateways together, and how far its use goes beyond the limit.
 
 use super::token_bucket::TokenBucket;
-use crate::Micros;
+use gateway_core::Timestamp;
 
 /// How far the use of a limit is beyond it.
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,7 +34,7 @@
 
 impl UsageLimit {
     /// A limit of which nothing has been used: so many units a second, and so many at once.
-    pub fn unused(now: Micros, rate: f64, capacity: f64) -> UsageLimit {
+    pub fn unused(now: Timestamp, rate: f64, capacity: f64) -> UsageLimit {
         UsageLimit {
             bucket: TokenBucket::full(now, rate, capacity),
             peak: None,
@@ -43,7 +43,7 @@
 
     /// Uses units, whether or not that exceeds the limit. Returns how far the use is beyond it, if so many units are
     /// tolerated.
-    pub fn consume(&mut self, now: Micros, units: f64, tolerated: f64) -> Excess {
+    pub fn consume(&mut self, now: Timestamp, units: f64, tolerated: f64) -> Excess {
         let remaining = self.bucket.take(now, units);
         let excess = Excess {
             units: -remaining,
--- a/crates/fleet-lab/tests/hybrid.rs
+++ b/crates/fleet-lab/tests/hybrid.rs
@@ -6,15 +6,18 @@
 };
 use fleet_lab::hybrid::report::{NodeTotals, Report};
 use fleet_lab::world::final_answer::FinalAnswer;
-use fleet_lab::Micros;
-use gateway_core::{CustomerId, EndpointState, GatewayId, ServerId};
+use gateway_core::{CustomerId, EndpointState, GatewayId, ServerId, Timestamp};
 use std::path::PathBuf;
 use std::process::{Command, Output};
+use std::time::Duration;
 
 const CUSTOMER: CustomerId = CustomerId(7);
 const SERVER: ServerId = ServerId(3);
-const DRAIN_GRACE: Micros = 500_000;
-const TIMEOUT: Micros = 2_000_000;
+const MICROSECOND: Duration = Duration::from_micros(1);
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+const TIMEOUT: Duration = Duration::from_secs(2);
+/// When ledgers are made and most requests are sent.
+const START: Timestamp = Timestamp::EPOCH;
 const SERVED: ReceivedAnswer = ReceivedAnswer::Genuine(FinalAnswer::Served);
 const REJECTED: ReceivedAnswer = ReceivedAnswer::Genuine(FinalAnswer::Rejected);
 const FAILED: ReceivedAnswer = ReceivedAnswer::Genuine(FinalAnswer::Failed);
@@ -28,7 +31,7 @@
         tolerance_per_s: 0.0,
     };
     Ledger::new(
-        0,
+        START,
         DRAIN_GRACE,
         [CustomerQuota {
             customer: CUSTOMER,
@@ -37,7 +40,7 @@
     )
 }
 
-fn send(ledger: &mut Ledger, now: Micros, id: &str, node: u32, units: f64) {
+fn send(ledger: &mut Ledger, now: Timestamp, id: &str, node: u32, units: f64) {
     let request = SentRequest {
         node: GatewayId(node),
         customer: CUSTOMER,
@@ -63,10 +66,10 @@
     let mut ledger = new_ledger();
     for (number, node) in [0, 1, 0, 1, 0].into_iter().enumerate() {
         let id = number.to_string();
-        send(&mut ledger, 0, &id, node, 5.0);
-        ledger.attempt_arrived(0, &id, SERVER);
+        send(&mut ledger, START, &id, node, 5.0);
+        ledger.attempt_arrived(START, &id, SERVER);
         // A further attempt of the same request consumes nothing.
-        ledger.attempt_arrived(0, &id, SERVER);
+        ledger.attempt_arrived(START, &id, SERVER);
     }
     assert_eq!(result_of(&ledger, "quotas").checked, 1);
     assert_eq!(
@@ -74,27 +77,28 @@
         0,
         "the burst and the tolerance"
     );
-    send(&mut ledger, 100_000, "filled", 1, 1.0);
-    ledger.attempt_arrived(100_000, "filled", SERVER);
+    let refilled = START + Duration::from_millis(100);
+    send(&mut ledger, refilled, "filled", 1, 1.0);
+    ledger.attempt_arrived(refilled, "filled", SERVER);
     assert_eq!(
         violations(&ledger, "quotas"),
         0,
         "what has been refilled meanwhile"
     );
-    send(&mut ledger, 100_000, "over", 0, 0.5);
+    send(&mut ledger, refilled, "over", 0, 0.5);
     assert_eq!(
         violations(&ledger, "quotas"),
         0,
         "no attempt has arrived yet"
     );
-    ledger.attempt_arrived(100_000, "over", SERVER);
+    ledger.attempt_arrived(refilled, "over", SERVER);
     assert_eq!(violations(&ledger, "quotas"), 1);
 }
 
 #[test]
 fn an_unused_quota_accumulates_no_more_than_its_burst() {
     let mut ledger = new_ledger();
-    let later = 3_600_000_000;
+    let later = START + Duration::from_secs(3_600);
     send(&mut ledger, later, "all", 0, 25.0);
     ledger.attempt_arrived(later, "all", SERVER);
     assert_eq!(violations(&ledger, "quotas"), 0);
@@ -106,14 +110,14 @@
 #[test]
 fn each_request_has_one_answer_in_time() {
     let mut ledger = new_ledger();
-    let last = TIMEOUT + ANSWER_GRACE;
+    let last = START + TIMEOUT + ANSWER_GRACE;
     for (id, answers) in [
         ("one", &[last][..]),
         ("none", &[]),
-        ("two", &[1, 2]),
-        ("late", &[last + 1]),
+        ("two", &[START + MICROSECOND, START + 2 * MICROSECOND]),
+        ("late", &[last + MICROSECOND]),
     ] {
-        send(&mut ledger, 0, id, 0, 1.0);
+        send(&mut ledger, START, id, 0, 1.0);
         for at in answers {
             ledger.answered(*at, id, FAILED);
         }
@@ -130,7 +134,7 @@
 #[test]
 fn a_non_idempotent_request_may_run_once() {
     let mut ledger = new_ledger();
-    send(&mut ledger, 0, "pay", 0, 1.0);
+    send(&mut ledger, START, "pay", 0, 1.0);
     ledger.execution_started("pay");
     assert_eq!(violations(&ledger, "unsafe"), 0);
     ledger.execution_started("pay");
@@ -140,12 +144,27 @@
 #[test]
 fn no_attempt_may_be_sent_to_a_draining_server_after_the_grace_period() {
     let mut ledger = new_ledger();
-    ledger.endpoint_received(1000, GatewayId(0), SERVER, EndpointState::Draining);
+    ledger.endpoint_received(
+        START + 1_000 * MICROSECOND,
+        GatewayId(0),
+        SERVER,
+        EndpointState::Draining,
+    );
     // The first time counts.
-    ledger.endpoint_received(2000, GatewayId(0), SERVER, EndpointState::Draining);
-    for (id, node, at) in [("last", 0, 1000), ("unaware", 1, 9000), ("after", 0, 1001)] {
-        send(&mut ledger, 0, id, node, 1.0);
-        ledger.attempt_arrived(at + DRAIN_GRACE + SOCKET_TOLERANCE, id, SERVER);
+    ledger.endpoint_received(
+        START + 2_000 * MICROSECOND,
+        GatewayId(0),
+        SERVER,
+        EndpointState::Draining,
+    );
+    for (id, node, at) in [
+        ("last", 0, 1_000),
+        ("unaware", 1, 9_000),
+        ("after", 0, 1_001),
+    ] {
+        send(&mut ledger, START, id, node, 1.0);
+        let arrived_at = START + at * MICROSECOND + DRAIN_GRACE + SOCKET_TOLERANCE;
+        ledger.attempt_arrived(arrived_at, id, SERVER);
     }
     let result = result_of(&ledger, "leaves");
     assert_eq!(
@@ -154,25 +173,30 @@
         "{}",
         result.details
     );
-    ledger.endpoint_received(3000, GatewayId(0), SERVER, EndpointState::Ready);
-    send(&mut ledger, 0, "back", 0, 1.0);
-    ledger.attempt_arrived(u64::MAX / 2, "back", SERVER);
+    ledger.endpoint_received(
+        START + 3_000 * MICROSECOND,
+        GatewayId(0),
+        SERVER,
+        EndpointState::Ready,
+    );
+    send(&mut ledger, START, "back", 0, 1.0);
+    ledger.attempt_arrived(Timestamp::from_micros(u64::MAX / 2), "back", SERVER);
     assert_eq!(violations(&ledger, "leaves"), 1, "it is ready again");
 }
 
 #[test]
 fn unknown_requests_and_forged_answers_are_violations() {
     let mut ledger = new_ledger();
-    assert_eq!(ledger.attempt_arrived(0, "unknown", SERVER), None);
-    send(&mut ledger, 0, "read", 0, 2.0);
-    assert_eq!(ledger.attempt_arrived(0, "read", SERVER), Some(2.0));
+    assert_eq!(ledger.attempt_arrived(START, "unknown", SERVER), None);
+    send(&mut ledger, START, "read", 0, 2.0);
+    assert_eq!(ledger.attempt_arrived(START, "read", SERVER), Some(2.0));
     assert_eq!(violations(&ledger, "only what clients sent"), 1);
-    ledger.answered(0, "read", ReceivedAnswer::Forged);
+    ledger.answered(START, "read", ReceivedAnswer::Forged);
     assert_eq!(violations(&ledger, "only what clients sent"), 2);
 }
 
 /// What nodes of one kind did with 400 requests, of which every other one was rejected.
-fn totals(messages: u64, wait: Micros) -> NodeTotals {
+fn totals(messages: u64, wait: Duration) -> NodeTotals {
     let mut totals = NodeTotals::new().expect("waits can be counted");
     for number in 0..400 {
         let answer = if number % 2 == 0 { SERVED } else { REJECTED };
@@ -189,21 +213,21 @@
     let problems = |real: &NodeTotals, hollow: &NodeTotals| {
         Report::new(real, hollow, 2.0, Vec::new()).problems()
     };
-    let even = totals(1000, 50_000);
-    assert!(problems(&even, &totals(1900, 90_000)).is_empty());
+    let even = totals(1000, Duration::from_millis(50));
+    assert!(problems(&even, &totals(1900, Duration::from_millis(90))).is_empty());
     assert_eq!(
-        problems(&even, &totals(3000, 50_000)).len(),
+        problems(&even, &totals(3000, Duration::from_millis(50))).len(),
         2,
         "messages and bytes"
     );
     assert_eq!(
-        problems(&totals(1000, 150_000), &even).len(),
+        problems(&totals(1000, Duration::from_millis(150)), &even).len(),
         2,
         "both waits"
     );
-    let mut failing = totals(1000, 50_000);
+    let mut failing = totals(1000, Duration::from_millis(50));
     for _ in 0..1200 {
-        failing.count(Some(FAILED), 0);
+        failing.count(Some(FAILED), Duration::ZERO);
     }
     failing.messages *= 4;
     failing.bytes *= 4;
@@ -212,7 +236,7 @@
         3,
         "served, rejected and failed"
     );
-    let mut long = totals(1000, 50_000);
+    let mut long = totals(1000, Duration::from_millis(50));
     long.too_long = 1;
     assert_eq!(
         problems(&even, &long).len(),
@@ -220,7 +244,11 @@
         "a datagram that is too long"
     );
     assert!(
-        problems(&totals(0, 50_000), &totals(0, 50_000)).is_empty(),
+        problems(
+            &totals(0, Duration::from_millis(50)),
+            &totals(0, Duration::from_millis(50))
+        )
+        .is_empty(),
         "neither kind sent a message"
     );
 }
--- a/crates/fleet-lab/tests/simulate.rs
+++ b/crates/fleet-lab/tests/simulate.rs
@@ -6,11 +6,10 @@
 };
 use fleet_lab::world::invariant::Invariant;
 use fleet_lab::Failure;
-use fleet_lab::Micros;
-use gateway_core::Gateway;
 use gateway_core::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::Command;
+use std::time::Duration;
 
 fn config(faults: &[&str]) -> ExperimentConfig {
     let faults = faults.iter().map(|name| (*name).to_owned()).collect();
@@ -28,7 +27,7 @@
 fn run(config: &ExperimentConfig, defect: Defect) -> Report {
     let experiment = Experiment::new(config).expect("a sound experiment");
     let new_module = |seed, settings: Settings, now| -> NewModule {
-        let gateway = Gateway::new(seed, settings.clone(), Timestamp::from_micros(now))?;
+        let gateway = Gateway::new(seed, settings.clone(), now)?;
         Ok(Box::new(DefectiveModule::new(gateway, settings, defect)))
     };
     simulate(&experiment, new_module, &mut |_| {}, &mut |_| {})
@@ -68,7 +67,7 @@
 #[derive(Clone, Copy)]
 struct KnownEndpoint {
     endpoint: Endpoint,
-    received_at: Micros,
+    received_at: Timestamp,
 }
 
 /// The decision module, with some of its actions replaced.
@@ -94,7 +93,7 @@
         }
     }
 
-    fn observe(&mut self, now: Micros, event: &Event) {
+    fn observe(&mut self, now: Timestamp, event: &Event) {
         match event {
             Event::EndpointsUpdated { endpoints, .. } => {
                 for endpoint in endpoints {
@@ -124,11 +123,11 @@
     }
 
     /// The server of an attempt in place of the module's choice.
-    fn misrouted(&self, now: Micros) -> Option<ServerId> {
+    fn misrouted(&self, now: Timestamp) -> Option<ServerId> {
         let known = match self.defect {
             Defect::SendToDrained => {
                 let mut draining = self.in_state(EndpointState::Draining);
-                draining.find(|known| known.received_at + 600_000 < now)
+                draining.find(|known| known.received_at + Duration::from_millis(600) < now)
             }
             Defect::OverloadColdServer => {
                 let newest = self
@@ -141,7 +140,7 @@
         known.map(|known| known.endpoint.server)
     }
 
-    fn replace_action(&mut self, now: Micros, action: Action, out: &mut Vec<Action>) {
+    fn replace_action(&mut self, now: Timestamp, action: Action, out: &mut Vec<Action>) {
         let class = |id| {
             self.classes
                 .get(id)
@@ -165,7 +164,7 @@
             }
             (Defect::ExceedQuotas, Action::Reject { id, .. }) => {
                 let ready: Vec<_> = self.ready_servers().collect();
-                let server = ready[now as usize % ready.len()];
+                let server = ready[now.as_micros() as usize % ready.len()];
                 self.sent_after_rejection.insert(id.clone());
                 out.push(Action::SendAttempt {
                     id,
@@ -218,7 +217,7 @@
 }
 
 impl DecisionModule for DefectiveModule {
-    fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.observe(now, &event);
         if let Event::AttemptFinished { id, closed, .. } = &event {
             if self.sent_after_rejection.remove(id) && !closed {
@@ -226,8 +225,7 @@
             }
         }
         let mut actions = Vec::new();
-        self.inner
-            .handle(Timestamp::from_micros(now), event, &mut actions);
+        self.inner.handle(now, event, &mut actions);
         for action in actions {
             self.replace_action(now, action, out);
         }
--- a/crates/fleet-lab/tests/world.rs
+++ b/crates/fleet-lab/tests/world.rs
@@ -16,13 +16,13 @@
 use fleet_lab::world::servers::{Job, Machine, Server, ServerEvent};
 use fleet_lab::world::token_bucket::TokenBucket;
 use fleet_lab::world::usage_limit::UsageLimit;
-use fleet_lab::world::{micros, random_stream, RequestNumber, TimeSpan, START};
-use fleet_lab::Micros;
+use fleet_lab::world::{random_stream, RequestNumber, TimeSpan, START};
 use gateway_core::*;
 use std::time::Duration;
 
-/// A second, µs.
-const S: Micros = 1_000_000;
+const SECOND: Duration = Duration::from_secs(1);
+const MILLISECOND: Duration = Duration::from_millis(1);
+const MICROSECOND: Duration = Duration::from_micros(1);
 const RULES: Rules = Rules {
     warm_up_from: 0.25,
     warm_up_period: Duration::from_secs(10),
@@ -38,7 +38,7 @@
         .settings
 }
 
-fn endpoint(server: u64, started_at: Option<Micros>) -> Endpoint {
+fn endpoint(server: u64, started_at: Option<Timestamp>) -> Endpoint {
     let (zone, cell) = (ZoneId(server as u32 % 3), CellId(server % 3));
     Endpoint {
         server: ServerId(server),
@@ -46,7 +46,7 @@
         cell,
         state: EndpointState::Ready,
         weight: 1.0,
-        started_at: started_at.map(Timestamp::from_micros),
+        started_at,
     }
 }
 
@@ -55,8 +55,8 @@
     Machine {
         cores: 2,
         slots: 10,
-        work: 100_000..100_000,
-        report_interval: 1..2,
+        work: 100 * MILLISECOND..100 * MILLISECOND,
+        report_interval: MICROSECOND..2 * MICROSECOND,
     }
 }
 
@@ -65,13 +65,13 @@
         request: RequestNumber(request),
         attempt: AttemptNumber(0),
         gateway: GatewayId(0),
-        expires_at: Micros::MAX,
-        work: 100_000,
+        expires_at: Timestamp::MAX,
+        work: 100 * MILLISECOND,
         start_known,
     }
 }
 
-fn server(started: Option<Micros>) -> Server {
+fn server(started: Option<Timestamp>) -> Server {
     Server::new(
         &mut random_stream(1, 1),
         endpoint(1, started),
@@ -119,7 +119,7 @@
 #[derive(Debug, PartialEq)]
 struct DueRun {
     run: u64,
-    done_at: Micros,
+    done_at: Timestamp,
 }
 
 /// The runs that were started or delayed.
@@ -147,11 +147,11 @@
         [
             DueRun {
                 run: 1,
-                done_at: START + 100_000
+                done_at: START + 100 * MILLISECOND
             },
             DueRun {
                 run: 2,
-                done_at: START + 100_000
+                done_at: START + 100 * MILLISECOND
             }
         ]
     );
@@ -164,7 +164,7 @@
         )]
     );
     out.clear();
-    server.complete(START + 100_000, 1, &mut out);
+    server.complete(START + 100 * MILLISECOND, 1, &mut out);
     assert_eq!(
         finished(&out),
         [FinishedAttempt::new(0, AttemptOutcome::Success, Some(9.0))]
@@ -173,12 +173,12 @@
         due(&out),
         [DueRun {
             run: 3,
-            done_at: START + 200_000
+            done_at: START + 200 * MILLISECOND
         }]
     );
     server.cancel(RequestNumber(3), AttemptNumber(0));
     out.clear();
-    server.complete(START + 100_000, 2, &mut out);
+    server.complete(START + 100 * MILLISECOND, 2, &mut out);
     assert!(
         matches!(&out[1], ServerEvent::Started { job, .. } if job.request == RequestNumber(4)),
         "{out:?}"
@@ -189,28 +189,28 @@
 fn a_hanging_server_answers_later_and_a_slow_one_takes_longer() {
     let (mut server, mut out) = (server(None), Vec::new());
     server.arrive(START, job(0, true), &mut out);
-    server.hang(START + 40_000, START + 5 * S);
+    server.hang(START + 40 * MILLISECOND, START + 5 * SECOND);
     out.clear();
-    server.complete(START + 100_000, 1, &mut out);
+    server.complete(START + 100 * MILLISECOND, 1, &mut out);
     // 40 ms of its work were done before the hang, 60 are left.
     assert_eq!(
         due(&out),
         [DueRun {
             run: 1,
-            done_at: START + 5 * S + 60_000
+            done_at: START + 5 * SECOND + 60 * MILLISECOND
         }]
     );
     out.clear();
-    server.complete(START + 5 * S + 60_000, 1, &mut out);
+    server.complete(START + 5 * SECOND + 60 * MILLISECOND, 1, &mut out);
     assert_eq!(finished(&out).len(), 1);
     server.set_slowdown(6.0);
     out.clear();
-    server.arrive(START + 6 * S, job(1, true), &mut out);
+    server.arrive(START + 6 * SECOND, job(1, true), &mut out);
     assert_eq!(
         due(&out),
         [DueRun {
             run: 2,
-            done_at: START + 6 * S + 600_000
+            done_at: START + 6 * SECOND + 600 * MILLISECOND
         }]
     );
 }
@@ -224,7 +224,7 @@
         due(&out),
         [DueRun {
             run: 1,
-            done_at: START + 400_000
+            done_at: START + 400 * MILLISECOND
         }]
     );
     for number in 1..30 {
@@ -253,7 +253,7 @@
         11
     );
     out.clear();
-    server.arrive(START + S, job(31, true), &mut out);
+    server.arrive(START + SECOND, job(31, true), &mut out);
     assert_eq!(
         finished(&out),
         [FinishedAttempt::new(31, AttemptOutcome::Unreachable, None)]
@@ -265,7 +265,7 @@
     let (mut cold, mut warm, mut out) = (server(Some(START)), server(None), Vec::new());
     for step in 0..3 {
         for number in 0..30 {
-            cold.arrive(START + step * 2 * S, job(number, true), &mut out);
+            cold.arrive(START + step * 2 * SECOND, job(number, true), &mut out);
         }
     }
     for number in 0..500 {
@@ -275,7 +275,7 @@
     let load = cold.highest_cold_load().expect("cold");
     assert_eq!(
         (load.calls, load.age),
-        (30.0, 0),
+        (30.0, Duration::ZERO),
         "the highest load was at the start"
     );
 }
@@ -291,14 +291,14 @@
             plan: PlanId(2),
         },
     ];
-    InvariantChecker::new(settings(), 500_000, customers).expect("a checker")
+    InvariantChecker::new(settings(), 500 * MILLISECOND, customers).expect("a checker")
 }
 
 fn sent(
     gateway: u32,
     request: RequestNumber,
     server: u64,
-    draining_since: Option<Micros>,
+    draining_since: Option<Timestamp>,
 ) -> SentAttempt {
     SentAttempt {
         gateway: GatewayId(gateway),
@@ -311,7 +311,7 @@
 fn clients(rate: f64) -> Clients {
     let demand = Demand {
         rate,
-        max_deadline: 4 * S,
+        max_deadline: 4 * SECOND,
         surges: Vec::new(),
         flood: None,
     };
@@ -389,7 +389,10 @@
 
 #[test]
 fn an_attempt_at_a_draining_server_is_a_violation_after_the_grace_period() {
-    for (late, is_violation) in [(500_000, false), (500_001, true)] {
+    for (late, is_violation) in [
+        (500 * MILLISECOND, false),
+        (500 * MILLISECOND + MICROSECOND, true),
+    ] {
         let mut checker = new_checker();
         let mut request = clients(50.0).new_request(START, 0);
         request.customer = 0;
@@ -405,11 +408,17 @@
 #[test]
 fn a_gateway_receives_all_missed_changes_after_an_outage_of_discovery() {
     let outage = TimeSpan {
-        start: START + S,
-        end: START + 9 * S,
+        start: START + SECOND,
+        end: START + 9 * SECOND,
     };
     let list = vec![endpoint(1, None), endpoint(2, None)];
-    let mut discovery = Discovery::new(random_stream(1, 2), list, 2, 0..4, vec![outage]);
+    let mut discovery = Discovery::new(
+        random_stream(1, 2),
+        list,
+        2,
+        Duration::ZERO..4 * MICROSECOND,
+        vec![outage],
+    );
     let (me, other) = (GatewayId(0), GatewayId(1));
     discovery.publish(Endpoint {
         state: EndpointState::Draining,
@@ -420,13 +429,14 @@
         !discovery.knows_server(me, ServerId(3))
             && discovery.draining_since(me, ServerId(1)).is_none()
     );
-    let PollResult::RetryAt(until) = discovery.poll(START + 2 * S, me, None, PollKind::Scheduled)
+    let PollResult::RetryAt(until) =
+        discovery.poll(START + 2 * SECOND, me, None, PollKind::Scheduled)
     else {
         panic!("an outage")
     };
-    assert!((outage.end..outage.end + 4).contains(&until));
+    assert!((outage.end..outage.end + 4 * MICROSECOND).contains(&until));
     assert!(matches!(
-        discovery.poll(START + 2 * S, me, None, PollKind::Requested),
+        discovery.poll(START + 2 * SECOND, me, None, PollKind::Requested),
         PollResult::CallFailed
     ));
     let PollResult::Update(Event::EndpointsUpdated { kind, endpoints }) =
@@ -441,8 +451,8 @@
         discovery.poll(until, me, None, PollKind::Scheduled),
         PollResult::NoChange
     ));
-    let isolated = discovery.poll(until, other, Some(until + S), PollKind::Scheduled);
-    assert!(matches!(isolated, PollResult::RetryAt(at) if at >= until + S));
+    let isolated = discovery.poll(until, other, Some(until + SECOND), PollKind::Scheduled);
+    assert!(matches!(isolated, PollResult::RetryAt(at) if at >= until + SECOND));
     // A server that comes back drains no more, and its new start is not known yet.
     assert!(discovery.knows_latest_start(me, ServerId(1)));
     discovery.publish(endpoint(1, Some(until)));
@@ -468,7 +478,7 @@
 #[test]
 fn a_gateway_accepts_messages_up_to_its_rate_and_none_pass_a_partition() {
     let conditions = NetworkConditions {
-        delay: 10..20,
+        delay: 10 * MICROSECOND..20 * MICROSECOND,
         loss: 0.5,
         temporary_loss: None,
         accepted_per_second: 5.0,
@@ -486,7 +496,8 @@
         }
     );
     assert!(
-        datagrams.accept(START + S, GatewayId(1), 100) && datagrams.accept(START, GatewayId(0), 1)
+        datagrams.accept(START + SECOND, GatewayId(1), 100)
+            && datagrams.accept(START, GatewayId(0), 1)
     );
     let delivered = (0..1_000)
         .filter(|_| datagrams.send(START, false).is_some())
@@ -495,7 +506,7 @@
     assert!((0..100).all(|_| datagrams.send(START, true).is_none()));
     let span = TimeSpan {
         start: START,
-        end: START + S,
+        end: START + SECOND,
     };
     let partitions = Partitions(vec![Partition {
         zone: ZoneId(1),
@@ -509,8 +520,8 @@
             && !separate(0, 2, START)
     );
     assert!(
-        !separate(1, 0, START + S)
-            && partitions.isolated_until(START, ZoneId(1)) == Some(START + S)
+        !separate(1, 0, START + SECOND)
+            && partitions.isolated_until(START, ZoneId(1)) == Some(START + SECOND)
     );
 }
 
@@ -525,7 +536,7 @@
         let mut now = START;
         while let Some(at) = clients
             .next_arrival(now, index)
-            .filter(|at| *at < START + seconds * S)
+            .filter(|at| *at < START + Duration::from_secs(seconds))
         {
             now = at;
             requests += 1;
@@ -560,9 +571,12 @@
     request.class = ClassId(1);
     let rejected = |retry_after| ClientError::Rejected { retry_after };
     let retry = clients
-        .retry(START, &request, rejected(Some(70_000)))
+        .retry(START, &request, rejected(Some(70 * MILLISECOND)))
         .expect("a retry");
-    assert_eq!((retry.at, retry.request.retries), (START + 70_000, 1));
+    assert_eq!(
+        (retry.at, retry.request.retries),
+        (START + 70 * MILLISECOND, 1)
+    );
     assert_eq!(retry.request.deadline, request.deadline);
     assert!(
         clients
@@ -595,12 +609,12 @@
 fn a_token_bucket_refills_at_its_rate_up_to_its_capacity() {
     let mut bucket = TokenBucket::full(START, 2.0, 10.0);
     assert!(bucket.try_take(START, 9.0) && !bucket.try_take(START, 2.0));
-    assert!(bucket.try_take(START + micros(0.5), 2.0));
-    assert_eq!(bucket.take(START + S, 4.0), -3.0);
+    assert!(bucket.try_take(START + 500 * MILLISECOND, 2.0));
+    assert_eq!(bucket.take(START + SECOND, 4.0), -3.0);
     assert_eq!(
         (
-            bucket.tokens(START + 60 * S),
-            bucket.fill_fraction(START + 60 * S)
+            bucket.tokens(START + 60 * SECOND),
+            bucket.fill_fraction(START + 60 * SECOND)
         ),
         (10.0, 1.0)
     );
@@ -620,10 +634,10 @@
         (beyond.units, beyond.tolerated, beyond.beyond_tolerance()),
         (3.5, 3.0, 0.5)
     );
-    let later = limit.consume(START + S, 1.0, 3.0);
+    let later = limit.consume(START + SECOND, 1.0, 3.0);
     assert_eq!(later.units, 2.5, "two units were refilled");
     assert_eq!(limit.peak().map(|peak| peak.units), Some(3.5));
-    let unused = UsageLimit::unused(START, 2.0, 10.0).consume(START + 60 * S, 10.0, 0.0);
+    let unused = UsageLimit::unused(START, 2.0, 10.0).consume(START + 60 * SECOND, 10.0, 0.0);
     assert!(
         !unused.is_violation() && unused.units == 0.0,
         "it accumulates no more than its capacity"
@@ -635,20 +649,23 @@
     let mut draining = DrainingServers::default();
     let server = ServerId(1);
     assert!(!draining.state_received(START, server, EndpointState::Ready));
-    assert!(draining.state_received(START + 1, server, EndpointState::Draining));
+    assert!(draining.state_received(START + MICROSECOND, server, EndpointState::Draining));
     assert!(
-        !draining.state_received(START + 2, server, EndpointState::Gone),
+        !draining.state_received(START + 2 * MICROSECOND, server, EndpointState::Gone),
         "it was draining already"
     );
     assert_eq!(
         (draining.since(server), draining.since(ServerId(2))),
-        (Some(START + 1), None)
+        (Some(START + MICROSECOND), None)
     );
-    assert!(!draining.state_received(START + 3, server, EndpointState::Ready));
+    assert!(!draining.state_received(START + 3 * MICROSECOND, server, EndpointState::Ready));
     assert_eq!(draining.since(server), None);
-    assert!(draining.state_received(START + 4, server, EndpointState::Gone));
-    let grace = DrainGrace(100);
-    assert!(!grace.is_over(START + 100, START) && grace.is_over(START + 101, START));
+    assert!(draining.state_received(START + 4 * MICROSECOND, server, EndpointState::Gone));
+    let grace = DrainGrace(100 * MICROSECOND);
+    assert!(
+        !grace.is_over(START + 100 * MICROSECOND, START)
+            && grace.is_over(START + 101 * MICROSECOND, START)
+    );
 }
 
 #[test]
