--- a/crates/fleet-lab/src/hybrid/endpoint_registry.rs
+++ b/crates/fleet-lab/src/hybrid/endpoint_registry.rs
@@ -4,7 +4,7 @@
 //! gateway itself, and has outages. What a gateway knows of draining servers is recorded by one type for both,
 //! [`DrainingServers`](crate::world::draining::DrainingServers).
 
-use super::scenario::ListedState;
+use super::server_faults::ListedState;
 use gateway_core::{CellId, Endpoint, EndpointState, ServerId, Timestamp, ZoneId};
 use serde_json::json;
 use std::cell::RefCell;
--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -1,9 +1,10 @@
 //! A hollow node: the decision module with the lab in place of its sockets. It exchanges requests and attempts with
 //! clients and servers by calls, and messages with other nodes, real ones too, by datagrams.
 
+use super::customers::PlannedRequest;
 use super::environment::Environment;
-use super::ledger::ReceivedAnswer;
-use super::scenario::{PlannedRequest, CLIENT_TIMEOUT};
+use super::observed_request::ReceivedAnswer;
+use super::scenario::CLIENT_TIMEOUT;
 use super::servers::{AttemptReply, AttemptStatus};
 use crate::world::final_answer::FinalAnswer;
 use anyhow::{Context, Result};
--- a/crates/fleet-lab/src/hybrid/ledger.rs
+++ b/crates/fleet-lab/src/hybrid/ledger.rs
@@ -3,11 +3,11 @@
 //! The records and checks of single requests, quotas and drains are those of the simulation. What differs is what can be
 //! observed: here attempts are seen only where they arrive and run, and a client's end of waiting ends nothing.
 
-use crate::time::seconds_between;
+use super::observed_request::{ObservedRequest, ReceivedAnswer, SentRequest};
+use super::quotas::{CustomerQuota, QuotaUsage};
 use crate::world::draining::{DrainGrace, DrainingServers};
-use crate::world::final_answer::FinalAnswer;
 use crate::world::request_record::RequestRecord;
-use crate::world::usage_limit::{Excess, UsageLimit};
+use crate::world::usage_limit::Excess;
 use gateway_core::{CustomerId, EndpointState, GatewayId, ServerId, Timestamp};
 use serde::Serialize;
 use std::collections::HashMap;
@@ -20,85 +20,6 @@
 /// By this every time limit is longer on sockets.
 pub const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// A customer's quota over all nodes together, and by how much nodes may exceed it while they lack information.
-#[derive(Clone, Copy, Debug)]
-pub struct Quota {
-    /// Units a second.
-    pub rate: f64,
-    /// Units that may be used at once.
-    pub burst: f64,
-    /// Units beyond the quota that are tolerated at any time.
-    pub tolerance: f64,
-    /// Further units that are tolerated for each second since the first request.
-    pub tolerance_per_s: f64,
-}
-
-/// A customer and its quota.
-#[derive(Clone, Copy, Debug)]
-pub struct CustomerQuota {
-    /// The customer.
-    pub customer: CustomerId,
-    /// Its quota.
-    pub quota: Quota,
-}
-
-/// A request as a client sends it over a socket. The simulation's
-/// [`ClientRequest`](crate::world::clients::ClientRequest) is another type: it also says what the client will do,
-/// which the simulation decides beforehand, and it names the customer by index.
-#[derive(Clone, Debug)]
-pub struct SentRequest {
-    /// The node at which it arrives.
-    pub node: GatewayId,
-    /// The customer whose request it is.
-    pub customer: CustomerId,
-    /// What it consumes of the quota.
-    pub units: f64,
-    /// Whether it must not run twice.
-    pub is_non_idempotent: bool,
-    /// How long the client waits.
-    pub timeout: Duration,
-}
-
-/// A final answer as its client receives it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReceivedAnswer {
-    /// A final answer to this request.
-    Genuine(FinalAnswer),
-    /// A server's answer that no server made for this request. In the simulation answers have no content, so only here
-    /// it is checked.
-    Forged,
-}
-
-/// A request, and what servers and its client observed of it. An attempt is known by the server at which it arrived.
-#[derive(Debug)]
-struct ObservedRequest {
-    record: RequestRecord<SentRequest, ServerId>,
-    /// One of the answers was late. The simulation closes a request by an event when its answer is overdue; here
-    /// nothing does, so an answer may still come.
-    is_late: bool,
-}
-
-#[derive(Debug)]
-struct QuotaUsage {
-    quota: Quota,
-    limit: UsageLimit,
-}
-
-impl QuotaUsage {
-    fn new(quota: Quota, now: Timestamp) -> QuotaUsage {
-        QuotaUsage {
-            quota,
-            limit: UsageLimit::unused(now, quota.rate, quota.burst),
-        }
-    }
-
-    fn consume(&mut self, started_at: Timestamp, now: Timestamp, units: f64) {
-        let elapsed = seconds_between(started_at, now);
-        let tolerated = self.quota.tolerance + self.quota.tolerance_per_s * elapsed;
-        self.limit.consume(now, units, tolerated);
-    }
-}
-
 /// The result of checking one invariant. The simulation's [`Violations`](crate::world::invariant::Violations) give
 /// times instead: it checks at each event, whereas here some violations are known only at the end of the run.
 #[derive(Clone, Debug, Serialize, PartialEq)]
@@ -260,7 +181,7 @@
         let peaks: Vec<Excess> = self
             .quotas
             .values()
-            .filter_map(|usage| usage.limit.peak())
+            .filter_map(|usage| usage.peak())
             .collect();
         let by_excess = |one: &Excess, other: &Excess| {
             one.beyond_tolerance().total_cmp(&other.beyond_tolerance())
--- a/crates/fleet-lab/src/hybrid/load.rs
+++ b/crates/fleet-lab/src/hybrid/load.rs
@@ -1,10 +1,13 @@
 //! The load of a run: clients that send requests to all nodes, whatever answers they get, and what that costs.
 
+use super::customers::PlannedRequest;
 use super::environment::Environment;
-use super::ledger::{ReceivedAnswer, SentRequest, ANSWER_GRACE};
+use super::ledger::ANSWER_GRACE;
 use super::nodes::{usage_of, Node, NodeUsage};
+use super::observed_request::{ReceivedAnswer, SentRequest};
 use super::report::NodeTotals;
-use super::scenario::{FaultProfile, PlannedRequest, CLIENT_TIMEOUT};
+use super::scenario::CLIENT_TIMEOUT;
+use super::server_faults::FaultProfile;
 use crate::world::{seconds_to_next_event, Rng};
 use anyhow::{Context, Result};
 use gateway_core::RequestId;
--- a/crates/fleet-lab/src/hybrid/mod.rs
+++ b/crates/fleet-lab/src/hybrid/mod.rs
@@ -3,17 +3,23 @@
 //! alike.
 
 pub mod ledger;
+pub mod observed_request;
+pub mod quotas;
 pub mod report;
 
+mod customers;
 mod datagrams;
 mod discovery_agent;
 mod endpoint_registry;
 mod environment;
 mod hollow_node;
 mod load;
+mod node_settings;
 mod nodes;
+mod plan_quotas;
 mod real_node;
 mod scenario;
+mod server_faults;
 mod server_http;
 mod servers;
 
@@ -28,7 +34,8 @@
 use nodes::ReservedPorts;
 use rand::SeedableRng;
 use report::Report;
-use scenario::{FaultProfile, Scenario, ScenarioSize, DRAIN_GRACE};
+use scenario::{Scenario, ScenarioSize, DRAIN_GRACE};
+use server_faults::FaultProfile;
 use servers::Server;
 use std::cell::RefCell;
 use std::io::Write;
@@ -187,7 +194,7 @@
 /// Starts the environment and all nodes, generates the load, and shuts the nodes down.
 async fn run_nodes(args: &Args, scenario: Scenario, program: PathBuf) -> Result<Report> {
     let folder = tempfile::tempdir().context("a folder for configurations")?;
-    let ports = ReservedPorts::reserve(args.real, scenario.size.nodes).await?;
+    let ports = ReservedPorts::reserve(args.real, scenario.size().nodes).await?;
     let environment = start_environment(scenario, args.seed, &ports).await?;
     let mut rng = Rng::seed_from_u64(args.seed);
     let nodes = nodes::start_all(&environment, &program, folder.path(), ports, &mut rng).await?;
@@ -213,8 +220,13 @@
     let servers = Server::all(scenario.server_slots(), seed);
     let registry = EndpointRegistry::new();
     let listeners = register_servers(&servers, &registry).await?;
-    let datagrams = Datagrams::bind(&ports.addresses()?, scenario.size.fleet_size as usize).await?;
-    let ledger = RefCell::new(Ledger::new(clock.now(), DRAIN_GRACE, scenario.quotas()));
+    let datagrams =
+        Datagrams::bind(&ports.addresses()?, scenario.size().fleet_size as usize).await?;
+    let ledger = RefCell::new(Ledger::new(
+        clock.now(),
+        DRAIN_GRACE,
+        scenario.customer_quotas(),
+    ));
     let environment = Rc::new(Environment {
         clock,
         scenario,
--- a/crates/fleet-lab/src/hybrid/real_node.rs
+++ b/crates/fleet-lab/src/hybrid/real_node.rs
@@ -1,8 +1,9 @@
 //! A real node: a process of the edge node's program, and its clients over HTTP.
 
+use super::customers::{plan_name, PlannedRequest, CLASSES};
 use super::environment::Environment;
-use super::ledger::ReceivedAnswer;
-use super::scenario::{plan_name, PlannedRequest, CLASSES, CLIENT_TIMEOUT};
+use super::observed_request::ReceivedAnswer;
+use super::scenario::CLIENT_TIMEOUT;
 use crate::world::final_answer::FinalAnswer;
 use anyhow::{bail, Context, Result};
 use bytes::Bytes;
--- a/crates/fleet-lab/src/hybrid/report.rs
+++ b/crates/fleet-lab/src/hybrid/report.rs
@@ -1,6 +1,7 @@
 //! What real and hollow nodes cost and sent, side by side, and whether it agrees.
 
-use super::ledger::{InvariantResult, ReceivedAnswer};
+use super::ledger::InvariantResult;
+use super::observed_request::ReceivedAnswer;
 use crate::time::DurationExt;
 use crate::world::final_answer::FinalAnswer;
 use hdrhistogram::Histogram;
--- a/crates/fleet-lab/src/hybrid/servers.rs
+++ b/crates/fleet-lab/src/hybrid/servers.rs
@@ -5,7 +5,8 @@
 //! not have.
 
 use super::ledger::Ledger;
-use super::scenario::{ServerMode, MEAN_WORK_US, SERVER_COUNT, WORK_DEVIATION};
+use super::scenario::{MEAN_WORK_US, SERVER_COUNT, WORK_DEVIATION_FRACTION};
+use super::server_faults::ServerMode;
 use crate::world::Rng;
 use gateway_core::ServerId;
 use rand::{Rng as _, SeedableRng};
@@ -126,7 +127,7 @@
     }
 
     fn draw_work(&self) -> Duration {
-        let deviation = WORK_DEVIATION * self.rng.borrow_mut().random_range(-1.0..1.0);
+        let deviation = WORK_DEVIATION_FRACTION * self.rng.borrow_mut().random_range(-1.0..1.0);
         Duration::from_micros((MEAN_WORK_US * (1.0 + deviation)) as u64)
     }
 
--- a/crates/fleet-lab/src/scaling/gateway_pair.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair/mod.rs
@@ -1,14 +1,18 @@
 //! Two gateways of one fleet, each the owner of the quotas of the other's customers, with servers that answer at
 //! once. The first is measured; the second is its peer and has the same list, information and request rate.
 
+mod member;
+mod preparation;
+
 use super::cost::{measure_event, Cost};
-use super::fleet::{
-    draw_customers, draw_endpoints, settings, Customer, CLIENT_TIMEOUT, CONTROL_TICK,
-    CUSTOMER_NUMBERS, MILLISECOND, PAIR, START,
-};
+use super::fleet::{draw_endpoints, Customer, CLIENT_TIMEOUT, PAIR, START};
 use super::sizes::FleetSizes;
 use anyhow::{bail, Result};
-use gateway_core::*;
+use gateway_core::{
+    Action, AttemptNumber, AttemptOutcome, ClassId, Endpoint, EndpointState, EndpointUpdate, Event,
+    GatewaySet, PlanId, RequestId, Timestamp,
+};
+use member::Member;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
@@ -23,13 +27,6 @@
 /// The second byte of a datagram is its kind; this one answers a lease request.
 const LEASE_GRANT_KIND: u8 = 2;
 
-struct Member {
-    gateway: Gateway,
-    customers: Vec<Customer>,
-    /// When its next timer fires.
-    timer_at: Timestamp,
-}
-
 /// An event for one of the gateways.
 struct PendingEvent {
     /// The index of the gateway.
@@ -78,8 +75,8 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let endpoints = draw_endpoints(&mut rng, sizes.servers);
         let now = START;
-        let first = draw_member(&mut rng, sizes, now, PAIR[0], PAIR[1])?;
-        let second = draw_member(&mut rng, sizes, now, PAIR[1], PAIR[0])?;
+        let first = Member::draw(&mut rng, sizes, now, PAIR[0], PAIR[1])?;
+        let second = Member::draw(&mut rng, sizes, now, PAIR[1], PAIR[0])?;
         let mut pair = GatewayPair {
             now,
             endpoints,
@@ -95,72 +92,11 @@
         Ok(pair)
     }
 
-    /// Brings the gateways to the state in which they are measured.
-    fn prepare(&mut self) -> Result<()> {
-        for member in 0..self.members.len() {
-            let endpoints = self.endpoints.clone();
-            self.post(
-                member,
-                Event::EndpointsUpdated {
-                    kind: EndpointUpdate::Snapshot,
-                    endpoints,
-                },
-            );
-        }
-        self.meet_customers();
-        for _ in 0..self.warm_up_requests() {
-            self.request()?;
-        }
-        // Both have a control tick now, so that none falls into what is measured afterwards.
-        self.now = self.now + CONTROL_TICK + MILLISECOND;
-        for member in 0..self.members.len() {
-            self.fire_timer(member);
-        }
-        self.deliver_unmeasured();
-        self.open_requests();
-        self.take_costs();
-        Ok(())
-    }
-
-    /// Requests before the measurement: fewer where each is expensive.
-    fn warm_up_requests(&self) -> u64 {
-        (1_000_000 / self.sizes.servers.max(1)).clamp(40, 200)
-    }
-
     /// What the first gateway's work has cost since the last call.
     pub(super) fn take_costs(&mut self) -> MeasuredCosts {
         std::mem::take(&mut self.costs)
     }
 
-    /// Sends the first gateway one request of each other customer, with no time left to serve it.
-    fn meet_customers(&mut self) {
-        let met = self.members[MEASURED].customers.len() as u64;
-        for number in 0..self.sizes.customers.saturating_sub(met) {
-            let id = CustomerId(CUSTOMER_NUMBERS - 1 - number);
-            let event = self.request_event(
-                Customer {
-                    id,
-                    first_gateway: PAIR[MEASURED],
-                },
-                Duration::ZERO,
-            );
-            self.post(MEASURED, event);
-        }
-    }
-
-    /// Leaves as many requests open at the first gateway as there should be, without the one that is measured.
-    fn open_requests(&mut self) {
-        for _ in 1..self.sizes.open_requests {
-            self.enqueue_request(MEASURED);
-            while let Some(PendingEvent { member, event }) = self.pending.pop_front() {
-                // No server answers meanwhile.
-                if !matches!(event, Event::AttemptFinished { .. }) {
-                    self.post(member, event);
-                }
-            }
-        }
-    }
-
     fn enqueue(&mut self, member: usize, event: Event) {
         self.pending.push_back(PendingEvent { member, event });
     }
@@ -337,23 +273,6 @@
     }
 }
 
-/// A gateway whose customers' quotas the other one owns.
-fn draw_member(
-    rng: &mut ChaCha8Rng,
-    sizes: FleetSizes,
-    now: Timestamp,
-    id: GatewayId,
-    owner: GatewayId,
-) -> Result<Member> {
-    let gateway = Gateway::new(rng.random(), settings(id, sizes.gateways), now)?;
-    let customers = draw_customers(rng, sizes, owner)?;
-    Ok(Member {
-        gateway,
-        customers,
-        timer_at: now + CONTROL_TICK,
-    })
-}
-
 fn is_lease_grant(bytes: &[u8]) -> bool {
     bytes.get(1) == Some(&LEASE_GRANT_KIND)
 }
--- /dev/null
+++ b/crates/fleet-lab/src/scaling/gateway_pair/preparation.rs
@@ -0,0 +1,78 @@
+//! Brings a pair of gateways to the state in which it is measured.
+
+use super::{GatewayPair, PendingEvent, MEASURED};
+use crate::scaling::fleet::{Customer, CONTROL_TICK, CUSTOMER_NUMBERS, MILLISECOND, PAIR};
+use anyhow::Result;
+use gateway_core::{CustomerId, EndpointUpdate, Event};
+use std::time::Duration;
+
+/// Servers that the gateways may visit in all requests before the measurement.
+const WARM_UP_VISITS: u64 = 1_000_000;
+/// Minimum number of requests before the measurement.
+const MIN_WARM_UP_REQUESTS: u64 = 40;
+/// Maximum number of requests before the measurement.
+const MAX_WARM_UP_REQUESTS: u64 = 200;
+
+impl GatewayPair {
+    /// Brings the gateways to the state in which they are measured.
+    pub(super) fn prepare(&mut self) -> Result<()> {
+        for member in 0..self.members.len() {
+            let endpoints = self.endpoints.clone();
+            self.post(
+                member,
+                Event::EndpointsUpdated {
+                    kind: EndpointUpdate::Snapshot,
+                    endpoints,
+                },
+            );
+        }
+        self.meet_customers();
+        for _ in 0..self.warm_up_requests() {
+            self.request()?;
+        }
+        // Both have a control tick now, so that none falls into what is measured afterwards.
+        self.now = self.now + CONTROL_TICK + MILLISECOND;
+        for member in 0..self.members.len() {
+            self.fire_timer(member);
+        }
+        self.deliver_unmeasured();
+        self.open_requests();
+        self.take_costs();
+        Ok(())
+    }
+
+    /// Requests before the measurement: fewer where each is expensive.
+    fn warm_up_requests(&self) -> u64 {
+        (WARM_UP_VISITS / self.sizes.servers.max(1))
+            .clamp(MIN_WARM_UP_REQUESTS, MAX_WARM_UP_REQUESTS)
+    }
+
+    /// Sends the first gateway one request of each other customer, with no time to serve it.
+    fn meet_customers(&mut self) {
+        let met = self.members[MEASURED].customers.len() as u64;
+        for number in 0..self.sizes.customers.saturating_sub(met) {
+            let id = CustomerId(CUSTOMER_NUMBERS - 1 - number);
+            let event = self.request_event(
+                Customer {
+                    id,
+                    first_gateway: PAIR[MEASURED],
+                },
+                Duration::ZERO,
+            );
+            self.post(MEASURED, event);
+        }
+    }
+
+    /// Leaves as many requests open at the first gateway as there should be, without the one that is measured.
+    fn open_requests(&mut self) {
+        for _ in 1..self.sizes.open_requests {
+            self.enqueue_request(MEASURED);
+            while let Some(PendingEvent { member, event }) = self.pending.pop_front() {
+                // No server answers meanwhile.
+                if !matches!(event, Event::AttemptFinished { .. }) {
+                    self.post(member, event);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet-lab/src/scaling/measure/figures.rs
@@ -0,0 +1,60 @@
+//! The figures that measurements yield.
+
+use crate::scaling::cost::{counts_allocations, Cost};
+use crate::scaling::report::Figure;
+
+pub(super) fn per_unit(total: u64, count: u64) -> f64 {
+    total as f64 / count.max(1) as f64
+}
+
+/// Figures of work that sends no message, for each of `count` repetitions.
+pub(super) fn local_figures(cost: Cost, count: u64) -> Vec<Figure> {
+    let mut figures = vec![
+        Figure {
+            name: "time_us",
+            value: cost.cpu_time_us / count.max(1) as f64,
+        },
+        Figure {
+            name: "visited",
+            value: per_unit(cost.visited, count),
+        },
+    ];
+    if counts_allocations() {
+        figures.push(Figure {
+            name: "allocations",
+            value: per_unit(cost.allocations, count),
+        });
+    }
+    figures
+}
+
+/// Figures of work that sends messages, for each of `count` repetitions.
+pub(super) fn message_figures(cost: Cost, count: u64) -> Vec<Figure> {
+    let mut figures = local_figures(cost, count);
+    figures.push(Figure {
+        name: "messages",
+        value: per_unit(cost.messages, count),
+    });
+    figures.push(Figure {
+        name: "sent_bytes",
+        value: per_unit(cost.bytes, count),
+    });
+    figures.push(Figure {
+        name: "longest_bytes",
+        value: cost.longest_message as f64,
+    });
+    figures
+}
+
+pub(super) fn memory_figures(bytes: u64, count: u64) -> Vec<Figure> {
+    vec![
+        Figure {
+            name: "memory_bytes",
+            value: bytes as f64,
+        },
+        Figure {
+            name: "each_bytes",
+            value: per_unit(bytes, count),
+        },
+    ]
+}
--- /dev/null
+++ b/crates/fleet-lab/src/scaling/measure/memory.rs
@@ -0,0 +1,84 @@
+//! How much memory a gateway uses.
+
+use super::figures::memory_figures;
+use crate::scaling::cost::{counts_allocations, live_bytes};
+use crate::scaling::fleet::{draw_endpoints, settings};
+use crate::scaling::report::Figure;
+use crate::scaling::sizes::FleetSizes;
+use anyhow::{ensure, Result};
+use gateway_core::{
+    ClassId, CustomerId, EndpointUpdate, Event, Gateway, GatewayId, GatewaySet, PlanId, RequestId,
+    Timestamp,
+};
+use rand::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+use std::time::Duration;
+
+/// When gateways whose memory is measured start.
+const FIRST_TICK: Timestamp = Timestamp::from_micros(500_000);
+
+/// A gateway with nothing but its settings, and its memory.
+struct FreshGateway {
+    gateway: Gateway,
+    bytes: u64,
+}
+
+fn fresh_gateway(seed: u64, gateways: u32) -> Result<FreshGateway> {
+    ensure!(
+        counts_allocations(),
+        "this program does not count its allocations"
+    );
+    let before = live_bytes();
+    let gateway = Gateway::new(seed, settings(GatewayId(0), gateways), FIRST_TICK)?;
+    let bytes = live_bytes().saturating_sub(before);
+    Ok(FreshGateway { gateway, bytes })
+}
+
+pub(super) fn measure_server_memory(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
+    let mut gateway = fresh_gateway(seed, sizes.gateways)?.gateway;
+    let endpoints = draw_endpoints(&mut ChaCha8Rng::seed_from_u64(seed), sizes.servers);
+    let mut actions = Vec::new();
+    let before = live_bytes();
+    // The event's copy of the list is freed with the event.
+    let kind = EndpointUpdate::Snapshot;
+    let event = Event::EndpointsUpdated {
+        kind,
+        endpoints: endpoints.clone(),
+    };
+    gateway.handle(FIRST_TICK, event, &mut actions);
+    actions.clear();
+    actions.shrink_to_fit();
+    Ok(memory_figures(
+        live_bytes().saturating_sub(before),
+        sizes.servers,
+    ))
+}
+
+pub(super) fn measure_customer_memory(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
+    let mut gateway = fresh_gateway(seed, sizes.gateways)?.gateway;
+    let before = live_bytes();
+    for number in 0..sizes.customers {
+        let event = Event::RequestReceived {
+            id: RequestId(format!("{number:016x}").into()),
+            class: ClassId(0),
+            plan: PlanId(0),
+            customer: CustomerId(number),
+            units: 1.0,
+            gateways: GatewaySet {
+                first: GatewayId(0),
+                count: sizes.effective_gateways_per_customer(),
+            },
+            client_timeout: Duration::ZERO,
+        };
+        gateway.handle(FIRST_TICK, event, &mut Vec::new());
+    }
+    Ok(memory_figures(
+        live_bytes().saturating_sub(before),
+        sizes.customers,
+    ))
+}
+
+pub(super) fn measure_gateway_memory(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
+    let bytes = fresh_gateway(seed, sizes.gateways)?.bytes;
+    Ok(memory_figures(bytes, u64::from(sizes.gateways)))
+}
--- /dev/null
+++ b/crates/fleet-lab/src/scaling/measure/work.rs
@@ -0,0 +1,94 @@
+//! What a gateway's work costs: its requests, messages, timers, control ticks and updates of the list of servers.
+
+use super::figures::{local_figures, message_figures};
+use crate::scaling::cost::Cost;
+use crate::scaling::fleet::{CONTROL_TICK, MILLISECOND};
+use crate::scaling::gateway_pair::{GatewayPair, MEASURED};
+use crate::scaling::report::Figure;
+use crate::scaling::sizes::FleetSizes;
+use anyhow::{ensure, Result};
+use gateway_core::EndpointUpdate;
+
+/// Requests in a run. They take less than half of the latency objective in all: servers of requests that stay open
+/// for longer would look hung, which costs more than what is measured.
+const REQUESTS: u64 = 80;
+
+/// Timers, control ticks, changes and lists in a run.
+const REPETITIONS: u64 = 10;
+
+/// A request at the gateway at which it arrives: the request, the owner's lease, one attempt and its answer.
+pub(super) fn measure_request(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
+    let mut pair = GatewayPair::new(seed, sizes)?;
+    for _ in 0..REQUESTS {
+        pair.request()?;
+    }
+    Ok(message_figures(pair.take_costs().own, REQUESTS))
+}
+
+/// A message of a peer other than an answer: a lease request, which is answered, or in a small fleet usage counts.
+pub(super) fn measure_datagram(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
+    let mut pair = GatewayPair::new(seed, sizes)?;
+    for _ in 0..REQUESTS {
+        pair.request()?;
+    }
+    pair.advance(pair.now + CONTROL_TICK);
+    let cost = pair.take_costs().peer_messages;
+    ensure!(cost.events > 0, "no datagram came");
+    Ok(message_figures(cost, cost.events))
+}
+
+/// One changed entry of the list: a server that starts to drain or becomes ready again.
+pub(super) fn measure_endpoint_change(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
+    let mut pair = GatewayPair::new(seed, sizes)?;
+    let mut cost = Cost::default();
+    for _ in 0..REPETITIONS {
+        let endpoint = pair.change_endpoint();
+        cost.add(pair.update_endpoints(EndpointUpdate::Delta, vec![endpoint]));
+    }
+    Ok(local_figures(cost, REPETITIONS))
+}
+
+/// The whole list again, with one change.
+pub(super) fn measure_snapshot(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
+    let mut pair = GatewayPair::new(seed, sizes)?;
+    let mut cost = Cost::default();
+    for _ in 0..REPETITIONS {
+        pair.change_endpoint();
+        let endpoints = pair.endpoints.clone();
+        cost.add(pair.update_endpoints(EndpointUpdate::Snapshot, endpoints));
+    }
+    Ok(local_figures(cost, REPETITIONS))
+}
+
+/// A timer between two control ticks, while requests are open.
+pub(super) fn measure_timer(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
+    // One more request stays open than elsewhere, where one is under way: none arrives here.
+    let sizes = FleetSizes {
+        open_requests: sizes.open_requests + 1,
+        ..sizes
+    };
+    let mut pair = GatewayPair::new(seed, sizes)?;
+    let mut cost = Cost::default();
+    for _ in 0..REPETITIONS {
+        pair.now = pair.next_timer();
+        cost.add(pair.fire_timer(MEASURED));
+    }
+    Ok(local_figures(cost, REPETITIONS))
+}
+
+/// A control tick while no request is open.
+pub(super) fn measure_control_tick(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
+    let mut pair = GatewayPair::new(
+        seed,
+        FleetSizes {
+            open_requests: 1,
+            ..sizes
+        },
+    )?;
+    let mut cost = Cost::default();
+    for _ in 0..REPETITIONS {
+        pair.now = pair.now + CONTROL_TICK + MILLISECOND;
+        cost.add(pair.fire_timer(MEASURED));
+    }
+    Ok(local_figures(cost, REPETITIONS))
+}
--- a/crates/fleet-lab/src/simulate/engine/attempts.rs
+++ b/crates/fleet-lab/src/simulate/engine/attempts.rs
@@ -1,12 +1,13 @@
 //! Attempts: from a gateway to a server, and how they end.
 
 use super::queue::{AttemptKey, AttemptResult, SimulationEvent};
-use super::{Engine, OpenAttempt};
+use super::state::OpenAttempt;
+use super::Engine;
 use crate::time::draw_duration;
 use crate::world::final_answer::FinalAnswer;
-use crate::world::invariant::Invariant;
 use crate::world::invariant_checker::SentAttempt;
-use crate::world::servers::{Job, Server, ServerEvent};
+use crate::world::server_events::{Job, ServerEvent};
+use crate::world::servers::Server;
 use crate::world::RequestNumber;
 use gateway_core::{
     AttemptNumber, AttemptOutcome, Endpoint, EndpointState, Event, GatewayId, RequestId, ServerId,
@@ -101,12 +102,7 @@
         if index.is_some() && self.discovery.knows_server(gateway, id) {
             return index;
         }
-        let problem = format!(
-            "gateway {} sent to server {}, which it was never told of",
-            gateway.0, id.0
-        );
-        self.checker
-            .record_violation(self.now, Invariant::Drain, problem);
+        self.checker.sent_to_unlisted_server(self.now, gateway, id);
         None
     }
 
@@ -128,7 +124,8 @@
         if !self.checker.attempt_sent(self.now, sent) {
             return false;
         }
-        self.checker.cross_zone_attempts += u64::from(!self.is_same_zone(gateway, server));
+        let is_cross_zone = !self.is_same_zone(gateway, server);
+        self.checker.statistics.cross_zone_attempts += u64::from(is_cross_zone);
         true
     }
 
--- a/crates/fleet-lab/src/simulate/engine/faults.rs
+++ b/crates/fleet-lab/src/simulate/engine/faults.rs
@@ -1,7 +1,7 @@
 //! Fault injection: what is done to servers and gateways.
 
 use super::Engine;
-use crate::simulate::faults::FaultAction;
+use crate::simulate::fault_schedule::FaultAction;
 use crate::time::draw_duration;
 use crate::world::servers::Server;
 use crate::Failure;
--- a/crates/fleet-lab/src/simulate/engine/gateways.rs
+++ b/crates/fleet-lab/src/simulate/engine/gateways.rs
@@ -2,7 +2,7 @@
 
 use super::queue::{AttemptKey, AttemptResult, GatewayRun, SimulationEvent};
 use super::Engine;
-use crate::world::clients::ClientError;
+use crate::world::client_request::ClientError;
 use crate::world::discovery::{PollKind, PollResult};
 use crate::world::final_answer::FinalAnswer;
 use crate::world::{seconds_since_start, RequestNumber};
--- a/crates/fleet-lab/src/simulate/engine/queue.rs
+++ b/crates/fleet-lab/src/simulate/engine/queue.rs
@@ -1,9 +1,9 @@
 //! The event queue of a simulation.
 
-use crate::simulate::faults::FaultAction;
-use crate::world::clients::ClientRequest;
+use crate::simulate::fault_schedule::FaultAction;
+use crate::world::client_request::ClientRequest;
 use crate::world::discovery::PollKind;
-use crate::world::servers::Job;
+use crate::world::server_events::Job;
 use crate::world::RequestNumber;
 use gateway_core::{AttemptNumber, AttemptOutcome, GatewayId, Timestamp};
 use std::cmp::{Ordering, Reverse};
--- a/crates/fleet-lab/src/simulate/engine/requests.rs
+++ b/crates/fleet-lab/src/simulate/engine/requests.rs
@@ -1,8 +1,9 @@
 //! The clients' side of a request: its arrival, its final answer, and the client's retry.
 
 use super::queue::SimulationEvent;
-use super::{Engine, OpenRequest};
-use crate::world::clients::{ClientError, ClientRequest};
+use super::state::OpenRequest;
+use super::Engine;
+use crate::world::client_request::{ClientError, ClientRequest};
 use crate::world::final_answer::FinalAnswer;
 use crate::world::invariant_checker::ANSWER_GRACE;
 use crate::world::{RequestNumber, START};
--- a/crates/fleet-lab/src/simulate/experiment.rs
+++ b/crates/fleet-lab/src/simulate/experiment.rs
@@ -1,8 +1,10 @@
 //! What is to be simulated, derived from the arguments.
 
-use super::faults::{Fault, FaultSchedule, FaultScheduler};
+use super::fault::Fault;
+use super::fault_schedule::FaultSchedule;
+use super::fault_scheduler::FaultScheduler;
 use crate::time::DurationExt;
-use crate::world::servers::Machine;
+use crate::world::machine::Machine;
 use crate::world::{random_stream, Rng};
 use crate::Failure;
 use gateway_core::settings::{self, ResolvedSettings};
--- /dev/null
+++ b/crates/fleet-lab/src/simulate/fault.rs
@@ -0,0 +1,58 @@
+//! The kinds of faults and their names on the command line.
+
+use crate::Failure;
+
+/// A kind of fault.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Fault {
+    /// None.
+    Calm,
+    /// All customers ask for half as much again, and two customers flood.
+    Burst,
+    /// One of eight servers accepts requests and answers none.
+    Hang,
+    /// One of eight servers is six times slower.
+    Slow,
+    /// Half of the servers are replaced one after the other by cold ones.
+    Drain,
+    /// Seven of ten gateways are killed at once and restart.
+    Kill,
+    /// A zone is partitioned from the others, and more messages are lost everywhere.
+    Cut,
+    /// Discovery has an outage, and one of eight servers drains in that time.
+    Silent,
+    /// One more server is started, cold.
+    Cold,
+    /// One of eight servers crashes and comes back cold.
+    Restart,
+}
+
+/// Names on the command line.
+const FAULT_NAMES: [(&str, Fault); 10] = [
+    ("calm", Fault::Calm),
+    ("burst", Fault::Burst),
+    ("hang", Fault::Hang),
+    ("slow", Fault::Slow),
+    ("drain", Fault::Drain),
+    ("kill", Fault::Kill),
+    ("cut", Fault::Cut),
+    ("silent", Fault::Silent),
+    ("cold", Fault::Cold),
+    ("restart", Fault::Restart),
+];
+
+impl Fault {
+    /// The fault of that name.
+    ///
+    /// # Errors
+    /// If there is none.
+    pub(super) fn parse(name: &str) -> Result<Fault, Failure> {
+        if let Some((_, fault)) = FAULT_NAMES.iter().find(|(known, _)| *known == name) {
+            return Ok(*fault);
+        }
+        let names = FAULT_NAMES.map(|(name, _)| name).join(", ");
+        Err(Failure::InvalidArguments(format!(
+            "no fault {name:?}; there are {names}"
+        )))
+    }
+}
--- a/crates/fleet-lab/src/simulate/faults.rs
+++ b/crates/fleet-lab/src/simulate/fault_scheduler.rs
@@ -1,10 +1,11 @@
-//! Fault injection: faults by name, and the schedule of what each one does. Spans are bounded by the duration of the
-//! simulation, so that a short one sees their end too.
+//! Draws the schedule of the faults that are asked for. Spans are bounded by the duration of the simulation, so that a
+//! short one sees their end too.
 
+use super::fault::Fault;
+use super::fault_schedule::{FaultAction, FaultSchedule, ScheduledAction};
 use crate::time::{draw_timestamp, DurationExt};
-use crate::world::datagrams::{Partition, Partitions, Temporary};
+use crate::world::datagrams::{Partition, Temporary};
 use crate::world::{Rng, TimeSpan, START};
-use crate::Failure;
 use gateway_core::{Endpoint, GatewayId, ServerId, Timestamp, ZoneId};
 use rand::seq::SliceRandom;
 use rand::Rng as _;
@@ -26,118 +27,6 @@
 /// Of ten gateways so many are killed.
 const KILLED_OF_TEN: usize = 7;
 
-/// A kind of fault.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Fault {
-    /// None.
-    Calm,
-    /// All customers ask for half as much again, and two customers flood.
-    Burst,
-    /// One of eight servers accepts requests and answers none.
-    Hang,
-    /// One of eight servers is six times slower.
-    Slow,
-    /// Half of the servers are replaced one after the other by cold ones.
-    Drain,
-    /// Seven of ten gateways are killed at once and restart.
-    Kill,
-    /// A zone is partitioned from the others, and more messages are lost everywhere.
-    Cut,
-    /// Discovery has an outage, and one of eight servers drains in that time.
-    Silent,
-    /// One more server is started, cold.
-    Cold,
-    /// One of eight servers crashes and comes back cold.
-    Restart,
-}
-
-/// Names on the command line.
-const FAULT_NAMES: [(&str, Fault); 10] = [
-    ("calm", Fault::Calm),
-    ("burst", Fault::Burst),
-    ("hang", Fault::Hang),
-    ("slow", Fault::Slow),
-    ("drain", Fault::Drain),
-    ("kill", Fault::Kill),
-    ("cut", Fault::Cut),
-    ("silent", Fault::Silent),
-    ("cold", Fault::Cold),
-    ("restart", Fault::Restart),
-];
-
-impl Fault {
-    /// The fault of that name.
-    ///
-    /// # Errors
-    /// If there is none.
-    pub(super) fn parse(name: &str) -> Result<Fault, Failure> {
-        if let Some((_, fault)) = FAULT_NAMES.iter().find(|(known, _)| *known == name) {
-            return Ok(*fault);
-        }
-        let names = FAULT_NAMES.map(|(name, _)| name).join(", ");
-        Err(Failure::InvalidArguments(format!(
-            "no fault {name:?}; there are {names}"
-        )))
-    }
-}
-
-/// What is done to a server or gateway.
-#[derive(Clone, Copy, Debug)]
-pub enum FaultAction {
-    /// A server answers nothing for a while.
-    HangServer {
-        /// The server.
-        server: ServerId,
-        /// When it answers again.
-        until: Timestamp,
-    },
-    /// A server takes longer for all work.
-    SlowServer {
-        /// The server.
-        server: ServerId,
-        /// By this factor; 1 ends the slowness.
-        factor: f64,
-    },
-    /// A new server starts, cold.
-    StartServer(Endpoint),
-    /// Discovery lists a server as draining.
-    DrainServer(ServerId),
-    /// A server's process ends.
-    StopServer(ServerId),
-    /// A server's process starts again, cold.
-    RestartServer(ServerId),
-    /// A gateway is killed.
-    KillGateway(GatewayId),
-    /// A gateway starts again.
-    RestartGateway(GatewayId),
-}
-
-/// A fault action and its time.
-#[derive(Clone, Copy, Debug)]
-pub struct ScheduledAction {
-    /// When.
-    pub at: Timestamp,
-    /// What is done.
-    pub action: FaultAction,
-}
-
-/// All faults of a simulation.
-#[derive(Clone, Debug, Default)]
-pub struct FaultSchedule {
-    /// What is done to servers and gateways.
-    pub actions: Vec<ScheduledAction>,
-    /// Network partitions.
-    pub partitions: Partitions,
-    /// When discovery answers nothing.
-    pub discovery_outages: Vec<TimeSpan>,
-    /// When all customers ask for a multiple.
-    pub surges: Vec<Temporary>,
-    /// When two customers add a share to all traffic.
-    pub flood: Option<Temporary>,
-    /// When a share of all messages is lost.
-    pub message_loss: Option<Temporary>,
-}
-
 /// Draws the entry of a new server, in a zone by number and with its start time.
 pub(super) type NewEndpoint<'a> = dyn FnMut(u32, Option<Timestamp>) -> Endpoint + 'a;
 
--- a/crates/fleet-lab/src/simulate/mod.rs
+++ b/crates/fleet-lab/src/simulate/mod.rs
@@ -3,7 +3,9 @@
 
 mod engine;
 mod experiment;
-mod faults;
+mod fault;
+mod fault_schedule;
+mod fault_scheduler;
 mod host;
 mod plot;
 mod report;
@@ -11,7 +13,7 @@
 
 pub use engine::{simulate, DecisionModule, NewModule, SimulationResult};
 pub use experiment::{Experiment, ExperimentConfig};
-pub use faults::{FaultAction, FaultSchedule, ScheduledAction};
+pub use fault_schedule::{FaultAction, FaultSchedule, ScheduledAction};
 pub use report::{ClassPlanCounts, ColdServer, MessageRates, Report};
 
 use crate::Failure;
--- a/crates/fleet-lab/src/simulate/report.rs
+++ b/crates/fleet-lab/src/simulate/report.rs
@@ -6,6 +6,7 @@
 use crate::world::invariant::{Invariant, Violations};
 use crate::world::invariant_checker::InvariantChecker;
 use crate::world::request_counts::{RequestCounts, SecondCounts};
+use crate::world::request_statistics::RequestStatistics;
 use crate::world::seconds_since_start;
 use crate::world::servers::Server;
 use gateway_core::Timestamp;
@@ -143,13 +144,17 @@
         traffic: &Traffic,
         checker: InvariantChecker,
     ) -> Report {
+        let InvariantChecker {
+            statistics,
+            violations,
+            ..
+        } = checker;
         let simulated_seconds = seconds_since_start(now);
-        let by_class_and_plan = by_class_and_plan(experiment, &checker);
+        let by_class_and_plan = by_class_and_plan(experiment, &statistics);
         let mut all = RequestCounts::default();
         for counts in &by_class_and_plan {
             all.add(&counts.requests);
         }
-        let wait_ms = |quantile| checker.waits.value_at_quantile(quantile) as f64 / 1e3;
         Report {
             nodes: experiment.gateway_count(),
             servers: experiment.servers.len(),
@@ -158,20 +163,16 @@
             simulated_seconds,
             all,
             by_class_and_plan,
-            sent_units: checker.seconds.iter().map(|second| second.sent_units).sum(),
-            over_quota_units: checker
-                .seconds
-                .iter()
-                .map(|second| second.over_quota_units)
-                .sum(),
-            attempts: checker.attempts,
-            cross_zone_attempts: checker.cross_zone_attempts,
+            sent_units: statistics.sent_units(),
+            over_quota_units: statistics.over_quota_units(),
+            attempts: statistics.attempts,
+            cross_zone_attempts: statistics.cross_zone_attempts,
             messages: MessageRates::new(traffic, simulated_seconds, experiment.gateway_count()),
-            wait_p50_ms: wait_ms(0.5),
-            wait_p99_ms: wait_ms(0.99),
+            wait_p50_ms: statistics.wait_ms(0.5),
+            wait_p99_ms: statistics.wait_ms(0.99),
             cold_servers: servers.iter().filter_map(ColdServer::new).collect(),
-            violations: checker.violations,
-            seconds: checker.seconds,
+            violations,
+            seconds: statistics.seconds,
         }
     }
 
@@ -183,9 +184,17 @@
     }
 }
 
-fn by_class_and_plan(experiment: &Experiment, checker: &InvariantChecker) -> Vec<ClassPlanCounts> {
+fn by_class_and_plan(
+    experiment: &Experiment,
+    statistics: &RequestStatistics,
+) -> Vec<ClassPlanCounts> {
     let mut all = Vec::new();
-    for (class, plans) in experiment.resolved.class_names.iter().zip(&checker.counts) {
+    for (class, plans) in experiment
+        .resolved
+        .class_names
+        .iter()
+        .zip(&statistics.counts)
+    {
         for (plan, requests) in experiment.resolved.plan_names.iter().zip(plans) {
             all.push(ClassPlanCounts {
                 class: class.clone(),
--- a/crates/fleet-lab/src/time.rs
+++ b/crates/fleet-lab/src/time.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Microseconds in a second.
-const MICROS_PER_SECOND: f64 = 1e6;
+pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Durations as numbers.
 ///
--- /dev/null
+++ b/crates/fleet-lab/src/world/customers.rs
@@ -0,0 +1,177 @@
+//! The customers of a simulation: their plans, their gateways and how much they ask for.
+
+use super::demand_pattern::{DemandPattern, Phase};
+use super::request_size::mean_units;
+use super::Rng;
+use crate::time::DurationExt;
+use gateway_core::{CustomerId, GatewayId, PlanId, Settings, Timestamp};
+use rand::Rng as _;
+use std::ops::Range;
+use std::time::Duration;
+
+/// Requests a second of a customer whose plan has no quota.
+const UNLIMITED_RATE_PER_SECOND: f64 = 5.0;
+/// How long a customer prefers the same one of its gateways, s.
+const PREFERENCE_SECONDS: Range<f64> = 7.8..22.0;
+/// Customer ids have 33 bits, by the protocol.
+const CUSTOMER_IDS: Range<u64> = 1..1 << 33;
+/// One of so many gateways of the fleet serves a customer, within [`MIN_GATEWAY_LIMIT`] and [`MAX_GATEWAY_LIMIT`].
+const FLEET_PER_CUSTOMER_GATEWAY: u32 = 20;
+/// Minimum of the limit on a customer's gateways.
+const MIN_GATEWAY_LIMIT: u32 = 4;
+/// Maximum of the limit on a customer's gateways.
+const MAX_GATEWAY_LIMIT: u32 = 24;
+/// Minimum number of a customer's gateways, in a fleet that has as many.
+const MIN_GATEWAYS: u32 = 2;
+
+/// Which of its gateways a customer uses most, counted from the first, and until when.
+#[derive(Clone, Copy, Debug)]
+struct PreferredGateway {
+    offset: u32,
+    until: Timestamp,
+}
+
+/// A customer.
+#[derive(Clone, Debug)]
+pub struct Customer {
+    /// Its id.
+    pub id: CustomerId,
+    /// Its plan.
+    pub plan: PlanId,
+    /// The first of its gateways.
+    pub first_gateway: GatewayId,
+    /// How many gateways it uses.
+    pub gateway_count: u32,
+    /// Requests a second that use its whole quota.
+    quota_rate: f64,
+    pattern: DemandPattern,
+    phase: Phase,
+    preferred: PreferredGateway,
+    /// Additional requests a second during a flood.
+    flood_rate: f64,
+}
+
+impl Customer {
+    /// Requests a second that the customer asks for now, if all customers ask for `surge` times as much as usual.
+    pub(super) fn request_rate(
+        &mut self,
+        rng: &mut Rng,
+        now: Timestamp,
+        surge: f64,
+        is_flooding: bool,
+    ) -> f64 {
+        if now >= self.phase.until {
+            self.phase = self.pattern.next_phase(rng, now, self.phase);
+        }
+        let share = self.pattern.share(self.phase.is_peak);
+        let flood_rate = if is_flooding { self.flood_rate } else { 0.0 };
+        self.quota_rate * share * surge + flood_rate
+    }
+
+    /// Lets the customer take part in a flood, with so many requests a second.
+    pub(super) fn join_flood(&mut self, rate: f64) {
+        self.flood_rate += rate;
+    }
+
+    /// Draws the gateway that a request goes to, among those of the customer that are not excluded. A gateway's
+    /// probability is inverse to its rank, counted from the preferred one.
+    pub(super) fn pick_gateway(
+        &mut self,
+        rng: &mut Rng,
+        now: Timestamp,
+        fleet_size: u32,
+        is_excluded: impl Fn(GatewayId) -> bool,
+    ) -> Option<GatewayId> {
+        self.update_preference(rng, now);
+        let gateway_of_rank = |rank: u32| self.gateway_of_rank(rank, fleet_size);
+        let ranks = 0..self.gateway_count;
+        let available: Vec<u32> = ranks
+            .filter(|rank| !is_excluded(gateway_of_rank(*rank)))
+            .collect();
+        let weight = |rank: &u32| 1.0 / f64::from(rank + 1);
+        let mut drawn = rng.random::<f64>() * available.iter().map(weight).sum::<f64>();
+        for rank in &available {
+            drawn -= weight(rank);
+            if drawn <= 0.0 {
+                return Some(gateway_of_rank(*rank));
+            }
+        }
+        available.last().map(|rank| gateway_of_rank(*rank))
+    }
+
+    fn update_preference(&mut self, rng: &mut Rng, now: Timestamp) {
+        if now < self.preferred.until {
+            return;
+        }
+        let until = now + Duration::from_seconds(rng.random_range(PREFERENCE_SECONDS));
+        let offset = rng.random_range(0..self.gateway_count);
+        self.preferred = PreferredGateway { offset, until };
+    }
+
+    fn gateway_of_rank(&self, rank: u32, fleet_size: u32) -> GatewayId {
+        let offset = (self.preferred.offset + rank) % self.gateway_count;
+        GatewayId((self.first_gateway.0 + offset) % fleet_size)
+    }
+}
+
+/// Draws as many customers of one plan as ask for its equal part of `total_rate` requests a second.
+pub(super) fn draw_customers(
+    rng: &mut Rng,
+    now: Timestamp,
+    settings: &Settings,
+    plan: PlanId,
+    total_rate: f64,
+) -> Vec<Customer> {
+    let target_rate = total_rate / settings.plans.len() as f64;
+    let mut customers = Vec::new();
+    let mut rate_within_quota = 0.0;
+    while rate_within_quota < target_rate {
+        let customer = draw_customer(rng, now, settings, plan);
+        rate_within_quota += customer.quota_rate * customer.pattern.mean_share_within_quota();
+        customers.push(customer);
+    }
+    // The last customer brings the sum above the target, so all ask for a little less.
+    for customer in &mut customers {
+        customer.pattern = customer.pattern.scaled(target_rate / rate_within_quota);
+    }
+    customers
+}
+
+fn draw_customer(rng: &mut Rng, now: Timestamp, settings: &Settings, plan: PlanId) -> Customer {
+    let max_gateways = max_gateways_per_customer(settings.gateway_count);
+    // The order of these fields is the order in which their values are drawn.
+    Customer {
+        id: CustomerId(rng.random_range(CUSTOMER_IDS)),
+        pattern: DemandPattern::draw(rng),
+        first_gateway: GatewayId(rng.random_range(0..settings.gateway_count)),
+        gateway_count: rng.random_range(max_gateways.min(MIN_GATEWAYS)..=max_gateways),
+        plan,
+        quota_rate: quota_rate(settings, plan),
+        phase: Phase {
+            is_peak: false,
+            until: now,
+        },
+        preferred: PreferredGateway {
+            offset: 0,
+            until: now,
+        },
+        flood_rate: 0.0,
+    }
+}
+
+/// Requests a second by which a customer of a plan uses its whole quota.
+fn quota_rate(settings: &Settings, plan: PlanId) -> f64 {
+    let quota = settings.plans[plan.0].rate;
+    if quota > 0.0 {
+        quota / mean_units(settings.max_request_units)
+    } else {
+        UNLIMITED_RATE_PER_SECOND
+    }
+}
+
+/// Maximum number of a customer's gateways in a fleet.
+fn max_gateways_per_customer(fleet_size: u32) -> u32 {
+    let limit =
+        (fleet_size / FLEET_PER_CUSTOMER_GATEWAY).clamp(MIN_GATEWAY_LIMIT, MAX_GATEWAY_LIMIT);
+    fleet_size.min(limit)
+}
--- a/crates/fleet-lab/src/world/invariant_checker.rs
+++ b/crates/fleet-lab/src/world/invariant_checker.rs
@@ -1,33 +1,31 @@
 //! The invariant checker: the lab's own records of every request, server and customer. It knows nothing of the
 //! internals of the decision module, and sees the true state without delay.
 
-use super::clients::ClientRequest;
+use super::client_request::ClientRequest;
 use super::cold_start::ColdStartLoad;
 use super::customer_account::{Charge, CustomerAccount, CustomerPlan};
 use super::draining::DrainGrace;
 use super::final_answer::FinalAnswer;
 use super::invariant::{Invariant, Violations};
-use super::request_counts::{RequestCounts, SecondCounts};
+use super::request_counts::RequestCounts;
 use super::request_record::{AttemptRecord, RequestRecord, SimulatedRequestRecord};
+use super::request_statistics::RequestStatistics;
 use super::usage_limit::Excess;
-use super::{seconds_since_start, RequestNumber, START};
+use super::{seconds_since_start, RequestNumber};
 use crate::time::DurationExt;
 use gateway_core::{
     AttemptNumber, AttemptOutcome, Endpoint, GatewayId, Idempotency, ServerId, Settings, Timestamp,
 };
-use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Simulated time after a request's timeout in which its final answer is still in time. On sockets it is longer, as
 /// processes have to wait for the processor there.
 pub const ANSWER_GRACE: Duration = Duration::from_millis(8);
-/// Above this share of calls from gateways that knew of the start, the crash of a cold server is their fault.
-const MAX_START_KNOWN_SHARE: f64 = 2.0 / 3.0;
+/// Above this fraction of calls from gateways that knew of the start, the crash of a cold server is their fault.
+const MAX_START_KNOWN_FRACTION: f64 = 2.0 / 3.0;
 /// Violations of one invariant that are described.
 const MAX_EXAMPLES: usize = 3;
-/// Longest wait that the histogram holds, µs.
-const MAX_WAIT_US: u64 = 3_600_000_000;
 
 /// An attempt that a gateway is about to send.
 #[derive(Clone, Copy, Debug)]
@@ -48,18 +46,10 @@
     drain_grace: DrainGrace,
     requests: Vec<SimulatedRequestRecord>,
     accounts: Vec<CustomerAccount>,
-    /// What became of requests, by class and then by plan.
-    pub counts: Vec<Vec<RequestCounts>>,
     /// Violations by invariant.
     pub violations: BTreeMap<Invariant, Violations>,
-    /// Counts by second of the simulation.
-    pub seconds: Vec<SecondCounts>,
-    /// Attempts sent.
-    pub attempts: u64,
-    /// Attempts sent to another zone.
-    pub cross_zone_attempts: u64,
-    /// Waits from arrival to first attempt, µs.
-    pub waits: Histogram<u64>,
+    /// What became of all requests.
+    pub statistics: RequestStatistics,
 }
 
 impl InvariantChecker {
@@ -76,24 +66,17 @@
             .into_iter()
             .map(|customer| CustomerAccount::new(&settings, customer))
             .collect();
-        let counts =
-            vec![vec![RequestCounts::default(); settings.plans.len()]; settings.classes.len()];
         Ok(InvariantChecker {
+            statistics: RequestStatistics::new(&settings)?,
             settings,
             drain_grace: DrainGrace(drain_grace),
             requests: Vec::new(),
             accounts,
-            counts,
             violations: BTreeMap::new(),
-            seconds: Vec::new(),
-            attempts: 0,
-            cross_zone_attempts: 0,
-            waits: Histogram::new_with_bounds(1, MAX_WAIT_US, 3)?,
         })
     }
 
-    /// Records a violation.
-    pub fn record_violation(&mut self, now: Timestamp, invariant: Invariant, description: String) {
+    fn record_violation(&mut self, now: Timestamp, invariant: Invariant, description: String) {
         let violations = self.violations.entry(invariant).or_default();
         violations.count += 1;
         if violations.examples.len() < MAX_EXAMPLES {
@@ -103,14 +86,6 @@
         }
     }
 
-    fn second(&mut self, now: Timestamp) -> &mut SecondCounts {
-        let index = now.duration_since(START).as_secs() as usize;
-        if self.seconds.len() <= index {
-            self.seconds.resize(index + 1, SecondCounts::default());
-        }
-        &mut self.seconds[index]
-    }
-
     fn count(
         &mut self,
         now: Timestamp,
@@ -118,8 +93,7 @@
         count: impl Fn(&mut RequestCounts),
     ) {
         let plan = self.accounts[request.customer].plan;
-        count(&mut self.counts[request.class.0][plan.0]);
-        count(&mut self.second(now).requests);
+        self.statistics.count(now, request.class, plan, count);
     }
 
     /// No gateway accepted a request.
@@ -134,6 +108,20 @@
         RequestNumber(self.requests.len() as u64 - 1)
     }
 
+    /// A gateway sends an attempt to a server that it does not know.
+    pub fn sent_to_unlisted_server(
+        &mut self,
+        now: Timestamp,
+        gateway: GatewayId,
+        server: ServerId,
+    ) {
+        let problem = format!(
+            "gateway {} sent to server {}, which it was never told of",
+            gateway.0, server.0
+        );
+        self.record_violation(now, Invariant::Drain, problem);
+    }
+
     /// A gateway sends an attempt. Returns whether the request is open, so that the attempt may be carried out.
     pub fn attempt_sent(&mut self, now: Timestamp, sent: SentAttempt) -> bool {
         if !self.check_request_is_open(now, &sent) {
@@ -144,19 +132,15 @@
         let record = &mut self.requests[sent.request.0 as usize];
         let request = record.request.clone();
         let wait = now.duration_since(record.arrived_at);
-        let (server, sent_at) = (sent.server, now);
-        let attempt = AttemptRecord {
-            server,
-            sent_at,
+        let is_first = record.add_attempt(AttemptRecord {
+            server: sent.server,
+            sent_at: now,
             is_in_flight: true,
             is_proved_unexecuted: false,
-        };
-        let is_first = record.add_attempt(attempt);
-        self.attempts += 1;
+        });
+        self.statistics.attempts += 1;
         if is_first {
-            // Waits are bounded by the deadlines, far below the histogram's limit.
-            self.waits.saturating_record(wait.whole_micros().max(1));
-            self.charge(now, &request);
+            self.charge(now, &request, wait);
         }
         self.accounts[request.customer].attempt_sent();
         true
@@ -208,7 +192,7 @@
     }
 
     /// A request's first attempt consumes its customer's quota and hard limit.
-    fn charge(&mut self, now: Timestamp, request: &ClientRequest) {
+    fn charge(&mut self, now: Timestamp, request: &ClientRequest, wait: Duration) {
         let units = request.estimated_units;
         let account = &mut self.accounts[request.customer];
         let customer = account.id.0;
@@ -216,11 +200,8 @@
             is_within_quota,
             hard_limit_excess,
         } = account.charge(now, units);
-        let second = self.second(now);
-        second.sent_units += units;
-        if !is_within_quota {
-            second.over_quota_units += units;
-        }
+        self.statistics
+            .first_attempt_sent(now, wait, units, is_within_quota);
         if let Some(excess) = hard_limit_excess.filter(Excess::is_violation) {
             let problem = format!(
                 "customer {customer} is {:.1} units beyond its ceiling",
@@ -359,7 +340,7 @@
 
     /// A cold server was overloaded until it crashed.
     pub fn server_crashed(&mut self, now: Timestamp, server: ServerId, load: ColdStartLoad) {
-        if load.start_known_share > MAX_START_KNOWN_SHARE {
+        if load.start_known_share > MAX_START_KNOWN_FRACTION {
             let ColdStartLoad { calls, budget, .. } = load;
             let age = load.age.as_seconds();
             let problem = format!(
--- a/crates/fleet-lab/src/world/mod.rs
+++ b/crates/fleet-lab/src/world/mod.rs
@@ -4,9 +4,11 @@
 //! `hybrid` uses the parts that do not depend on how time passes: the records of requests, limits and drains, and the
 //! checks on them. This module imports neither `hybrid` nor `simulate`.
 
+pub mod client_request;
 pub mod clients;
 pub mod cold_start;
 pub mod customer_account;
+pub mod customers;
 pub mod datagrams;
 mod demand_pattern;
 pub mod discovery;
@@ -14,9 +16,13 @@
 pub mod final_answer;
 pub mod invariant;
 pub mod invariant_checker;
+mod load_report;
+pub mod machine;
 pub mod request_counts;
 pub mod request_record;
 mod request_size;
+pub mod request_statistics;
+pub mod server_events;
 pub mod servers;
 pub mod token_bucket;
 pub mod usage_limit;
--- a/crates/fleet-lab/src/world/request_record.rs
+++ b/crates/fleet-lab/src/world/request_record.rs
@@ -1,7 +1,7 @@
 //! The record of one request with its attempts, its executions and its end; and what the idempotency of its class
 //! permits after its attempts.
 
-use super::clients::ClientRequest;
+use super::client_request::ClientRequest;
 use gateway_core::{DeduplicationScope, Endpoint, Idempotency, Timestamp};
 
 /// The record of one request. What is known of a request and of an attempt depends on who observes them.
--- /dev/null
+++ b/crates/fleet-lab/src/world/request_statistics.rs
@@ -0,0 +1,99 @@
+//! Statistics of the requests of a simulation.
+
+use super::request_counts::{RequestCounts, SecondCounts};
+use super::START;
+use crate::time::DurationExt;
+use gateway_core::{ClassId, PlanId, Settings, Timestamp};
+use hdrhistogram::Histogram;
+use std::time::Duration;
+
+/// Longest wait that the histogram holds, µs.
+const MAX_WAIT_US: u64 = 3_600_000_000;
+/// Significant digits of waits in the histogram.
+const WAIT_DIGITS: u8 = 3;
+
+/// What became of all requests, and how long they waited.
+pub struct RequestStatistics {
+    /// What became of requests, by class and then by plan.
+    pub counts: Vec<Vec<RequestCounts>>,
+    /// Counts by second of the simulation.
+    pub seconds: Vec<SecondCounts>,
+    /// Attempts sent.
+    pub attempts: u64,
+    /// Attempts sent to another zone.
+    pub cross_zone_attempts: u64,
+    /// Waits from arrival to first attempt, µs.
+    waits: Histogram<u64>,
+}
+
+impl RequestStatistics {
+    /// Statistics without requests.
+    ///
+    /// # Errors
+    /// If the histogram of waits cannot be made.
+    pub(super) fn new(settings: &Settings) -> anyhow::Result<RequestStatistics> {
+        let by_plan = vec![RequestCounts::default(); settings.plans.len()];
+        Ok(RequestStatistics {
+            counts: vec![by_plan; settings.classes.len()],
+            seconds: Vec::new(),
+            attempts: 0,
+            cross_zone_attempts: 0,
+            waits: Histogram::new_with_bounds(1, MAX_WAIT_US, WAIT_DIGITS)?,
+        })
+    }
+
+    /// Counts what became of a request.
+    pub(super) fn count(
+        &mut self,
+        now: Timestamp,
+        class: ClassId,
+        plan: PlanId,
+        count: impl Fn(&mut RequestCounts),
+    ) {
+        count(&mut self.counts[class.0][plan.0]);
+        count(&mut self.second(now).requests);
+    }
+
+    /// Counts the units of a request whose first attempt is sent after so long a wait.
+    pub(super) fn first_attempt_sent(
+        &mut self,
+        now: Timestamp,
+        wait: Duration,
+        units: f64,
+        is_within_quota: bool,
+    ) {
+        // Waits are bounded by the deadlines, far below the histogram's limit.
+        self.waits.saturating_record(wait.whole_micros().max(1));
+        let second = self.second(now);
+        second.sent_units += units;
+        if !is_within_quota {
+            second.over_quota_units += units;
+        }
+    }
+
+    /// Units of all requests of which an attempt was sent.
+    pub fn sent_units(&self) -> f64 {
+        self.seconds.iter().map(|second| second.sent_units).sum()
+    }
+
+    /// Those of them beyond quotas.
+    pub fn over_quota_units(&self) -> f64 {
+        self.seconds
+            .iter()
+            .map(|second| second.over_quota_units)
+            .sum()
+    }
+
+    /// A quantile of the waits from arrival to first attempt, ms.
+    pub fn wait_ms(&self, quantile: f64) -> f64 {
+        self.waits.value_at_quantile(quantile) as f64 / 1e3
+    }
+
+    fn second(&mut self, now: Timestamp) -> &mut SecondCounts {
+        let index = now.duration_since(START).as_secs() as usize;
+        if self.seconds.len() <= index {
+            self.seconds.resize(index + 1, SecondCounts::default());
+        }
+        &mut self.seconds[index]
+    }
+}
--- a/crates/fleet-lab/src/world/servers.rs
+++ b/crates/fleet-lab/src/world/servers.rs
@@ -1,90 +1,15 @@
 //! Servers: cores, a queue, load reports, the crash of a cold server that is overloaded, hangs, slowness and drains.
 
 use super::cold_start::{ColdCall, ColdStart, ColdStartLoad};
+use super::load_report::LoadReport;
+use super::machine::Machine;
+use super::server_events::{Job, ServerEvent};
 use super::{RequestNumber, Rng, TimeSpan};
 use crate::time::{draw_duration, DurationExt};
-use gateway_core::{AttemptNumber, AttemptOutcome, Endpoint, GatewayId, Rules, Timestamp};
+use gateway_core::{AttemptNumber, AttemptOutcome, Endpoint, Rules, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
-use std::ops::Range;
 use std::time::Duration;
 
-/// Microseconds in a second.
-const MICROS_PER_SECOND: f64 = 1e6;
-
-/// What kind of machine the servers are.
-#[derive(Clone, Debug)]
-pub struct Machine {
-    /// Requests that run at once.
-    pub cores: u32,
-    /// Requests that it holds at most, running or queued; further ones are rejected without running.
-    pub slots: usize,
-    /// Work of a request on a warm core, uniformly distributed.
-    pub work: Range<Duration>,
-    /// Interval at which a server measures the load that it reports; each server draws its own.
-    pub report_interval: Range<Duration>,
-}
-
-impl Machine {
-    /// Mean work of a request, µs.
-    pub fn mean_work_us(&self) -> f64 {
-        (self.work.start + self.work.end).as_micros_f64() / 2.0
-    }
-
-    /// Requests of mean work that a warm server completes in a second.
-    pub fn capacity(&self) -> f64 {
-        f64::from(self.cores) * MICROS_PER_SECOND / self.mean_work_us()
-    }
-}
-
-/// An attempt that has arrived at a server.
-#[derive(Clone, Copy, Debug)]
-pub struct Job {
-    /// The request.
-    pub request: RequestNumber,
-    /// Which attempt of it.
-    pub attempt: AttemptNumber,
-    /// The gateway that waits for the answer.
-    pub gateway: GatewayId,
-    /// When it is dropped if it is still queued.
-    pub expires_at: Timestamp,
-    /// Its work on a warm core.
-    pub work: Duration,
-    /// Whether its gateway knew of the server's latest start.
-    pub start_known: bool,
-}
-
-/// What happens at a server.
-#[derive(Debug)]
-pub enum ServerEvent {
-    /// A request begins to run.
-    Started {
-        /// For [`Server::complete`].
-        run: u64,
-        /// When it is done, unless the server hangs meanwhile.
-        done_at: Timestamp,
-        /// The attempt.
-        job: Job,
-    },
-    /// A running request takes longer.
-    Delayed {
-        /// For [`Server::complete`].
-        run: u64,
-        /// When it is done.
-        done_at: Timestamp,
-    },
-    /// An attempt ends; its gateway gets the outcome unless a partition separates them.
-    Finished {
-        /// The attempt.
-        job: Job,
-        /// How it ended.
-        outcome: AttemptOutcome,
-        /// The load report, if the server answers.
-        reported_load: Option<f64>,
-    },
-    /// The server was cold and was overloaded.
-    Crashed(ColdStartLoad),
-}
-
 /// Whether a server's process accepts connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProcessState {
@@ -93,13 +18,6 @@
     Crashed,
 }
 
-/// The load that a server reports until the next measurement.
-#[derive(Default)]
-struct LoadReport {
-    expires_at: Timestamp,
-    load: f64,
-}
-
 /// One server.
 pub struct Server {
     /// Its entry in the list of servers.
@@ -113,15 +31,14 @@
     hang: Option<TimeSpan>,
     /// Factor by which all work takes longer.
     slowdown: f64,
-    report: LoadReport,
-    report_interval: Duration,
+    load_report: LoadReport,
     cold_start: ColdStart,
 }
 
 impl Server {
     /// An idle server.
     pub fn new(rng: &mut Rng, endpoint: Endpoint, machine: Machine, rules: Rules) -> Server {
-        let report_interval = draw_duration(rng, &machine.report_interval);
+        let load_report = LoadReport::new(draw_duration(rng, &machine.report_interval));
         Server {
             endpoint,
             cold_start: ColdStart::new(rules, machine.capacity()),
@@ -132,8 +49,7 @@
             last_run: 0,
             hang: None,
             slowdown: 1.0,
-            report: LoadReport::default(),
-            report_interval,
+            load_report,
         }
     }
 
@@ -173,10 +89,7 @@
         self.endpoint.started_at = Some(now);
         self.hang = None;
         self.slowdown = 1.0;
-        self.report = LoadReport {
-            expires_at: now,
-            load: 0.0,
-        };
+        self.load_report.restart(now);
         self.cold_start.restart();
     }
 
@@ -199,58 +112,50 @@
         }));
     }
 
-    fn held(&self) -> usize {
+    /// Requests that run or are queued.
+    fn held_requests(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
-    /// The load that an answer reports, measured anew when the last report has expired.
     fn reported_load(&mut self, now: Timestamp) -> Option<f64> {
-        if now >= self.report.expires_at {
-            self.report = LoadReport {
-                expires_at: now + self.report_interval,
-                load: self.held() as f64,
-            };
-        }
-        Some(self.report.load)
+        let held_requests = self.held_requests();
+        Some(self.load_report.current(now, held_requests))
     }
 
     /// An attempt arrives.
     pub fn arrive(&mut self, now: Timestamp, job: Job, events: &mut Vec<ServerEvent>) {
         if !self.is_up() {
-            let outcome = AttemptOutcome::Unreachable;
             events.push(ServerEvent::Finished {
                 job,
-                outcome,
+                outcome: AttemptOutcome::Unreachable,
                 reported_load: None,
             });
-            return;
-        }
-        let work = job.work.as_micros_f64() / self.machine.mean_work_us();
-        let call = ColdCall {
-            at: now,
-            work,
-            start_known: job.start_known,
-        };
-        if self
-            .cold_start
-            .is_overloaded_by(call, self.endpoint.started_at)
-        {
+        } else if self.is_overloaded_by(now, &job) {
             self.queue.push_back(job);
             self.end_process(ProcessState::Crashed, events);
             events.push(ServerEvent::Crashed(self.cold_start.highest_load()));
-            return;
-        }
-        if self.held() >= self.machine.slots {
+        } else if self.held_requests() >= self.machine.slots {
             let reported_load = self.reported_load(now);
             events.push(ServerEvent::Finished {
                 job,
                 outcome: AttemptOutcome::Overloaded,
                 reported_load,
             });
-            return;
+        } else {
+            self.queue.push_back(job);
+            self.start_queued(now, events);
         }
-        self.queue.push_back(job);
-        self.start_queued(now, events);
+    }
+
+    /// Counts an attempt while the server is cold; returns whether the server is overloaded by it.
+    fn is_overloaded_by(&mut self, now: Timestamp, job: &Job) -> bool {
+        let call = ColdCall {
+            at: now,
+            work: job.work.as_micros_f64() / self.machine.mean_work_us(),
+            start_known: job.start_known,
+        };
+        self.cold_start
+            .is_overloaded_by(call, self.endpoint.started_at)
     }
 
     /// Starts queued requests while there are idle cores.
@@ -262,12 +167,7 @@
             if job.expires_at <= now {
                 continue; // its gateway no longer waits for it
             }
-            let warm_up_fraction = self
-                .cold_start
-                .warm_up_fraction(now, self.endpoint.started_at);
-            let duration = Duration::from_micros_f64(
-                job.work.as_micros_f64() * self.slowdown / warm_up_fraction,
-            );
+            let duration = self.execution_time(now, &job);
             let starts_at = self.hang.map_or(now, |hang| hang.end.max(now));
             self.last_run += 1;
             self.running.insert(self.last_run, job);
@@ -279,6 +179,14 @@
         }
     }
 
+    /// How long a request runs that starts now.
+    fn execution_time(&self, now: Timestamp, job: &Job) -> Duration {
+        let warm_up_fraction = self
+            .cold_start
+            .warm_up_fraction(now, self.endpoint.started_at);
+        Duration::from_micros_f64(job.work.as_micros_f64() * self.slowdown / warm_up_fraction)
+    }
+
     /// A running request is due: it is done now, or later if the server hangs.
     pub fn complete(&mut self, now: Timestamp, run: u64, events: &mut Vec<ServerEvent>) {
         if let Some(hang) = self.hang.filter(|hang| hang.contains(now)) {
--- a/crates/fleet-lab/tests/hybrid.rs
+++ b/crates/fleet-lab/tests/hybrid.rs
@@ -1,9 +1,8 @@
 //! `fleet-lab hybrid`: its invariants on scripted requests, and short runs with the edge node's real program.
 
-use fleet_lab::hybrid::ledger::{
-    CustomerQuota, InvariantResult, Ledger, Quota, ReceivedAnswer, SentRequest, ANSWER_GRACE,
-    SOCKET_TOLERANCE,
-};
+use fleet_lab::hybrid::ledger::{InvariantResult, Ledger, ANSWER_GRACE, SOCKET_TOLERANCE};
+use fleet_lab::hybrid::observed_request::{ReceivedAnswer, SentRequest};
+use fleet_lab::hybrid::quotas::{CustomerQuota, Quota};
 use fleet_lab::hybrid::report::{NodeTotals, Report};
 use fleet_lab::world::final_answer::FinalAnswer;
 use gateway_core::{CustomerId, EndpointState, GatewayId, ServerId, Timestamp};
@@ -28,7 +27,7 @@
         rate: 10.0,
         burst: 20.0,
         tolerance: 5.0,
-        tolerance_per_s: 0.0,
+        tolerance_per_second: 0.0,
     };
     Ledger::new(
         START,
--- a/crates/fleet-lab/tests/world.rs
+++ b/crates/fleet-lab/tests/world.rs
@@ -1,6 +1,7 @@
 //! The lab's model of what surrounds the gateways, part by part.
 
-use fleet_lab::world::clients::{ClientError, Clients, Demand};
+use fleet_lab::world::client_request::ClientError;
+use fleet_lab::world::clients::{Clients, Demand};
 use fleet_lab::world::cold_start::ColdStartLoad;
 use fleet_lab::world::customer_account::CustomerPlan;
 use fleet_lab::world::datagrams::{
@@ -11,9 +12,11 @@
 use fleet_lab::world::final_answer::FinalAnswer;
 use fleet_lab::world::invariant::Invariant;
 use fleet_lab::world::invariant_checker::{InvariantChecker, SentAttempt};
+use fleet_lab::world::machine::Machine;
 use fleet_lab::world::request_counts::RequestCounts;
 use fleet_lab::world::request_record::RequestRecord;
-use fleet_lab::world::servers::{Job, Machine, Server, ServerEvent};
+use fleet_lab::world::server_events::{Job, ServerEvent};
+use fleet_lab::world::servers::Server;
 use fleet_lab::world::token_bucket::TokenBucket;
 use fleet_lab::world::usage_limit::UsageLimit;
 use fleet_lab::world::{random_stream, RequestNumber, TimeSpan, START};
@@ -346,7 +349,7 @@
         checker.attempt_sent(START, sent(count % 6, number, 1, None));
     }
     assert_eq!(checker.violations[&Invariant::HardLimit].count, 1);
-    let second = checker.seconds[0];
+    let second = checker.statistics.seconds[0];
     assert_eq!(
         (second.sent_units, second.over_quota_units),
         (190.0, 190.0 - 97.0)
@@ -383,7 +386,7 @@
             failed: 1,
             ..RequestCounts::default()
         };
-        assert_eq!(checker.counts[1][0], counts);
+        assert_eq!(checker.statistics.counts[1][0], counts);
     }
 }
 
