--- a/crates/gateway-core/src/gateway/gossip.rs
+++ b/crates/gateway-core/src/gateway/gossip.rs
@@ -3,7 +3,8 @@
 
 use super::Gateway;
 use crate::message::{self, GossipDigest, HealthReport, Message, UsageCounts, MAX_USAGE_COUNTS};
-use crate::policy::fleet_mode::{LATENCY_RATIO_WEIGHT, THROUGHPUT_WEIGHT};
+use crate::policy::controller_inputs::LATENCY_RATIO_WEIGHT;
+use crate::policy::fleet_mode::THROUGHPUT_WEIGHT;
 use crate::policy::gossip as policy;
 use crate::policy::load_balancing::SAMPLE_SIZE;
 use crate::policy::quota_sharing::gossip::{merge_usage, USAGE_LIFETIME};
@@ -83,7 +84,7 @@
             .recent_reports(now, policy::REPORT_LIFETIME, max_reports);
         GossipDigest {
             throughput: self.fleet.throughput,
-            latency_ratios: self.fleet.latency_ratios.clone(),
+            latency_ratios: self.fleet.latency_ratios().to_vec(),
             reports: policy::select_reports(reports, self.fleet.median_wait, &mut self.random),
         }
     }
@@ -95,7 +96,7 @@
             THROUGHPUT_WEIGHT,
         );
         for (class, ratio) in digest.latency_ratios.into_iter().enumerate() {
-            if ratio >= 0.0 {
+            if let Some(ratio) = ratio {
                 self.fleet
                     .merge_latency_ratio(ClassId(class), ratio, LATENCY_RATIO_WEIGHT);
             }
--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -24,25 +24,30 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(account) = self.quotas.account(request.customer) else {
+        let Some(account) = self.quotas.account(request.customer()) else {
             return;
         };
         let gateways = account.gateways();
         let plan = self.deployment.plan_of(request);
-        let owners = owners_of(&self.deployment.settings, request.customer, plan, gateways);
+        let owners = owners_of(
+            &self.deployment.settings,
+            request.customer(),
+            plan,
+            gateways,
+        );
         let owner = policy::next_owner(&self.quotas, now, owners, request, &mut self.random);
         let sequence = self.quotas.next_sequence();
-        let Some(account) = self.quotas.account_mut(request.customer) else {
+        let Some(account) = self.quotas.account_mut(request.customer()) else {
             return;
         };
-        let renewal = policy::renew(account, now, request.units, owner.index);
+        let renewal = policy::renew(account, now, request.units(), owner.index);
         let lease_request = LeaseRequest {
             sequence,
-            customer: request.customer,
-            plan: request.plan,
+            customer: request.customer(),
+            plan: request.plan(),
             gateways,
             owner_index: owner.index,
-            units: request.units,
+            units: request.units(),
             requested_units: renewal.requested_units,
             returned: renewal.returned,
         };
@@ -141,7 +146,7 @@
             request.quota.record_rejection();
         }
         let owner = request.quota.owner();
-        let customer = request.customer;
+        let customer = request.customer();
         let hard_limit = self.deployment.plan_of(request).hard_limit.as_ref();
         let expires_at = pending.sent_at + lease_lifetime(hard_limit);
         self.quotas.record_response(owner.gateway);
@@ -207,7 +212,7 @@
     fn set_grant(&mut self, now: Timestamp, id: &RequestId, grant: RequestGrant) {
         if let Some(request) = self.requests.get_mut(id) {
             request.quota.set_grant(grant);
-            request.due_since = now;
+            request.delayed_by_quota_until(now);
         }
     }
 
@@ -220,7 +225,7 @@
         let unsent: Vec<_> = self
             .requests
             .iter()
-            .filter(|(_, request)| request.attempts == 0)
+            .filter(|(_, request)| !request.was_sent())
             .map(|(id, _)| id.clone())
             .collect();
         for id in unsent {
@@ -232,7 +237,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let account = self.quotas.account(request.customer);
+        let account = self.quotas.account(request.customer());
         match policy::check_unsent(&self.deployment, now, request, account) {
             UnsentDecision::Wait => {}
             UnsentDecision::RequestLease => self.request_lease(now, id, actions),
@@ -256,7 +261,7 @@
             return;
         };
         request.quota.drop_grant();
-        let customer = request.customer;
+        let customer = request.customer();
         self.requests.dequeue(&id);
         self.release_permit(grant, customer, actions);
         self.request_lease(now, id, actions);
--- a/crates/gateway-core/src/gateway/requests.rs
+++ b/crates/gateway-core/src/gateway/requests.rs
@@ -59,7 +59,7 @@
                 continue;
             };
             if let Some(request) = self.requests.get_mut(id) {
-                request.cancelled = true;
+                request.attempt_cancelled();
             }
             actions.push(Action::CancelAttempt {
                 id: id.clone(),
@@ -84,9 +84,9 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        *self.rejections.entry((reason, request.plan)).or_default() += 1;
+        *self.rejections.entry((reason, request.plan())).or_default() += 1;
         if retry::may_reject(&self.deployment, request) {
-            let account = self.quotas.account(request.customer);
+            let account = self.quotas.account(request.customer());
             let retry_after = deadlines::retry_after(self.context(now), account, request);
             actions.push(Action::Reject {
                 id: id.clone(),
@@ -105,19 +105,19 @@
         let Some(request) = self.requests.remove(id) else {
             return;
         };
-        if request.attempts == 0 {
-            if let Some(account) = self.quotas.account_mut(request.customer) {
-                account.refund(request.units);
+        if !request.was_sent() {
+            if let Some(account) = self.quotas.account_mut(request.customer()) {
+                account.refund(request.units());
             }
         }
         if let Some(pending) = request.quota.pending() {
             self.quotas.remove_pending(pending.sequence);
         }
         if let Some(grant) = request.quota.grant() {
-            self.release_permit(grant, request.customer, actions);
+            self.release_permit(grant, request.customer(), actions);
         }
-        let may_cancel = !request.cancelled && self.deployment.settings.permissions.cancel_attempts;
-        if let Some(attempt) = request.in_flight.filter(|_| may_cancel) {
+        let may_cancel = self.deployment.settings.permissions.cancel_attempts;
+        if let Some(attempt) = request.cancellable_attempt().filter(|_| may_cancel) {
             actions.push(Action::CancelAttempt {
                 id: id.clone(),
                 attempt,
--- a/crates/gateway-core/src/gateway/server_health.rs
+++ b/crates/gateway-core/src/gateway/server_health.rs
@@ -129,8 +129,8 @@
             let Some(request) = self.requests.get_mut(&stalled.key.request) else {
                 continue;
             };
-            if retry::cancels_stalled(&self.deployment, request, self.retry_budget) {
-                request.cancelled = true;
+            if retry::cancels_stalled(&self.deployment, request, &self.retry_budget) {
+                request.attempt_cancelled();
                 let AttemptKey {
                     request: id,
                     number: attempt,
--- a/crates/gateway-core/src/policy/admission.rs
+++ b/crates/gateway-core/src/policy/admission.rs
@@ -32,21 +32,13 @@
     request: &Request,
     random: &mut fastrand::Rng,
 ) -> Admission {
-    account.record_demand(context.now, request.units, MAX_LEASE_LIFETIME);
+    account.record_demand(context.now, request.units(), MAX_LEASE_LIFETIME);
     let admission = quota_sharing.on_arrival(context, account, request, random);
-    account.charge(request.units);
+    account.charge(request.units());
     admission
 }
 
 /// Whether the deadline of a request leaves no time for an attempt.
 pub(super) fn is_deadline_too_short(context: Context<'_>, request: &Request) -> bool {
-    request.deadline <= context.now + FINAL_ANSWER_MARGIN
-}
-
-/// What an answer to a request still earns: queued requests are sent the highest first.
-pub(crate) fn priority(context: Context<'_>, request: &Request) -> f64 {
-    let class = context.deployment.class_of(request);
-    let is_late = context.now > request.arrived_at + class.latency_objective;
-    let share = if is_late { class.late_weight } else { 1.0 };
-    context.deployment.priority(request) * share
+    request.deadline() <= context.now + FINAL_ANSWER_MARGIN
 }
--- a/crates/gateway-core/src/policy/quota_sharing/account.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/account.rs
@@ -38,7 +38,7 @@
     let now = context.now;
     let settings = &context.deployment.settings;
     let config = AccountConfig {
-        plan_id: request.plan,
+        plan_id: request.plan(),
         plan: context.deployment.plan_of(request),
         gateways: GatewaySet {
             count: gateways.count.clamp(1, settings.gateway_count),
@@ -48,7 +48,7 @@
     };
     let uptime = quotas.uptime(now);
     let has_restarted = quotas.has_restarted();
-    let entry = quotas.account_entry_or_insert(request.customer, || {
+    let entry = quotas.account_entry_or_insert(request.customer(), || {
         new_account(now, uptime, has_restarted, config)
     });
     follow_hints(settings, entry.account, now, config);
--- a/crates/gateway-core/src/policy/quota_sharing/gossip.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/gossip.rs
@@ -9,13 +9,13 @@
 use super::account::{observe_incarnation, PARTITIONED};
 use crate::message::UsageCounts;
 use crate::policy::admission::{is_deadline_too_short, Admission};
-use crate::policy::fleet_mode::gossip_interval;
+use crate::policy::fleet_mode::broadcast_interval;
 use crate::settings::{Plan, Settings};
 use crate::state::deployment::Context;
 use crate::state::quota::{CustomerAccount, QuotaState};
 use crate::state::request::Request;
 use crate::statistics::poisson_below;
-use crate::time::{DurationExt, Timestamp};
+use crate::time::Timestamp;
 use crate::types::{GatewayId, RejectReason};
 use crate::units::Units;
 use std::time::Duration;
@@ -62,7 +62,7 @@
     let reserved = Units::refilled(peer_units_per_second, USAGE_DELAY_SECONDS)
         .min(account.excess_burst(plan))
         .max(Units::ZERO);
-    plan.rate > 0.0 && account.quota_tokens() - reserved < request.units
+    plan.rate > 0.0 && account.quota_tokens() - reserved < request.units()
 }
 
 /// Whether the limits of its customer allow the first attempt of a queued request now; if not, it waits.
@@ -71,13 +71,13 @@
     context: Context<'_>,
     request: &Request,
 ) -> bool {
-    let Some(entry) = quotas.account_entry(request.customer) else {
+    let Some(entry) = quotas.account_entry(request.customer()) else {
         return true;
     };
     let plans = &context.deployment.settings.plans;
     let account = entry.into_refilled(context.now, plans, &PARTITIONED);
     let plan = &plans[account.plan().0];
-    if plan.hard_limit.is_some() && account.hard_limit_tokens() < request.units {
+    if plan.hard_limit.is_some() && account.hard_limit_tokens() < request.units() {
         return false;
     }
     is_below_concurrency_limit(context, account, plan)
@@ -118,11 +118,9 @@
 impl UsageBroadcasts {
     /// Broadcasts as often as the message intake of the peers allows.
     pub(super) fn new(settings: &Settings) -> Self {
-        let interval_us = gossip_interval(settings);
-        let has_recipients = interval_us > 0.0 && interval_us < f64::INFINITY;
-        let interval = MIN_BROADCAST_INTERVAL.max(Duration::from_micros_f64(interval_us));
+        let intake_interval = broadcast_interval(settings);
         UsageBroadcasts {
-            interval: has_recipients.then_some(interval),
+            interval: intake_interval.map(|interval| interval.max(MIN_BROADCAST_INTERVAL)),
         }
     }
 
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -51,7 +51,7 @@
     if is_shed {
         return Admission::Reject(RejectReason::LoadShed);
     }
-    if let Some(expires_at) = account.consume_lease(now, request.units) {
+    if let Some(expires_at) = account.consume_lease(now, request.units()) {
         return Admission::AdmitOnLease(RequestGrant {
             owner: context.deployment.settings.gateway_id,
             sequence: account.held_lease().sequence(),
@@ -107,7 +107,7 @@
     if !request.quota.is_first_try() {
         return request.quota.owner().index + 1;
     }
-    let account = quotas.account(request.customer);
+    let account = quotas.account(request.customer());
     account
         .map(CustomerAccount::held_lease)
         .filter(|lease| lease.has_units() && lease.owner_index() < owners.count())
