--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -7,9 +7,13 @@
     self as policy, AfterMiss, ResponseDecision, UnsentDecision,
 };
 use crate::policy::quota_sharing::owner::{lease_lifetime, owners_of, OwnerRequest};
-use crate::state::quota::{HeldLease, PendingLease, PermitHolder, QuotaOwner, RequestGrant};
+use crate::state::deployment::Context;
+use crate::state::quota::{
+    CustomerAccount, HeldLease, PendingLease, PermitHolder, QuotaOwner, RequestGrant,
+};
+use crate::state::request::Request;
 use crate::time::Timestamp;
-use crate::types::{CustomerId, GatewayId, GatewaySet, RejectReason, RequestId};
+use crate::types::{CustomerId, GatewayId, RejectReason, RequestId};
 use crate::units::Units;
 use crate::Action;
 
@@ -27,30 +31,19 @@
         let Some(account) = self.quotas.account(request.customer()) else {
             return;
         };
-        let gateways = account.gateways();
         let plan = self.deployment.plan_of(request);
         let owners = owners_of(
             &self.deployment.settings,
             request.customer(),
             plan,
-            gateways,
+            account.gateways(),
         );
         let owner = policy::next_owner(&self.quotas, now, owners, request, &mut self.random);
         let sequence = self.quotas.next_sequence();
         let Some(account) = self.quotas.account_mut(request.customer()) else {
             return;
         };
-        let renewal = policy::renew(account, now, request.units(), owner.index);
-        let lease_request = LeaseRequest {
-            sequence,
-            customer: request.customer(),
-            plan: request.plan(),
-            gateways,
-            owner_index: owner.index,
-            units: request.units(),
-            requested_units: renewal.requested_units,
-            returned: renewal.returned,
-        };
+        let lease_request = policy::lease_request(account, now, request, owner, sequence);
         request.quota.record_lease_request(now, sequence, owner);
         self.quotas.insert_pending(sequence, id);
         self.send_lease_request(now, owner, lease_request, actions);
@@ -103,30 +96,14 @@
         request: &LeaseRequest,
     ) -> Option<LeaseResponse> {
         let settings = &self.deployment.settings;
-        let plan = settings.plans.get(request.plan.0)?;
-        let count = request.gateways.count.clamp(1, settings.gateway_count);
-        let gateways = GatewaySet {
-            count,
-            ..request.gateways
-        };
-        let owners = owners_of(settings, request.customer, plan, gateways);
-        let customer = request.customer;
-        let request = OwnerRequest {
-            from,
-            request,
-            owners,
-            plan,
-        };
-        if !request.is_for(settings.gateway_id) {
-            return None;
-        }
+        let request = OwnerRequest::received(settings, from, request)?;
         let owned = self
             .quotas
-            .owned_or_insert(customer, || request.new_part(settings, now));
+            .owned_or_insert(request.customer(), || request.new_part(settings, now));
         Some(request.decide(settings, now, owned))
     }
 
-    /// Takes in an owner's response: what it says of the account, then what follows for the request.
+    /// Takes in an owner's response: it updates the customer's account, and decides what becomes of the request.
     pub(super) fn on_lease_response(
         &mut self,
         now: Timestamp,
@@ -142,60 +119,31 @@
         let Some(pending) = request.quota.take_pending(response.sequence) else {
             return;
         };
-        if response.decision == LeaseDecision::QuotaExceeded {
-            request.quota.record_rejection();
-        }
-        let owner = request.quota.owner();
-        let customer = request.customer();
         let hard_limit = self.deployment.plan_of(request).hard_limit.as_ref();
         let expires_at = pending.sent_at + lease_lifetime(hard_limit);
+        let owner = request.quota.owner();
         self.quotas.record_response(owner.gateway);
-        self.update_account(now, customer, owner, &response, expires_at);
-        let grant = RequestGrant {
-            owner: owner.gateway,
-            sequence: response.sequence,
-            expires_at,
-        };
-        self.continue_after_response(now, id, &response, grant, actions);
-    }
-
-    /// Notes the request probability and the lease of a response in the customer's account.
-    fn update_account(
-        &mut self,
-        now: Timestamp,
-        customer: CustomerId,
-        owner: QuotaOwner,
-        response: &LeaseResponse,
-        expires_at: Timestamp,
-    ) {
-        let Some(account) = self.quotas.account_mut(customer) else {
-            return;
-        };
-        account.set_request_probability(now, response.request_probability);
-        if response.leased_units > Units::ZERO {
-            account.hold_lease(HeldLease::new(
-                response.leased_units,
-                expires_at,
-                owner.index,
-                response.sequence,
-            ));
+        if let Some(account) = self.quotas.account_mut(request.customer()) {
+            record_response(account, now, owner, &response, expires_at);
         }
-    }
-
-    /// Sends a request, asks again or rejects it, as its owner's response demands. `grant`: what it is sent on.
-    fn continue_after_response(
-        &mut self,
-        now: Timestamp,
-        id: RequestId,
-        response: &LeaseResponse,
-        grant: RequestGrant,
-        actions: &mut Vec<Action>,
-    ) {
-        let Some(request) = self.requests.get(&id) else {
-            return;
+        if response.decision == LeaseDecision::QuotaExceeded {
+            request.quota.record_rejection();
+        }
+        let context = Context {
+            now,
+            deployment: &self.deployment,
+            fleet: &self.fleet,
         };
-        match policy::on_response(self.context(now), request, response, grant.expires_at) {
-            ResponseDecision::Send => self.enqueue_granted(now, id, grant),
+        match policy::on_response(context, request, &response, expires_at) {
+            ResponseDecision::Send => {
+                let grant = RequestGrant {
+                    owner: owner.gateway,
+                    sequence: response.sequence,
+                    expires_at,
+                };
+                grant_request(now, request, grant);
+                self.requests.enqueue(id);
+            }
             ResponseDecision::AskAgain => self.request_lease(now, id, actions),
             ResponseDecision::Reject => {
                 self.reject_or_fail(now, &id, RejectReason::QuotaExceeded, actions);
@@ -203,19 +151,6 @@
         }
     }
 
-    fn enqueue_granted(&mut self, now: Timestamp, id: RequestId, grant: RequestGrant) {
-        self.set_grant(now, &id, grant);
-        self.requests.enqueue(id);
-    }
-
-    /// From now on only the servers delay a request.
-    fn set_grant(&mut self, now: Timestamp, id: &RequestId, grant: RequestGrant) {
-        if let Some(request) = self.requests.get_mut(id) {
-            request.quota.set_grant(grant);
-            request.delayed_by_quota_until(now);
-        }
-    }
-
     /// Checks the requests that were never sent: whether their owner has failed to respond, or their grant has
     /// expired.
     pub(super) fn check_unsent_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
@@ -237,8 +172,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let account = self.quotas.account(request.customer());
-        match policy::check_unsent(&self.deployment, now, request, account) {
+        match policy::check_unsent(&self.deployment, &self.quotas, now, request) {
             UnsentDecision::Wait => {}
             UnsentDecision::RequestLease => self.request_lease(now, id, actions),
             UnsentDecision::RenewGrant(grant) => self.renew_grant(now, id, grant, actions),
@@ -287,18 +221,21 @@
         next: AfterMiss,
         actions: &mut Vec<Action>,
     ) {
-        let own_grant = RequestGrant {
-            owner: self.deployment.settings.gateway_id,
-            sequence: pending.sequence,
-            expires_at: Timestamp::MAX,
-        };
-        match next {
-            AfterMiss::AskAgain => self.request_lease(now, id, actions),
-            AfterMiss::Send => self.enqueue_granted(now, id, own_grant),
-            AfterMiss::Reject(reason) => {
-                self.set_grant(now, &id, own_grant);
-                self.reject_or_fail(now, &id, reason, actions);
-            }
+        if matches!(next, AfterMiss::AskAgain) {
+            return self.request_lease(now, id, actions);
+        }
+        if let Some(request) = self.requests.get_mut(&id) {
+            let own_grant = RequestGrant {
+                owner: self.deployment.settings.gateway_id,
+                sequence: pending.sequence,
+                expires_at: Timestamp::MAX,
+            };
+            grant_request(now, request, own_grant);
+        }
+        if let AfterMiss::Reject(reason) = next {
+            self.reject_or_fail(now, &id, reason, actions);
+        } else {
+            self.requests.enqueue(id);
         }
     }
 
@@ -309,24 +246,48 @@
         customer: CustomerId,
         actions: &mut Vec<Action>,
     ) {
-        let RequestGrant {
-            owner, sequence, ..
-        } = grant;
-        if owner == self.deployment.settings.gateway_id {
-            let holder = PermitHolder {
-                gateway: owner,
-                sequence,
-            };
-            return self.quotas.release_permit(customer, holder);
-        }
-        let account = self.quotas.account(customer);
-        let plan = account.map(|account| &self.deployment.settings.plans[account.plan().0]);
-        if plan.is_some_and(|plan| plan.max_concurrent.is_some()) {
-            let release = Message::PermitRelease(PermitRelease { sequence, customer });
-            actions.push(Action::SendToPeer {
-                to: owner,
-                bytes: message::encode(&release),
-            });
+        let sequence = grant.sequence;
+        match policy::permit_release(&self.deployment, &self.quotas, customer, grant) {
+            policy::PermitRelease::OwnPart => {
+                let holder = PermitHolder {
+                    gateway: grant.owner,
+                    sequence,
+                };
+                self.quotas.release_permit(customer, holder);
+            }
+            policy::PermitRelease::SendTo(owner) => {
+                let release = Message::PermitRelease(PermitRelease { sequence, customer });
+                actions.push(Action::SendToPeer {
+                    to: owner,
+                    bytes: message::encode(&release),
+                });
+            }
+            policy::PermitRelease::Unneeded => {}
         }
     }
 }
+
+/// Notes the request probability and the lease of an owner's response in the customer's account.
+fn record_response(
+    account: &mut CustomerAccount,
+    now: Timestamp,
+    owner: QuotaOwner,
+    response: &LeaseResponse,
+    expires_at: Timestamp,
+) {
+    account.set_request_probability(now, response.request_probability);
+    if response.leased_units > Units::ZERO {
+        account.hold_lease(HeldLease::new(
+            response.leased_units,
+            expires_at,
+            owner.index,
+            response.sequence,
+        ));
+    }
+}
+
+/// From now on only the servers delay a request.
+fn grant_request(now: Timestamp, request: &mut Request, grant: RequestGrant) {
+    request.quota.set_grant(grant);
+    request.delayed_by_quota_until(now);
+}
--- a/crates/gateway-core/src/message/decode.rs
+++ b/crates/gateway-core/src/message/decode.rs
@@ -1,5 +1,6 @@
 //! Decoding. What comes from the network may be malformed: nothing here panics.
 
+use super::layout::*;
 use super::*;
 use crate::types::GatewayId;
 
--- a/crates/gateway-core/src/message/encode.rs
+++ b/crates/gateway-core/src/message/encode.rs
@@ -1,5 +1,6 @@
 //! Encoding: little-endian numbers, one after the other. What does not fit is left out.
 
+use super::layout::*;
 use super::*;
 use crate::time::DurationExt;
 
--- a/crates/gateway-core/src/message/mod.rs
+++ b/crates/gateway-core/src/message/mod.rs
@@ -1,53 +1,22 @@
-//! Messages between gateways: their types, and their layout in at most 256 bytes. The layout is written out by hand:
-//! gateways of two releases talk to each other, so it must not follow the types as a serde codec's would.
+//! Messages between gateways: their types, and their layout in at most 256 bytes.
+//!
+//! The layout is written by hand: gateways of two releases exchange messages, so it must not follow the types as a
+//! serde codec's would.
 
 mod decode;
 mod encode;
+mod layout;
 
 pub(crate) use decode::decode;
 pub(crate) use encode::encode;
+pub(crate) use layout::MAX_USAGE_COUNTS;
 
 use crate::hash::fibonacci_hash;
 use crate::types::{ClassId, CustomerId, GatewaySet, PlanId, ServerId};
 use crate::units::Units;
 use std::time::Duration;
 
-const VERSION: u8 = 4;
-/// Kinds of messages, as encoded.
-const KIND_USAGE: u8 = 0;
-const KIND_LEASE_REQUEST: u8 = 1;
-const KIND_LEASE_RESPONSE: u8 = 2;
-const KIND_PERMIT_RELEASE: u8 = 3;
-/// Decisions on lease requests, as encoded.
-const DECISION_GRANTED: u8 = 0;
-const DECISION_QUOTA_EXCEEDED: u8 = 1;
-
-/// Bytes of a datagram.
-const MAX_MESSAGE_BYTES: usize = 256;
-/// Version, kind and incarnation.
-const USAGE_HEADER_BYTES: usize = 6;
-const CUSTOMER_BYTES: usize = 5;
-const USAGE_COUNT_BYTES: usize = CUSTOMER_BYTES + 2;
-const HEALTH_REPORT_BYTES: usize = 6;
-
-/// Steps in which small numbers are encoded: latency ratios, units and throughput ...
-const FRACTION_STEPS: f64 = 16.0;
-/// ... µs of wait ...
-const WAIT_STEP: f64 = 8_000.0;
-/// ... and µs of age.
-const AGE_STEP: Duration = Duration::from_millis(32);
-/// Encodes an unknown latency ratio, or an unknown load.
-const UNKNOWN: u8 = 255;
-/// Steps in which a failure rate is encoded.
-const FAILURE_RATE_STEPS: u8 = 31;
-/// How many classes a health report can name.
-const MAX_CLASSES: usize = 8;
-
-/// Customers whose usage fits into one message.
-pub(crate) const MAX_USAGE_COUNTS: usize =
-    (MAX_MESSAGE_BYTES - USAGE_HEADER_BYTES) / USAGE_COUNT_BYTES;
-
-/// The name by which health reports call a server. Two servers may share one.
+/// The short name of a server in health reports. Two servers may share one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ShortServerId(pub(crate) u16);
 
@@ -61,15 +30,15 @@
     pub(crate) server: ShortServerId,
     pub(crate) class: ClassId,
     pub(crate) failure_rate: f64,
-    /// µs of wait for one place, 0 while unknown.
+    /// Microseconds of wait for one in-flight slot; 0 while unknown.
     pub(crate) wait: f64,
     /// Requests that it has in flight, if that is known.
     pub(crate) load: Option<f64>,
-    /// µs since it was observed.
+    /// Time since it was observed.
     pub(crate) age: Duration,
 }
 
-/// How the fleet fares as the sender sees it; rides on lease requests and responses.
+/// How the fleet is doing as the sender sees it; appended to lease requests and responses.
 #[derive(Default)]
 pub(crate) struct GossipDigest {
     /// Answers a second at one gateway.
@@ -99,7 +68,7 @@
     pub(crate) count: u16,
 }
 
-/// Usage counts, broadcast to all peers.
+/// Usage counts, broadcast to all peers; also without any, as a heartbeat.
 pub(crate) struct UsageCounts {
     /// When the sender started, in ms.
     pub(crate) incarnation: u32,
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -5,12 +5,13 @@
 //! 1. [`on_arrival`]: it may be shed, sent on a lease that this gateway holds, rejected because too many of its
 //!    customer's requests ask, or sent to ask an owner.
 //! 2. [`next_owner`]: which owner it asks.
-//! 3. [`renew`]: which units beyond its own it asks for, so that later requests need not ask.
+//! 3. [`lease_request`]: which units beyond its own it asks for, so that later requests need not ask.
 //! 4. [`on_response`]: what follows from the owner's response.
 //! 5. [`check_unsent`]: on a timer, what follows when a response is overdue or a grant has expired.
+//! 6. [`permit_release`]: which gateway is notified that a request no longer needs its concurrency permit.
 
 use super::owner::{owner_count, RESPONSE_TIMEOUT};
-use crate::message::{LeaseDecision, LeaseResponse, ReturnedLease};
+use crate::message::{LeaseDecision, LeaseRequest, LeaseResponse, ReturnedLease};
 use crate::policy::admission::{is_deadline_too_short, Admission};
 use crate::policy::load_shedding::shed_probability;
 use crate::settings::HardLimit;
@@ -20,7 +21,7 @@
 };
 use crate::state::request::Request;
 use crate::time::{DurationExt, Timestamp};
-use crate::types::RejectReason;
+use crate::types::{CustomerId, GatewayId, RejectReason};
 use crate::units::Units;
 use std::time::Duration;
 
@@ -125,29 +126,34 @@
     })
 }
 
-/// A lease as it is asked for.
-#[derive(Default)]
-pub(crate) struct LeaseRenewal {
-    /// Units asked for beyond the request's own.
-    pub(crate) requested_units: Units,
-    /// What remains of the held lease.
-    pub(crate) returned: ReturnedLease,
-}
-
-/// The units that a lease request asks for beyond the request's own, and the rest of the held lease that it
-/// returns. Nothing while a response may be on its way: a second one would replace it.
-pub(crate) fn renew(
+/// A request's lease request to an owner.
+///
+/// Beyond the request's own units it asks for the customer's recent demand, so that later requests need not ask,
+/// and returns the rest of the held lease. It does neither while a response to the last such request may be on
+/// its way: a second response would replace the first one's lease.
+pub(crate) fn lease_request(
     account: &mut CustomerAccount,
     now: Timestamp,
-    units: Units,
-    owner_index: u32,
-) -> LeaseRenewal {
-    if now <= account.lease_requested_at() + RESPONSE_TIMEOUT {
-        return LeaseRenewal::default();
-    }
-    LeaseRenewal {
-        requested_units: account.recent_demand() - units,
-        returned: account.request_lease(now, owner_index),
+    request: &Request,
+    owner: QuotaOwner,
+    sequence: u16,
+) -> LeaseRequest {
+    let is_lease_on_its_way = now <= account.lease_requested_at() + RESPONSE_TIMEOUT;
+    let (requested_units, returned) = if is_lease_on_its_way {
+        (Units::ZERO, ReturnedLease::default())
+    } else {
+        let requested_units = account.recent_demand() - request.units();
+        (requested_units, account.request_lease(now, owner.index))
+    };
+    LeaseRequest {
+        sequence,
+        customer: request.customer(),
+        plan: request.plan(),
+        gateways: account.gateways(),
+        owner_index: owner.index,
+        units: request.units(),
+        requested_units,
+        returned,
     }
 }
 
@@ -225,12 +231,12 @@
 }
 
 /// Decides what is done about a request that was never sent: whether its grant has expired, or its lease
-/// request has been pending for too long. `account`: its customer's.
+/// request has been pending for too long.
 pub(crate) fn check_unsent(
     deployment: &Deployment,
+    quotas: &QuotaState,
     now: Timestamp,
     request: &Request,
-    account: Option<&CustomerAccount>,
 ) -> UnsentDecision {
     let hard_limit = deployment.plan_of(request).hard_limit.as_ref();
     if let Some(grant) = request.quota.grant() {
@@ -248,7 +254,7 @@
     }
     UnsentDecision::Missed {
         pending,
-        next: after_miss(request.quota.misses() + 1, hard_limit, account),
+        next: after_miss(hard_limit, quotas, request),
     }
 }
 
@@ -259,23 +265,52 @@
     RESPONSE_TIMEOUT * (1 << doublings)
 }
 
-/// Decides what follows a miss. After enough of them the customer's account here decides; under a hard limit it
-/// must not, so the request goes on asking. `misses`: those of this request, with the latest one.
-fn after_miss(
-    misses: u32,
-    hard_limit: Option<&HardLimit>,
-    account: Option<&CustomerAccount>,
-) -> AfterMiss {
+/// Decides what follows one more miss. After enough of them the customer's account here decides; under a hard
+/// limit it must not, so the request goes on asking.
+fn after_miss(hard_limit: Option<&HardLimit>, quotas: &QuotaState, request: &Request) -> AfterMiss {
+    let misses = request.quota.misses() + 1;
     if misses < MISSES_UNTIL_UNRESPONSIVE || hard_limit.is_some() {
-        AfterMiss::AskAgain
-    } else if account.is_some_and(is_covered) {
+        return AfterMiss::AskAgain;
+    }
+    if quotas.account(request.customer()).is_some_and(is_covered) {
         AfterMiss::Send
     } else {
         AfterMiss::Reject(RejectReason::OwnerUnreachable)
     }
 }
 
-/// Whether the account here covers an unsent request, whose units were deducted on arrival.
+/// Whether the account covers an unsent request, whose units were charged on arrival.
 fn is_covered(account: &CustomerAccount) -> bool {
     account.quota_tokens() >= Units::ZERO
 }
+
+/// Who is notified that a concurrency permit is no longer needed.
+pub(crate) enum PermitRelease {
+    /// This gateway, which granted it as an owner.
+    OwnPart,
+    /// The owner that granted it.
+    SendTo(GatewayId),
+    /// Nobody: the customer's plan has no permits.
+    Unneeded,
+}
+
+/// Decides who is notified that a request no longer needs the permit of its grant.
+pub(crate) fn permit_release(
+    deployment: &Deployment,
+    quotas: &QuotaState,
+    customer: CustomerId,
+    grant: RequestGrant,
+) -> PermitRelease {
+    let settings = &deployment.settings;
+    if grant.owner == settings.gateway_id {
+        return PermitRelease::OwnPart;
+    }
+    let plan = quotas
+        .account(customer)
+        .map(|account| &settings.plans[account.plan().0]);
+    if plan.is_some_and(|plan| plan.max_concurrent.is_some()) {
+        PermitRelease::SendTo(grant.owner)
+    } else {
+        PermitRelease::Unneeded
+    }
+}
--- a/crates/gateway-core/src/policy/quota_sharing/owner.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -4,7 +4,7 @@
 //!
 //! The rules, in the order in which they apply to a lease request:
 //! 1. [`owner_count`], [`owners_of`]: which gateways own the quota.
-//! 2. [`OwnerRequest::is_for`]: whether the gateway that received the request is the owner that is asked.
+//! 2. [`OwnerRequest::received`]: whether the gateway that received the request is the owner that is asked.
 //! 3. [`OwnerRequest::new_part`]: the owner's part of the quota and of the hard limit.
 //! 4. [`OwnerRequest::decide`]: whether the request is granted, and which units go on lease beyond it.
 //! 5. [`throttle_requests`]: with which probability further requests may ask.
@@ -77,20 +77,42 @@
 /// A lease request as its owner decides on it.
 pub(crate) struct OwnerRequest<'a> {
     /// The gateway that sent it.
-    pub(crate) from: GatewayId,
+    from: GatewayId,
     /// The request.
-    pub(crate) request: &'a LeaseRequest,
+    request: &'a LeaseRequest,
     /// The owners of its customer's quota.
-    pub(crate) owners: QuotaOwners,
+    owners: QuotaOwners,
     /// The plan that it names.
-    pub(crate) plan: &'a Plan,
+    plan: &'a Plan,
 }
 
-impl OwnerRequest<'_> {
-    /// Whether a gateway is the owner that is asked.
-    pub(crate) fn is_for(&self, gateway: GatewayId) -> bool {
-        self.owners.gateway(self.request.owner_index) == gateway
-            && self.request.owner_index <= self.owners.count()
+impl<'a> OwnerRequest<'a> {
+    /// A lease request that this gateway has received; `None` if it names an unknown plan, or this gateway is
+    /// not the owner that is asked.
+    pub(crate) fn received(
+        settings: &'a Settings,
+        from: GatewayId,
+        request: &'a LeaseRequest,
+    ) -> Option<Self> {
+        let plan = settings.plans.get(request.plan.0)?;
+        let gateways = GatewaySet {
+            count: request.gateways.count.clamp(1, settings.gateway_count),
+            ..request.gateways
+        };
+        let owners = owners_of(settings, request.customer, plan, gateways);
+        let is_for_this_gateway = owners.gateway(request.owner_index) == settings.gateway_id
+            && request.owner_index <= owners.count();
+        is_for_this_gateway.then_some(OwnerRequest {
+            from,
+            request,
+            owners,
+            plan,
+        })
+    }
+
+    /// The customer whose quota it asks for.
+    pub(crate) fn customer(&self) -> CustomerId {
+        self.request.customer
     }
 
     /// A new part for this owner: of the quota, full, and of the hard limit, empty.
--- a/crates/gateway-core/src/state/quota/account.rs
+++ b/crates/gateway-core/src/state/quota/account.rs
@@ -1,16 +1,16 @@
 //! A customer's account at this gateway.
 
+use super::forwarded_usage::ForwardedUsage;
 use super::hard_limit_bucket::{refill_time_us, HardLimitBucket};
 use super::held_lease::HeldLease;
-use super::peer_usage::{PeerUsage, USAGE_WINDOW};
+use super::peer_usage::PeerUsages;
 use super::token_bucket::TokenBucket;
 use super::MIN_IDLE;
-use crate::message::{units_of_usage_steps, usage_count_of, ReturnedLease};
+use crate::message::{usage_count_of, ReturnedLease};
 use crate::settings::Plan;
 use crate::time::{DurationExt, Timestamp};
 use crate::types::{GatewayId, GatewaySet, PlanId};
 use crate::units::Units;
-use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// What a customer's account is made from.
@@ -31,6 +31,13 @@
     pub(crate) updated_at: Timestamp,
 }
 
+/// A customer's usage as it is announced to peers.
+pub(super) struct AnnouncedUsage {
+    /// The running usage count.
+    pub(super) count: u16,
+    pub(super) last_risen_at: Timestamp,
+}
+
 /// What a customer may use at this gateway, what it has used here, and what peers have used.
 pub(crate) struct CustomerAccount {
     plan: PlanId,
@@ -47,11 +54,9 @@
     /// When a lease was last requested.
     lease_requested_at: Timestamp,
     request_probability: RequestProbability,
-    /// Running count of the units forwarded here.
-    forwarded_units: Units,
-    last_forwarded_at: Timestamp,
+    forwarded: ForwardedUsage,
     attempts_in_flight: u32,
-    peers: BTreeMap<GatewayId, PeerUsage>,
+    peers: PeerUsages,
 }
 
 impl CustomerAccount {
@@ -89,10 +94,9 @@
                 value: 1.0,
                 updated_at: Timestamp::EPOCH,
             },
-            forwarded_units: Units::ZERO,
-            last_forwarded_at: Timestamp::EPOCH,
+            forwarded: ForwardedUsage::default(),
             attempts_in_flight: 0,
-            peers: BTreeMap::new(),
+            peers: PeerUsages::default(),
         }
     }
 
@@ -124,8 +128,7 @@
         fresh.hard_limit.set_tokens(hard_limit_tokens);
         *self = CustomerAccount {
             attempts_in_flight: self.attempts_in_flight,
-            forwarded_units: self.forwarded_units,
-            last_forwarded_at: self.last_forwarded_at,
+            forwarded: self.forwarded,
             peers: std::mem::take(&mut self.peers),
             ..fresh
         };
@@ -202,8 +205,7 @@
     pub(crate) fn attempt_sent(&mut self, now: Timestamp, units: Units, is_first: bool) {
         self.attempts_in_flight += 1;
         if is_first {
-            self.forwarded_units += units;
-            self.last_forwarded_at = now;
+            self.forwarded.record(now, units);
             self.hard_limit.take(units);
         }
     }
@@ -227,36 +229,30 @@
         incarnation: u32,
         count: u16,
     ) {
-        let peer = self.peers.entry(peer).or_default();
-        let steps = peer.delta(now, incarnation, count);
-        if steps > 0 {
-            let units = units_of_usage_steps(steps);
-            peer.add(now, units);
+        let units = self.peers.merge(now, peer, incarnation, count);
+        if units > Units::ZERO {
             self.quota.drain(units);
         }
     }
 
     /// Units a second that peers have forwarded recently.
     pub(crate) fn peer_units_per_second(&mut self, now: Timestamp) -> f64 {
-        let units = self
-            .peers
-            .values_mut()
-            .fold(Units::ZERO, |sum, peer| sum + peer.recent_units(now));
-        units.as_f64() / USAGE_WINDOW.as_seconds()
+        self.peers.units_per_second(now)
     }
 
-    /// The running usage count to announce to peers, if the customer has peers and its usage rose within
-    /// `max_age`.
-    pub(super) fn announced_usage(&self, now: Timestamp, max_age: Duration) -> Option<u16> {
-        let is_announced = self.forwarded_units > Units::ZERO
-            && self.gateways.count > 1
-            && now <= self.last_forwarded_at + max_age;
-        is_announced.then(|| usage_count_of(self.forwarded_units))
-    }
-
-    /// When its usage last rose.
-    pub(super) fn last_forwarded_at(&self) -> Timestamp {
-        self.last_forwarded_at
+    /// The usage to announce to peers, if the customer's requests come through other gateways too and it rose
+    /// within `max_age`.
+    pub(super) fn announced_usage(
+        &self,
+        now: Timestamp,
+        max_age: Duration,
+    ) -> Option<AnnouncedUsage> {
+        let has_peers = self.gateways.count > 1;
+        let is_announced = has_peers && self.forwarded.has_risen_within(max_age, now);
+        is_announced.then(|| AnnouncedUsage {
+            count: usage_count_of(self.forwarded.units()),
+            last_risen_at: self.forwarded.last_risen_at(),
+        })
     }
 
     /// The lease that this gateway holds for the customer.
--- a/crates/gateway-core/src/state/quota/mod.rs
+++ b/crates/gateway-core/src/state/quota/mod.rs
@@ -1,6 +1,7 @@
 //! What a gateway remembers of its customers' quotas, and of the gateways that own them.
 
 mod account;
+mod forwarded_usage;
 mod hard_limit_bucket;
 mod held_lease;
 mod ledger;
@@ -211,18 +212,18 @@
             .accounts
             .iter()
             .filter_map(|(customer, account)| {
-                let count = account.announced_usage(now, max_age)?;
-                Some((
-                    Reverse(account.last_forwarded_at()),
-                    UsageCount {
-                        customer: *customer,
-                        count,
-                    },
-                ))
+                let usage = account.announced_usage(now, max_age)?;
+                Some((*customer, usage))
             })
             .collect();
-        recent.sort_by_key(|(forwarded_at, usage)| (*forwarded_at, usage.customer));
-        recent.into_iter().map(|(_, usage)| usage).collect()
+        recent.sort_by_key(|(customer, usage)| (Reverse(usage.last_risen_at), *customer));
+        recent
+            .into_iter()
+            .map(|(customer, usage)| UsageCount {
+                customer,
+                count: usage.count,
+            })
+            .collect()
     }
 
     /// Drops what is idle: memory would grow with every customer ever seen.
--- a/crates/gateway-core/tests/unit/customer_account.rs
+++ b/crates/gateway-core/tests/unit/customer_account.rs
@@ -65,11 +65,7 @@
     let mut account = account(1);
     account.charge(Units::new(18.0));
     account.attempt_sent(START, Units::new(1.0), true);
-    account
-        .peers
-        .entry(GatewayId(1))
-        .or_default()
-        .add(START, Units::new(6.0));
+    account.peers.of(GatewayId(1)).add(START, Units::new(6.0));
     account.reconfigure(
         CustomerAccount::new(START, Duration::ZERO, config(&plan(), 2)),
         Units::new(-3.0),
@@ -79,7 +75,7 @@
         (Units::new(2.0), Units::new(-3.0))
     );
     assert_eq!(
-        (account.attempts_in_flight(), account.forwarded_units),
+        (account.attempts_in_flight(), account.forwarded.units()),
         (1, Units::new(1.0))
     );
     assert_eq!(account.peer_units_per_second(START), 3.0);
@@ -111,7 +107,7 @@
     account.attempt_sent(START, Units::new(1.0), true);
     account.attempt_sent(START + Duration::from_micros(1), Units::new(1.0), false);
     assert_eq!(
-        (account.forwarded_units, account.last_forwarded_at),
+        (account.forwarded.units(), account.forwarded.last_risen_at()),
         (Units::new(1.0), START)
     );
 }
--- a/crates/gateway-core/tests/unit/message.rs
+++ b/crates/gateway-core/tests/unit/message.rs
@@ -1,5 +1,6 @@
 //! The layout of messages between gateways: fixed bytes that every version of this layout has to read and write.
 
+use super::layout::*;
 use super::*;
 use crate::types::GatewayId;
 
