--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -18,7 +18,7 @@
 use crate::policy::retry_budget::RetryBudget;
 use crate::settings::{EndpointDiscovery, Settings, SettingsError};
 use crate::state::attempt::AttemptTable;
-use crate::state::deployment::{Context, Deployment, FleetMode};
+use crate::state::deployment::{Context, Deployment};
 use crate::state::fleet_estimates::FleetEstimates;
 use crate::state::latency_samples::LatencySamples;
 use crate::state::quota::QuotaState;
@@ -80,7 +80,7 @@
             random: fastrand::Rng::with_seed(seed),
             timers: Timers {
                 wake_at: Timestamp::MAX,
-                next_broadcast: now,
+                next_broadcast: quota_sharing.first_broadcast(now),
                 next_control_tick: now + TICK_PERIOD,
             },
             watch_requested: false,
@@ -170,13 +170,10 @@
     }
 
     fn set_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        let periodic = match self.deployment.mode {
-            FleetMode::Gossip => self
-                .timers
-                .next_control_tick
-                .min(self.timers.next_broadcast),
-            FleetMode::Leases => self.timers.next_control_tick,
-        };
+        let periodic = self
+            .timers
+            .next_control_tick
+            .min(self.timers.next_broadcast);
         let soonest = now + TIMER_PERIOD;
         let next = if self.requests.is_empty() {
             periodic.max(soonest)
--- a/crates/gateway-core/src/message/encode.rs
+++ b/crates/gateway-core/src/message/encode.rs
@@ -71,7 +71,7 @@
             _ => UNKNOWN,
         });
     }
-    // A class beyond those that a report can name would pass for another one.
+    // A class that a report can't name would be decoded as another one.
     for report in digest
         .reports
         .iter()
--- a/crates/gateway-core/src/policy/quota_sharing/gossip.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/gossip.rs
@@ -15,19 +15,17 @@
 use crate::state::quota::{CustomerAccount, QuotaState};
 use crate::state::request::Request;
 use crate::statistics::poisson_below;
-use crate::time::Timestamp;
+use crate::time::{Timestamp, MICROS_PER_SECOND};
 use crate::types::{GatewayId, RejectReason};
 use crate::units::Units;
 use std::time::Duration;
 
-/// Seconds of the peers' usage that are reserved for what they have forwarded without this gateway having
-/// received it yet.
+/// How many seconds of the peers' usage are reserved: so much they may have forwarded without this gateway
+/// having been notified yet.
 const USAGE_DELAY_SECONDS: f64 = 0.5;
 /// Largest probability, weighted with the cost of exceeding the limit, that a first attempt exceeds the
 /// customer's limit on attempts in flight.
 const MAX_CONCURRENCY_RISK: f64 = 0.2;
-/// Microseconds in a second.
-const MICROS_PER_SECOND: f64 = 1e6;
 /// Shortest time between two broadcasts of usage.
 const MIN_BROADCAST_INTERVAL: Duration = Duration::from_millis(200);
 /// Time for which the usage of a customer is repeated after it last rose, as messages may be lost.
@@ -124,6 +122,7 @@
         }
     }
 
+    /// Whether there are peers to which messages may be sent.
     pub(super) fn has_recipients(self) -> bool {
         self.interval.is_some()
     }
--- a/crates/gateway-core/src/policy/quota_sharing/mod.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/mod.rs
@@ -17,6 +17,7 @@
 use crate::state::deployment::{Context, FleetMode};
 use crate::state::quota::{CustomerAccount, QuotaState};
 use crate::state::request::Request;
+use crate::time::Timestamp;
 
 /// How the gateways of a fleet share quotas.
 #[derive(Clone, Copy)]
@@ -69,6 +70,14 @@
         matches!(self, QuotaSharing::Leases)
     }
 
+    /// When a gateway that starts now may first broadcast its usage; never in a large fleet.
+    pub(crate) fn first_broadcast(self, now: Timestamp) -> Timestamp {
+        match self {
+            QuotaSharing::Gossip(_) => now,
+            QuotaSharing::Leases => Timestamp::MAX,
+        }
+    }
+
     /// The broadcasts of usage that this gateway sends; `None` if it sends none.
     pub(crate) fn usage_broadcasts(self) -> Option<UsageBroadcasts> {
         match self {
--- a/crates/gateway-core/src/policy/quota_sharing/owner.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -11,14 +11,14 @@
 
 use crate::message::{LeaseDecision, LeaseRequest, LeaseResponse};
 use crate::settings::{HardLimit, Plan, Settings};
-use crate::state::quota::{even_share, OwnedPart, OwnedQuota, PermitHolder, QuotaOwners};
-use crate::time::{DurationExt, Timestamp};
+use crate::state::quota::{permits_of_owner, OwnedPart, OwnedQuota, PermitHolder, QuotaOwners};
+use crate::time::{DurationExt, Timestamp, MICROS_PER_SECOND};
 use crate::types::{CustomerId, GatewayId, GatewaySet};
 use crate::units::Units;
 use std::time::Duration;
 
-/// Units a second of one owner's part, as a fraction of the messages a second that it takes in: the lease
-/// requests for them have to fit in.
+/// Units a second that one owner can look after for each message a second that it takes in: the lease requests
+/// for them have to fit in.
 const UNITS_PER_MESSAGE_RATIO: f64 = 0.6;
 /// Maximum number of owners: what remains in one part is of no use to a request that asks another.
 const MAX_OWNERS: u32 = 2;
@@ -28,9 +28,9 @@
 /// Lease requests of one customer that an owner accepts before it throttles them, as a fraction of the messages
 /// that it takes in.
 const ACCEPTED_INTAKE_FRACTION: f64 = 0.4;
-/// Factor by which each excess lease request lowers the request probability (multiplicative decrease).
+/// Factor by which each excess lease request lowers the request probability: a multiplicative decrease.
 const PROBABILITY_DECREASE_RATIO: f64 = 0.97;
-/// What the request probability gains a second without excess lease requests (additive increase).
+/// What the request probability gains a second without excess lease requests: an additive increase.
 const PROBABILITY_INCREASE_PER_SECOND: f64 = 0.5;
 /// Maximum fraction of the remaining units that goes on one lease, so that other gateways get some.
 const MAX_LEASE_FRACTION: f64 = 0.25;
@@ -40,8 +40,6 @@
 pub(in crate::policy) const MAX_LEASE_LIFETIME: Duration = Duration::from_secs(3);
 /// The longest lifetime under a hard limit, as a fraction of the time that the limit takes to refill.
 const MAX_LIFETIME_REFILL_FRACTION: f64 = 0.25;
-/// Microseconds in a second.
-const MICROS_PER_SECOND: f64 = 1e6;
 
 /// How long a lease or grant may be used. Under a hard limit that is short, because the owner has to reserve
 /// what is refilled in the meantime.
@@ -179,6 +177,7 @@
         self.response(LeaseDecision::Granted, owned, leased_units)
     }
 
+    /// The response to this request.
     fn response(
         &self,
         decision: LeaseDecision,
@@ -208,7 +207,7 @@
     /// This owner's part of the limit on attempts in flight, if the plan has one.
     fn max_permits(&self) -> Option<usize> {
         let limit = self.plan.max_concurrent?;
-        Some(even_share(
+        Some(permits_of_owner(
             limit,
             self.owners.count(),
             self.request.owner_index,
--- a/crates/gateway-core/src/state/quota/hard_limit_bucket.rs
+++ b/crates/gateway-core/src/state/quota/hard_limit_bucket.rs
@@ -1,13 +1,10 @@
 //! The bucket of a hard limit.
 
 use crate::settings::HardLimit;
-use crate::time::DurationExt;
+use crate::time::{DurationExt, MICROS_PER_SECOND};
 use crate::units::Units;
 use std::time::Duration;
 
-/// Microseconds in a second.
-const MICROS_PER_SECOND: f64 = 1e6;
-
 /// What remains of a fixed fraction of a hard limit.
 ///
 /// It is empty at first, and depends on no message: so the limit holds through lost messages and restarts. The
--- a/crates/gateway-core/src/state/quota/liveness.rs
+++ b/crates/gateway-core/src/state/quota/liveness.rs
@@ -1,4 +1,4 @@
-//! When each gateway of the fleet was last heard from.
+//! When usage of each gateway of the fleet was last received.
 
 use crate::time::Timestamp;
 use crate::types::{GatewayId, GatewaySet};
--- a/crates/gateway-core/src/state/quota/mod.rs
+++ b/crates/gateway-core/src/state/quota/mod.rs
@@ -17,7 +17,7 @@
 pub(crate) use held_lease::HeldLease;
 pub(crate) use owned::{OwnedPart, OwnedQuota};
 pub(crate) use owners::QuotaOwners;
-pub(crate) use permits::{even_share, PermitHolder};
+pub(crate) use permits::{permits_of_owner, PermitHolder};
 pub(crate) use progress::{PendingLease, QuotaOwner, QuotaProgress, RequestGrant};
 
 use crate::message::UsageCount;
--- a/crates/gateway-core/src/time.rs
+++ b/crates/gateway-core/src/time.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Microseconds in a second.
-const MICROS_PER_SECOND: f64 = 1e6;
+pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLISECOND: u64 = 1_000;
 
--- a/crates/gateway-core/tests/policy/lease.rs
+++ b/crates/gateway-core/tests/policy/lease.rs
@@ -113,7 +113,7 @@
     }
 
     /// One request at the gateway. Its lease request reaches the owner `copies` times. Returns whether the request
-    /// was sent at once, without an answer of the owner.
+    /// was sent immediately, without a response of the owner.
     fn request(&mut self, copies: usize) -> bool {
         let actions_before = self.gateway.actions.len();
         let id = self
@@ -202,7 +202,7 @@
         twice <= once,
         "{once} requests were sent, and {twice} where the lease was returned twice"
     );
-    // The owner's part of 40 units, a quarter kept back, and of 20 a second over 1.72 s is 0.7. What was on lease and
+    // The owner's part of 40 units, a quarter reserved, and of 20 a second over 1.72 s is 0.7. What was on lease and
     // not used goes to others.
     let most = 0.7 * (0.75 * 40.0 + 20.0 * 1.72);
     assert!(
@@ -244,7 +244,7 @@
     actions.iter().filter_map(message).collect()
 }
 
-/// Only misses on end make an owner unresponsive: a few messages are always lost.
+/// Only consecutive misses make an owner unresponsive: a few messages are always lost.
 #[test]
 fn an_owner_that_answers_in_between_is_asked_again_and_not_its_standby() {
     let settings = |gateway| {
--- a/crates/gateway-core/tests/policy/quota.rs
+++ b/crates/gateway-core/tests/policy/quota.rs
@@ -29,7 +29,7 @@
     Event::PeerMessage { from: PEER, bytes }
 }
 
-/// Requests of a plan on end, each completed at once if it was sent; returns how many were.
+/// Consecutive requests of a plan, each completed at once if it was sent; returns how many were.
 fn admitted(gateway: &mut GatewayHarness, plan: PlanId, requests: usize) -> usize {
     let sent =
         (0..requests).map(|_| gateway.request_and_complete(IDEMPOTENT, plan, CUSTOMER, 2 * S));
@@ -167,7 +167,7 @@
     assert_eq!(gateway.in_flight.len(), 1, "the next one follows");
 }
 
-/// Requests on end of a customer with a hard limit; returns how many were sent.
+/// Consecutive requests of a customer with a hard limit; returns how many were sent.
 fn hard_limited_burst(
     gateway: &mut GatewayHarness,
     customer: CustomerId,
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn requests_with_a_wrong_plan_that_are_not_on_end_do_not_change_the_plan() {
+fn requests_with_a_wrong_plan_that_are_not_consecutive_do_not_change_the_plan() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
     let mut sent = admitted(&mut gateway, SMALL_QUOTA, 1);
     for _ in 0..4 {
--- a/crates/gateway-core/tests/policy/quota_owner.rs
+++ b/crates/gateway-core/tests/policy/quota_owner.rs
@@ -1,4 +1,4 @@
-//! Quotas of customers with hundreds of gateways, kept by few owners among them.
+//! Quotas of customers with hundreds of gateways, owned by few of them.
 
 use crate::common::fleet::Fleet;
 use crate::common::*;
--- a/crates/gateway-core/tests/unit/permits.rs
+++ b/crates/gateway-core/tests/unit/permits.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn owners_share_a_limit_evenly_and_a_standby_owner_has_the_last_share() {
-    let shares = |limit| [0, 1, 2].map(|index| even_share(limit, 2, index));
+    let shares = |limit| [0, 1, 2].map(|index| permits_of_owner(limit, 2, index));
     assert_eq!(shares(4), [2, 2, 2]);
     assert_eq!(shares(5), [3, 2, 2]);
     assert_eq!(shares(1), [1, 0, 0]);
