--- a/crates/gateway-core/src/gateway/control_tick.rs
+++ b/crates/gateway-core/src/gateway/control_tick.rs
@@ -4,7 +4,7 @@
 use super::Gateway;
 use crate::message::UNKNOWN_RATIO;
 use crate::policy::fuzzy_controller::{counts_while_open, TICK_PERIOD};
-use crate::policy::gossip::REPORT_LIFETIME;
+use crate::policy::health_reports::REPORT_LIFETIME;
 use crate::policy::load_balancing::INITIAL_WAIT_SHARE;
 use crate::policy::outlier_detection::MAX_SERVER_IDLE;
 use crate::policy::quota::PARTITIONED;
--- a/crates/gateway-core/src/gateway/gossip.rs
+++ b/crates/gateway-core/src/gateway/gossip.rs
@@ -1,20 +1,15 @@
-//! Messages between gateways: usage, lease requests and answers, and the digest of the fleet that rides on
-//! these.
+//! Messages between gateways: usage, lease requests and answers.
 
 use super::Gateway;
-use crate::message::{
-    self, GossipDigest, HealthReport, LeaseAnswer, Message, UsageCounts, MAX_USAGE_COUNTS,
-};
-use crate::policy::fleet_mode::{gossip_interval, LATENCY_RATIO_WEIGHT, THROUGHPUT_WEIGHT};
+use crate::message::{self, LeaseAnswer, Message, UsageCounts, MAX_USAGE_COUNTS};
+use crate::policy::fleet_mode::gossip_interval;
 use crate::policy::gossip as policy;
-use crate::policy::load_balancing::SAMPLE_SIZE;
 use crate::policy::quota::{observe_incarnation, PARTITIONED};
 use crate::state::deployment::FleetMode;
 use crate::state::permits::PermitHolder;
 use crate::state::quota_state::silent_gateways;
-use crate::statistics::update_mean;
 use crate::time::{DurationExt, Timestamp};
-use crate::types::{ClassId, GatewayId};
+use crate::types::GatewayId;
 use crate::Action;
 use std::time::Duration;
 
@@ -111,55 +106,4 @@
             bytes: message::encode(&Message::UsageCounts(usage)),
         });
     }
-
-    /// What rides on a message: how this gateway's requests fare, and reports on servers.
-    pub(super) fn digest(&mut self, now: Timestamp) -> GossipDigest {
-        let max_reports = if self.servers.walks_all() {
-            usize::MAX
-        } else {
-            SAMPLE_SIZE
-        };
-        let reports = self
-            .servers
-            .recent_reports(now, policy::REPORT_LIFETIME, max_reports);
-        GossipDigest {
-            throughput: self.fleet.throughput,
-            latency_ratios: self.fleet.latency_ratios.clone(),
-            reports: policy::select_reports(reports, self.fleet.median_wait, &mut self.random),
-        }
-    }
-
-    fn merge_digest(&mut self, now: Timestamp, digest: GossipDigest) {
-        update_mean(
-            &mut self.fleet.throughput,
-            digest.throughput,
-            THROUGHPUT_WEIGHT,
-        );
-        for (class, ratio) in digest.latency_ratios.into_iter().enumerate() {
-            if ratio >= 0.0 {
-                self.fleet
-                    .merge_latency_ratio(ClassId(class), ratio, LATENCY_RATIO_WEIGHT);
-            }
-        }
-        for report in digest.reports {
-            self.merge_report(now, &report);
-        }
-    }
-
-    fn merge_report(&mut self, now: Timestamp, report: &HealthReport) {
-        let Some(id) = self.servers.by_short_id(report.server) else {
-            return;
-        };
-        let Some(mut server) = self.servers.get_mut(now, &id) else {
-            return;
-        };
-        let is_recent = report.age < policy::REPORT_LIFETIME;
-        let median_wait = self.fleet.median_wait;
-        let is_news =
-            is_recent && server.merge_report(now, report, policy::REPORT_WEIGHT, median_wait);
-        drop(server); // the failure rates that decide on ejection have to hold the report
-        if is_news {
-            self.update_ejection(now, id, report.class);
-        }
-    }
 }
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -4,6 +4,7 @@
 mod attempts;
 mod control_tick;
 mod gossip;
+mod health_reports;
 mod leases;
 mod requests;
 mod server_health;
--- /dev/null
+++ b/crates/gateway-core/src/policy/health_reports.rs
@@ -0,0 +1,56 @@
+//! Health reports: which of its observations of servers a gateway sends to its peers, and how much a peer's
+//! report counts.
+//!
+//! 1. [`select_reports`] chooses the reports that a message carries.
+//! 2. [`is_recent`] decides whether a received report may still be merged.
+//! 3. [`REPORT_WEIGHT`] is the weight with which a report enters the estimates of a server.
+
+use super::outlier_detection::EJECTION_FAILURE_RATE;
+use crate::message::HealthReport;
+use std::time::Duration;
+
+/// Maximum number of reports on unhealthy or slow servers in one message.
+const MAX_UNHEALTHY_REPORTS: usize = 4;
+/// Maximum number of reports on other servers in one message.
+const MAX_HEALTHY_REPORTS: usize = 2;
+/// Maximum age of an observation that is sent to peers, or merged when it is received.
+pub(crate) const REPORT_LIFETIME: Duration = Duration::from_secs(4);
+/// Weight of one report in the recipient's means: several reports, each newer than the last, are needed before
+/// a single peer's reports eject a server.
+pub(crate) const REPORT_WEIGHT: f64 = 0.4;
+/// Fraction of the ejection threshold above which a server is reported as unhealthy.
+const UNHEALTHY_THRESHOLD_FRACTION: f64 = 0.5;
+/// Ratio of a server's expected latency to the fleet's median above which it is reported as slow.
+const SLOW_LATENCY_RATIO: f64 = 2.0;
+
+/// Whether a report tells of a server that is close to ejection, or slow compared with `median_latency_us`.
+fn reports_problem(report: &HealthReport, median_latency_us: f64) -> bool {
+    report.failure_rate > EJECTION_FAILURE_RATE * UNHEALTHY_THRESHOLD_FRACTION
+        || report.wait > SLOW_LATENCY_RATIO * median_latency_us
+}
+
+/// Selects the reports that a message carries: a random choice of those that tell of a problem, then the newest
+/// of the others.
+///
+/// Problems are chosen at random so that all of them spread, also when more servers are unhealthy than fit into
+/// one message. `median_latency_us`: the fleet's median expected latency per concurrent request.
+pub(crate) fn select_reports(
+    reports: Vec<HealthReport>,
+    median_latency_us: f64,
+    random: &mut fastrand::Rng,
+) -> Vec<HealthReport> {
+    let (mut selected, mut healthy): (Vec<_>, Vec<_>) = reports
+        .into_iter()
+        .partition(|report| reports_problem(report, median_latency_us));
+    random.shuffle(&mut selected);
+    selected.truncate(MAX_UNHEALTHY_REPORTS);
+    healthy.sort_by_key(|report| report.age);
+    healthy.truncate(MAX_HEALTHY_REPORTS);
+    selected.append(&mut healthy);
+    selected
+}
+
+/// Whether a received report describes a recent observation, and may be merged.
+pub(crate) fn is_recent(report: &HealthReport) -> bool {
+    report.age < REPORT_LIFETIME
+}
--- a/crates/gateway-core/src/policy/mod.rs
+++ b/crates/gateway-core/src/policy/mod.rs
@@ -6,6 +6,7 @@
 pub(crate) mod fleet_mode;
 pub mod fuzzy_controller;
 pub(crate) mod gossip;
+pub(crate) mod health_reports;
 pub(crate) mod lease;
 pub(crate) mod load_balancing;
 pub(crate) mod load_shedding;
--- a/crates/gateway-core/src/policy/outlier_detection.rs
+++ b/crates/gateway-core/src/policy/outlier_detection.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Failure rate from which on a server is ejected, unless the fleet's is half as bad ...
-pub(super) const MAX_FAILURE_RATE: f64 = 0.35;
+pub(super) const EJECTION_FAILURE_RATE: f64 = 0.35;
 const MIN_FLEET_FACTOR: f64 = 2.0;
 /// ... and the part of it under which it is taken back.
 const READMISSION_SHARE: f64 = 0.5;
@@ -58,9 +58,9 @@
     next_probe_at: Timestamp,
 ) {
     let health = &mut server.health[class.0];
-    if health.failure_rate > MAX_FAILURE_RATE.max(MIN_FLEET_FACTOR * fleet_rate) {
+    if health.failure_rate > EJECTION_FAILURE_RATE.max(MIN_FLEET_FACTOR * fleet_rate) {
         health.next_probe_at = health.next_probe_at.or(Some(next_probe_at));
-    } else if health.failure_rate < MAX_FAILURE_RATE * READMISSION_SHARE {
+    } else if health.failure_rate < EJECTION_FAILURE_RATE * READMISSION_SHARE {
         health.next_probe_at = None;
     }
 }
@@ -137,7 +137,7 @@
     health.answered_at = now;
     if health.is_ejected() {
         health.failure_rate *= PROBE_SUCCESS_FACTOR;
-        let stays_ejected = health.failure_rate >= MAX_FAILURE_RATE * READMISSION_SHARE;
+        let stays_ejected = health.failure_rate >= EJECTION_FAILURE_RATE * READMISSION_SHARE;
         health.next_probe_at = stays_ejected.then_some(now);
     }
 }
