--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -41,13 +41,15 @@
             };
             let is_lowest = request.class == lowest_class;
             let is_limited = is_lowest
-                && !self
-                    .controller
-                    .allows(lowest_in_flight, now, self.fleet.mean_latency);
+                && !self.controller.allows(
+                    lowest_in_flight,
+                    now,
+                    self.servers.estimates().mean_latency_us(),
+                );
             let context = Context {
                 now,
                 deployment: &self.deployment,
-                fleet: &self.fleet,
+                fleet: self.servers.estimates(),
             };
             if request.attempts == 0 && !quota::allows_attempt(&mut self.quotas, context, request) {
                 // Its customer's own limit delays it: taken for pressed servers, that would close the
@@ -74,6 +76,29 @@
         }
     }
 
+    /// Servers that may be chosen from now.
+    fn selectable_servers(&mut self, now: Timestamp) -> Vec<ServerId> {
+        self.servers.selectable(
+            now,
+            &self.deployment,
+            self.attempts.count(),
+            self.timers.next_control_tick,
+            &mut self.random,
+        )
+    }
+
+    /// The server for a request, of the selectable ones.
+    fn pick_server(
+        &mut self,
+        now: Timestamp,
+        id: &RequestId,
+        selectable: &[ServerId],
+    ) -> Option<ServerId> {
+        let request = self.requests.get(id)?;
+        self.servers
+            .choose(now, &self.deployment, request, selectable, &mut self.random)
+    }
+
     fn queue_by_priority(&self, now: Timestamp) -> Vec<RequestId> {
         let context = self.context(now);
         let queued = self.requests.queued();
@@ -91,11 +116,14 @@
         server_id: ServerId,
         actions: &mut Vec<Action>,
     ) {
-        let next_probe_at = self.next_probe_at(now);
+        let next_probe_at = self.servers.next_probe_at(now, &mut self.random);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(mut server) = self.servers.get_mut(now, &server_id) else {
+        let Some(server_in_flight) =
+            self.servers
+                .record_attempt_sent(now, &server_id, request.class, next_probe_at)
+        else {
             return;
         };
         let first = request.attempts == 0;
@@ -105,13 +133,8 @@
         if first {
             self.retry_budget = retry::earn(self.retry_budget);
         }
-        server.in_flight += 1;
-        server.slow_start_credit -= 1.0;
-        if let Some(at) = &mut server.health[request.class.0].next_probe_at {
-            *at = next_probe_at;
-        }
         let number = request.attempt_sent(server_id);
-        let attempt = request.attempt_record(server_id, now, f64::from(server.in_flight));
+        let attempt = request.attempt_record(server_id, now, server_in_flight);
         self.attempts.insert(
             AttemptKey {
                 request: id.clone(),
@@ -147,7 +170,14 @@
             .get(&id)
             .is_some_and(|request| request.cancelled);
         let was_stalled = was_cancelled && outcome == AttemptOutcome::Cancelled;
-        self.observe_attempt(now, &attempt, &result, was_stalled);
+        self.servers.observe_attempt(
+            now,
+            &self.deployment,
+            &attempt,
+            &result,
+            was_stalled,
+            &mut self.random,
+        );
         if outcome == AttemptOutcome::Success {
             self.observe_success(now, &attempt);
         }
@@ -161,9 +191,9 @@
         request.cancelled = false;
         request.reached_server |= outcome.reached_server();
         if outcome.may_have_executed() && request.possibly_executed.is_none() {
-            let server = self.servers.get(&attempt.server);
-            request.possibly_executed = server.map(|server| PossibleExecution {
-                endpoint: server.endpoint,
+            let endpoint = self.servers.endpoint(&attempt.server);
+            request.possibly_executed = endpoint.map(|endpoint| PossibleExecution {
+                endpoint,
                 sent_at: attempt.sent_at,
             });
         }
@@ -194,7 +224,7 @@
 
     fn remove_attempt(&mut self, key: &AttemptKey) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
-        self.servers.attempt_finished(&attempt.server);
+        self.servers.record_attempt_finished(&attempt.server);
         if let Some(bucket) = self.quotas.local.get_mut(&attempt.customer) {
             bucket.attempt_finished();
         }
@@ -202,7 +232,7 @@
     }
 
     fn observe_success(&mut self, now: Timestamp, attempt: &Attempt) {
-        self.fleet.completed_since_tick += 1.0;
+        self.servers.estimates_mut().count_answer();
         let class = &self.deployment.settings.classes[attempt.class.0];
         let latency = now.micros_since(attempt.due_since);
         self.latencies
--- a/crates/gateway-core/src/gateway/control_tick.rs
+++ b/crates/gateway-core/src/gateway/control_tick.rs
@@ -2,18 +2,11 @@
 //! renewed.
 
 use super::Gateway;
-use crate::message::UNKNOWN_RATIO;
 use crate::policy::fuzzy_controller::{counts_while_open, TICK_PERIOD};
-use crate::policy::health_reports::REPORT_LIFETIME;
-use crate::policy::load_balancing::INITIAL_WAIT_SHARE;
-use crate::policy::outlier_detection::MAX_SERVER_IDLE;
 use crate::policy::quota::PARTITIONED;
-use crate::policy::slow_start::SlowStart;
 use crate::state::deployment::FleetMode;
 use crate::state::latency_samples::LatencySamples;
 use crate::state::quota_state::silent_gateways;
-use crate::state::server::Server;
-use crate::statistics::{median, update_mean};
 use crate::time::{DurationExt, Timestamp};
 use crate::types::ClassId;
 use crate::warning::Warning;
@@ -30,8 +23,9 @@
         self.update_latency_ratios(&samples);
         self.update_in_flight();
         self.move_in_flight_limit(actions);
-        self.update_fleet_estimates(now);
-        self.grant_slow_start_credit(now);
+        self.servers.update_estimates(now, &self.deployment);
+        self.servers
+            .grant_slow_start_credit(now, &self.deployment, &mut self.random);
         self.evict_idle(now);
     }
 
@@ -56,10 +50,13 @@
         let weight = mode.parameters().latency_ratio_weight;
         for (class, samples) in samples.iter().enumerate() {
             if let Some(ratio) = samples.mean() {
-                self.fleet
+                self.servers
+                    .estimates_mut()
                     .merge_latency_ratio(ClassId(class), ratio, weight);
             } else if mode == FleetMode::Gossip {
-                self.fleet.latency_ratios[class] = UNKNOWN_RATIO;
+                self.servers
+                    .estimates_mut()
+                    .reset_latency_ratio(ClassId(class));
             }
         }
     }
@@ -67,20 +64,19 @@
     fn update_in_flight(&mut self) {
         let weight = self.deployment.mode.parameters().in_flight_weight;
         let lowest = self.attempts.count_of(self.deployment.lowest_class);
-        update_mean(&mut self.fleet.lowest_in_flight, lowest, weight);
-        update_mean(
-            &mut self.fleet.total_in_flight,
-            self.attempts.count(),
-            weight,
-        );
+        let total = self.attempts.count();
+        self.servers
+            .estimates_mut()
+            .observe_in_flight(lowest, total, weight);
     }
 
     fn move_in_flight_limit(&mut self, actions: &mut Vec<Action>) {
         let was_limiting = self.controller.is_limiting();
-        let in_flight = self.fleet.lowest_in_flight;
-        let ratio = self.fleet.worst_latency_ratio(self.deployment.lowest_class);
+        let fleet = self.servers.estimates();
+        let in_flight = fleet.lowest_in_flight();
+        let ratio = fleet.worst_latency_ratio(self.deployment.lowest_class);
         let share = 1.0 / f64::from(self.deployment.settings.gateway_count);
-        self.controller.tick(ratio, &self.fleet, share);
+        self.controller.tick(ratio, fleet, share);
         let has_started = self.controller.is_limiting() && !was_limiting;
         // Hundreds of gateways would flood the log.
         let warns = has_started && self.deployment.mode == FleetMode::Gossip;
@@ -92,52 +88,6 @@
         }
     }
 
-    fn update_fleet_estimates(&mut self, now: Timestamp) {
-        let parameters = self.deployment.mode.parameters();
-        let rate = self.fleet.completed_since_tick / TICK_PERIOD.as_seconds();
-        update_mean(
-            &mut self.fleet.throughput,
-            rate,
-            parameters.throughput_weight,
-        );
-        self.fleet.completed_since_tick = 0.0;
-        let waits = self.servers.sorted(Server::known_wait);
-        let initial_wait = self.deployment.shortest_objective * INITIAL_WAIT_SHARE;
-        self.fleet.median_wait = median(&waits, parameters.lesser_median).unwrap_or(initial_wait);
-        let load_factors = self.servers.sorted(|server| {
-            let is_recent = now <= server.load_reported_at + REPORT_LIFETIME;
-            let load = server.reported_load.filter(|_| is_recent);
-            load.map(|load| server.load_factor(load))
-        });
-        self.fleet.load_factor = median(&load_factors, parameters.lesser_median);
-    }
-
-    fn grant_slow_start_credit(&mut self, now: Timestamp) {
-        let warm = self.warm_servers(now);
-        let ready = self.servers.ready_count();
-        let slow_start = SlowStart::new(self.context(now), warm, ready, TICK_PERIOD);
-        let rules = &self.deployment.settings.rules;
-        for server in self
-            .servers
-            .iter_tracked_mut()
-            .filter(|server| !server.is_warm(rules, now))
-        {
-            let fraction = server.warm_up_fraction(rules, now);
-            slow_start.grant(server, fraction, self.random.f64());
-        }
-    }
-
-    fn warm_servers(&mut self, now: Timestamp) -> usize {
-        if !self.servers.walks_all() {
-            return self.servers.warm_count(now);
-        }
-        let rules = &self.deployment.settings.rules;
-        self.servers
-            .iter_ready()
-            .filter(|server| server.is_warm(rules, now))
-            .count()
-    }
-
     /// Drops what tells nothing any more: memory would grow with every customer and server ever seen.
     fn evict_idle(&mut self, now: Timestamp) {
         let plans = &self.deployment.settings.plans;
@@ -149,6 +99,6 @@
         self.quotas
             .owned
             .retain(|_, bucket| !bucket.is_idle(now, &plans[bucket.plan.0], |_| 0.0));
-        self.servers.evict_idle(now, MAX_SERVER_IDLE);
+        self.servers.evict_idle(now);
     }
 }
--- a/crates/gateway-core/src/gateway/gossip.rs
+++ b/crates/gateway-core/src/gateway/gossip.rs
@@ -31,7 +31,7 @@
         match message {
             Message::UsageCounts(usage) => self.merge_usage(now, from, &usage),
             Message::LeaseRequest(request, digest) => {
-                self.merge_digest(now, digest);
+                self.servers.merge_digest(now, digest, &mut self.random);
                 let Some(grant) = self.decide_lease_request(now, from, &request) else {
                     return;
                 };
@@ -39,14 +39,15 @@
                     sequence: request.sequence,
                     grant,
                 };
-                let answer = Message::LeaseAnswer(answer, self.digest(now));
+                let answer =
+                    Message::LeaseAnswer(answer, self.servers.digest(now, &mut self.random));
                 actions.push(Action::SendToPeer {
                     to: from,
                     bytes: message::encode(&answer),
                 });
             }
             Message::LeaseAnswer(answer, digest) => {
-                self.merge_digest(now, digest);
+                self.servers.merge_digest(now, digest, &mut self.random);
                 self.on_lease_answer(now, answer, actions);
             }
             Message::PermitRelease(release) => {
--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -64,7 +64,10 @@
         actions: &mut Vec<Action>,
     ) {
         if owner.gateway != self.deployment.settings.gateway_id {
-            let bytes = message::encode(&Message::LeaseRequest(request, self.digest(now)));
+            let bytes = message::encode(&Message::LeaseRequest(
+                request,
+                self.servers.digest(now, &mut self.random),
+            ));
             return actions.push(Action::SendToPeer {
                 to: owner.gateway,
                 bytes,
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -4,26 +4,22 @@
 mod attempts;
 mod control_tick;
 mod gossip;
-mod health_reports;
 mod leases;
 mod requests;
 mod server_health;
-mod server_selection;
+mod servers;
 
+use self::servers::Servers;
 use crate::policy::deadlines::TIMER_PERIOD;
 use crate::policy::fleet_mode::mode_of;
 use crate::policy::fuzzy_controller::{FuzzyController, TICK_PERIOD};
-use crate::policy::load_balancing::INITIAL_WAIT_SHARE;
 use crate::policy::retry;
 use crate::settings::{EndpointDiscovery, Settings, SettingsError};
 use crate::state::attempt::AttemptTable;
 use crate::state::deployment::{Context, Deployment, FleetMode};
-use crate::state::fleet_estimates::FleetEstimates;
 use crate::state::latency_samples::LatencySamples;
 use crate::state::quota_state::QuotaState;
 use crate::state::request::{Request, RequestTable};
-use crate::state::server_table::ServerTable;
-use crate::state::server_view::FleetCapacity;
 use crate::time::Timestamp;
 use crate::types::{PlanId, RejectReason};
 use crate::{Action, Event};
@@ -47,10 +43,8 @@
     attempts: AttemptTable,
     /// Retries that may be sent.
     retry_budget: f64,
-    servers: ServerTable,
-    capacity: FleetCapacity,
+    servers: Servers,
     quotas: QuotaState,
-    fleet: FleetEstimates,
     controller: FuzzyController,
     /// Latencies since the last control tick.
     latencies: LatencySamples,
@@ -67,10 +61,9 @@
         settings.validate()?;
         let classes = settings.classes.len();
         let mode = mode_of(&settings);
-        let servers = ServerTable::new(&settings, mode.parameters().max_walked_servers);
         let quotas = QuotaState::new(now, settings.gateway_id, settings.gateway_count);
         let deployment = Deployment::new(settings, mode);
-        let initial_wait = deployment.shortest_objective * INITIAL_WAIT_SHARE;
+        let servers = Servers::new(&deployment);
         Ok(Gateway {
             deployment,
             random: fastrand::Rng::with_seed(seed),
@@ -84,9 +77,7 @@
             attempts: AttemptTable::default(),
             retry_budget: retry::MAX_BUDGET,
             servers,
-            capacity: FleetCapacity::default(),
             quotas,
-            fleet: FleetEstimates::new(classes, initial_wait),
             controller: FuzzyController::default(),
             latencies: LatencySamples::new(classes),
             rejections: BTreeMap::new(),
@@ -198,7 +189,7 @@
         Context {
             now,
             deployment: &self.deployment,
-            fleet: &self.fleet,
+            fleet: self.servers.estimates(),
         }
     }
 
--- a/crates/gateway-core/src/gateway/requests.rs
+++ b/crates/gateway-core/src/gateway/requests.rs
@@ -57,7 +57,7 @@
         let context = Context {
             now,
             deployment: &self.deployment,
-            fleet: &self.fleet,
+            fleet: self.servers.estimates(),
         };
         let bucket = refilled_bucket(&mut self.quotas, context, &request, gateways);
         let admission = admission::decide(context, bucket, &request, &mut self.random);
--- /dev/null
+++ b/crates/gateway-core/src/gateway/servers/control_tick.rs
@@ -0,0 +1,74 @@
+//! What a control tick renews: estimates of the fleet, slow-start credit, and the set of tracked servers.
+
+use super::{initial_latency_us, Servers};
+use crate::policy::fuzzy_controller::TICK_PERIOD;
+use crate::policy::health_reports::REPORT_LIFETIME;
+use crate::policy::outlier_detection::MAX_SERVER_IDLE;
+use crate::policy::slow_start::SlowStart;
+use crate::settings::Rules;
+use crate::state::deployment::{Context, Deployment};
+use crate::state::servers::Server;
+use crate::time::Timestamp;
+
+impl Servers {
+    /// Renews what is estimated of the fleet: the throughput of a gateway, and the latency and load of the median
+    /// server.
+    pub(in crate::gateway) fn update_estimates(&mut self, now: Timestamp, deployment: &Deployment) {
+        let throughput_weight = self.outlier_detection.own_throughput_weight();
+        self.estimates
+            .merge_own_throughput(TICK_PERIOD, throughput_weight);
+        let latencies_us = self.table.sorted(Server::observed_latency_us);
+        let median_us = self.outlier_detection.median(&latencies_us);
+        let load_factors = self.table.sorted(|server| {
+            let load = server.recent_load(now, REPORT_LIFETIME);
+            load.map(|load| server.load_factor(load))
+        });
+        let load_factor = self.outlier_detection.median(&load_factors);
+        self.estimates.set_medians(
+            median_us.unwrap_or_else(|| initial_latency_us(deployment)),
+            load_factor,
+        );
+    }
+
+    /// Grants slow-start credit to the servers that warm up.
+    pub(in crate::gateway) fn grant_slow_start_credit(
+        &mut self,
+        now: Timestamp,
+        deployment: &Deployment,
+        random: &mut fastrand::Rng,
+    ) {
+        let rules = &deployment.settings.rules;
+        let warm = self.warm_count(now, rules);
+        let ready = self.table.ready_count();
+        let context = Context {
+            now,
+            deployment,
+            fleet: &self.estimates,
+        };
+        let slow_start = SlowStart::new(context, &self.selection, warm, ready, TICK_PERIOD);
+        let warming_up = self
+            .table
+            .iter_tracked_mut()
+            .filter(|server| !server.is_warm(rules, now));
+        for server in warming_up {
+            let fraction = server.warm_up_fraction(rules, now);
+            slow_start.grant(server, fraction, random.f64());
+        }
+    }
+
+    /// How many of the ready servers are warm.
+    fn warm_count(&mut self, now: Timestamp, rules: &Rules) -> usize {
+        if !self.table.scans_all() {
+            return self.table.warm_count(now);
+        }
+        self.table
+            .iter_ready()
+            .filter(|server| server.is_warm(rules, now))
+            .count()
+    }
+
+    /// Evicts servers that are gone, and the health of idle ones.
+    pub(in crate::gateway) fn evict_idle(&mut self, now: Timestamp) {
+        self.table.evict_idle(now, MAX_SERVER_IDLE);
+    }
+}
--- /dev/null
+++ b/crates/gateway-core/src/gateway/servers/reports.rs
@@ -0,0 +1,73 @@
+//! Health reports on servers, which lease messages carry: their selection, and the merge of received ones.
+
+use super::Servers;
+use crate::message::{GossipDigest, HealthReport};
+use crate::policy::fleet_mode::LATENCY_RATIO_WEIGHT;
+use crate::policy::health_reports;
+use crate::policy::load_balancing::SAMPLE_SIZE;
+use crate::policy::outlier_detection::PEER_THROUGHPUT_WEIGHT;
+use crate::time::Timestamp;
+use crate::types::ClassId;
+
+impl Servers {
+    /// The digest that a lease message carries: throughput and latency ratios as estimated here, and health reports on
+    /// servers.
+    pub(in crate::gateway) fn digest(
+        &self,
+        now: Timestamp,
+        random: &mut fastrand::Rng,
+    ) -> GossipDigest {
+        let max_reports = if self.table.scans_all() {
+            usize::MAX
+        } else {
+            SAMPLE_SIZE
+        };
+        let reports = self
+            .table
+            .recent_reports(now, health_reports::REPORT_LIFETIME, max_reports);
+        let median_us = self.estimates.median_latency_us();
+        GossipDigest {
+            throughput: self.estimates.throughput(),
+            latency_ratios: self.estimates.latency_ratios().to_vec(),
+            reports: health_reports::select_reports(reports, median_us, random),
+        }
+    }
+
+    /// Merges a peer's digest.
+    pub(in crate::gateway) fn merge_digest(
+        &mut self,
+        now: Timestamp,
+        digest: GossipDigest,
+        random: &mut fastrand::Rng,
+    ) {
+        self.estimates
+            .merge_throughput(digest.throughput, PEER_THROUGHPUT_WEIGHT);
+        for (class, ratio) in digest.latency_ratios.into_iter().enumerate() {
+            if ratio >= 0.0 {
+                self.estimates
+                    .merge_latency_ratio(ClassId(class), ratio, LATENCY_RATIO_WEIGHT);
+            }
+        }
+        for report in digest.reports {
+            self.merge_report(now, &report, random);
+        }
+    }
+
+    /// Merges a peer's report on a server, and updates the server's ejection if the report was newer than what was
+    /// known.
+    fn merge_report(&mut self, now: Timestamp, report: &HealthReport, random: &mut fastrand::Rng) {
+        let Some(id) = self.table.by_short_id(report.server) else {
+            return;
+        };
+        let Some(mut server) = self.table.get_mut(now, &id) else {
+            return;
+        };
+        let median_us = self.estimates.median_latency_us();
+        let is_newer = health_reports::is_recent(report)
+            && server.merge_report(now, report, health_reports::REPORT_WEIGHT, median_us);
+        drop(server); // updates the sum of failure rates that decides on ejection
+        if is_newer {
+            self.update_ejection(now, id, report.class, random);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway-core/src/gateway/servers/selection.rs
@@ -0,0 +1,105 @@
+//! The choice of a server for a request that may be sent.
+
+use super::{FleetConcurrency, Servers};
+use crate::policy::load_balancing::Selector;
+use crate::state::deployment::{Context, Deployment};
+use crate::state::request::Request;
+use crate::state::servers::Candidate;
+use crate::time::Timestamp;
+use crate::types::{ClassId, ServerId};
+
+impl Servers {
+    /// Servers that may be chosen from now: ready and with capacity. Of too many to be scanned, a sample.
+    ///
+    /// None while this gateway has enough `in_flight`. Where not all servers are scanned, the fleet's concurrency that
+    /// this depends on is summed anew once per control tick, the next of which is at `next_control_tick`.
+    pub(in crate::gateway) fn selectable(
+        &mut self,
+        now: Timestamp,
+        deployment: &Deployment,
+        in_flight: f64,
+        next_control_tick: Timestamp,
+        random: &mut fastrand::Rng,
+    ) -> Vec<ServerId> {
+        let context = Context {
+            now,
+            deployment,
+            fleet: &self.estimates,
+        };
+        let selector = Selector::new(context, &self.selection, &self.table);
+        let cached = &mut self.fleet_concurrency;
+        let fleet_concurrency = || {
+            if self.table.scans_all() || now >= cached.valid_until {
+                *cached = FleetConcurrency {
+                    attempts: selector.fleet_concurrency(),
+                    valid_until: next_control_tick,
+                };
+            }
+            cached.attempts
+        };
+        if selector.is_fleet_full(in_flight, fleet_concurrency) {
+            return Vec::new();
+        }
+        let Some(subset) = selector.sampled_subset() else {
+            return selector.all_with_capacity();
+        };
+        let sample = subset.sample(&selector, None, random);
+        self.track_sample(now, &sample)
+    }
+
+    /// The server for a request, of the selectable ones. A request that has to stay in its scope is given a sample of
+    /// its own where not all servers are scanned.
+    pub(in crate::gateway) fn choose(
+        &mut self,
+        now: Timestamp,
+        deployment: &Deployment,
+        request: &Request,
+        selectable: &[ServerId],
+        random: &mut fastrand::Rng,
+    ) -> Option<ServerId> {
+        let own_sample = self.sample_in_scope(now, deployment, request, random);
+        let candidates = own_sample.as_deref().unwrap_or(selectable);
+        let context = self.context(now, deployment);
+        Selector::new(context, &self.selection, &self.table).choose(request, candidates, random)
+    }
+
+    /// A sample of the servers that a request may be sent to, if it needs one of its own.
+    fn sample_in_scope(
+        &mut self,
+        now: Timestamp,
+        deployment: &Deployment,
+        request: &Request,
+        random: &mut fastrand::Rng,
+    ) -> Option<Vec<ServerId>> {
+        let context = self.context(now, deployment);
+        let selector = Selector::new(context, &self.selection, &self.table);
+        let subset = selector.sampled_subset()?;
+        if !selector.is_bound_to_scope(request) {
+            return None;
+        }
+        let sample = subset.sample(&selector, Some(request), random);
+        Some(self.track_sample(now, &sample))
+    }
+
+    /// Tracks the servers of a sample from now on.
+    fn track_sample(&mut self, now: Timestamp, sample: &[Candidate]) -> Vec<ServerId> {
+        for candidate in sample.iter().filter(|candidate| !candidate.is_tracked) {
+            self.table.track(now, &candidate.server);
+        }
+        sample.iter().map(|candidate| candidate.server).collect()
+    }
+
+    /// Records that an attempt was sent to a server. Returns the number of attempts in flight there, with this one;
+    /// `None` if the server is not known.
+    pub(in crate::gateway) fn record_attempt_sent(
+        &mut self,
+        now: Timestamp,
+        id: &ServerId,
+        class: ClassId,
+        next_probe_at: Timestamp,
+    ) -> Option<f64> {
+        let mut server = self.table.get_mut(now, id)?;
+        server.record_attempt_sent(class, next_probe_at);
+        Some(f64::from(server.in_flight()))
+    }
+}
--- a/crates/gateway-core/src/policy/deadlines.rs
+++ b/crates/gateway-core/src/policy/deadlines.rs
@@ -40,7 +40,7 @@
         return None;
     }
     let objective_at = request.arrived_at + class.latency_objective;
-    let answer_takes = context.fleet.mean_latency / 2.0;
+    let answer_takes = context.fleet.mean_latency_us() / 2.0;
     let too_late =
         now < objective_at && now.as_micros_f64() + answer_takes > objective_at.as_micros_f64();
     if request.in_flight.is_none() && too_late {
--- a/crates/gateway-core/src/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/src/policy/fuzzy_controller.rs
@@ -3,8 +3,8 @@
 
 use crate::fuzzy_inference::infer;
 use crate::state::deployment::FleetMode;
-use crate::state::fleet_estimates::FleetEstimates;
 use crate::state::request::Request;
+use crate::state::servers::FleetEstimates;
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -117,11 +117,11 @@
     /// A control tick, at the worst latency ratio of the controlled classes; while that is unknown the limit
     /// stays. `share`: this gateway's part of the fleet.
     pub(crate) fn tick(&mut self, latency_ratio: Option<f64>, fleet: &FleetEstimates, share: f64) {
-        self.peak = self.peak.max(fleet.lowest_in_flight);
+        self.peak = self.peak.max(fleet.lowest_in_flight());
         if let Some(latency_ratio) = latency_ratio {
             self.adjust_limit(latency_ratio, fleet, share);
         }
-        self.peak = fleet.lowest_in_flight;
+        self.peak = fleet.lowest_in_flight();
     }
 
     fn adjust_limit(&mut self, latency_ratio: f64, fleet: &FleetEstimates, share: f64) {
@@ -129,8 +129,8 @@
         let change = error - self.last_error.unwrap_or(error);
         self.last_error = Some(error);
         let least = MIN_LIMIT * share;
-        let in_flight = fleet.lowest_in_flight;
-        let total = fleet.total_in_flight;
+        let in_flight = fleet.lowest_in_flight();
+        let total = fleet.total_in_flight();
         let Some(limit) = self.limit else {
             self.limit = (latency_ratio > SET_POINT).then_some(in_flight.max(least));
             return;
--- a/crates/gateway-core/src/policy/load_shedding.rs
+++ b/crates/gateway-core/src/policy/load_shedding.rs
@@ -17,11 +17,11 @@
 /// The median server counts, so that a few that hang shed nobody.
 fn load_pressure(context: Context<'_>) -> f64 {
     let fleet = context.fleet;
-    let Some(load_factor) = fleet.load_factor else {
+    let Some(load_factor) = fleet.load_factor() else {
         let worst = fleet.worst_latency_ratio(context.deployment.lowest_class);
         return LATENCY_RAMP.position(worst.unwrap_or(0.0));
     };
-    let expected = fleet.service_time * load_factor.max(1.0);
+    let expected = fleet.service_time_us() * load_factor.max(1.0);
     LOAD_RAMP.position(expected / context.deployment.shortest_objective)
 }
 
--- a/crates/gateway-core/src/policy/quota.rs
+++ b/crates/gateway-core/src/policy/quota.rs
@@ -114,7 +114,7 @@
     };
     // Peers' attempts are not heard of in time: their rate and the latency make so many likely.
     let even_share = (f64::from(limit) / bucket.gateway_count).round().max(1.0);
-    let likely = bucket.peer_rate(context.now) * context.fleet.mean_latency / 1e6;
+    let likely = bucket.peer_rate(context.now) * context.fleet.mean_latency_us() / 1e6;
     let below_limit = poisson_below(limit.saturating_sub(bucket.in_flight), likely);
     let risk = (1.0 - below_limit) * (1.0 + plan.over_quota_cost);
     f64::from(bucket.in_flight) < even_share && risk < MAX_CONCURRENCY_RISK
--- a/crates/gateway-core/src/policy/slow_start.rs
+++ b/crates/gateway-core/src/policy/slow_start.rs
@@ -1,53 +1,70 @@
-//! Slow start: a server that has just started collapses under what a warm one bears. Gateways earn attempts
-//! to it, a share of what warm servers are seen to do; what falls below one a tick is a chance, and many
-//! gateways save nothing up.
+//! Slow start: how many attempts a server receives while it warms up. A server that has just started is
+//! overloaded by a rate that a warm one sustains.
+//!
+//! 1. [`SlowStart::new`]: the rate of attempts that a gateway may send to a warm server, by what the warm ones
+//!    sustain.
+//! 2. [`SlowStart::grant`]: at each control tick, every server that warms up gains credit for its fraction of
+//!    that rate.
+//! 3. Each attempt takes one unit of credit; without a whole unit the server has no capacity (see
+//!    [`load_balancing`](super::load_balancing)).
 
-use super::load_balancing::subset_size;
-use crate::state::deployment::{Context, FleetMode};
-use crate::state::server::Server;
-use crate::time::DurationExt;
+use super::load_balancing::ServerSelection;
+use crate::state::deployment::Context;
+use crate::state::servers::Server;
+use crate::statistics::{count_as_f64, expected_count};
 use std::time::Duration;
 
-/// Attempts a second that all gateways together send to a cold server while no warm one tells more.
-const BLIND_RATE: f64 = 1.5;
-/// Attempts to it that one gateway may save up, and for how many gateways that is safe.
+/// Attempts that all gateways together send to a cold server while warm ones don't show a higher rate.
+const MIN_ATTEMPTS_PER_SECOND: f64 = 1.5;
+/// Attempts' worth of credit that one gateway may accumulate.
 const MAX_CREDIT: f64 = 1.5;
-const MAX_SAVING_GATEWAYS: f64 = 6.0;
-/// Part of the overload multiple that is used, of what warm servers are seen to do.
-const OVERLOAD_SHARE: f64 = 0.4;
+/// Number of gateways up to which each may retain all credit that it has not used. In larger fleets each retains
+/// less, or all might use theirs at the same time.
+const MAX_RETAINING_GATEWAYS: f64 = 6.0;
+/// Fraction of the overload multiple of the warm servers' rate that a server is given.
+const OVERLOAD_FRACTION: f64 = 0.4;
 
-/// What this gateway earns over a control tick.
+/// The credit that this gateway grants at one control tick.
 pub(crate) struct SlowStart {
-    /// Attempts at a server with all of its capacity.
-    earned: f64,
-    /// The share of saved credit that is kept.
-    kept: f64,
+    /// Attempts that a server with all of its capacity would be granted.
+    full_grant: f64,
+    /// Fraction of unused credit that is retained.
+    retained_fraction: f64,
 }
 
 impl SlowStart {
-    /// `warm` of the `ready` servers are warm; `tick`: µs of a control tick.
-    pub(crate) fn new(context: Context<'_>, warm: usize, ready: usize, tick: Duration) -> Self {
+    /// The grant for a control tick.
+    ///
+    /// The rate is [`OVERLOAD_FRACTION`] of the overload multiple times this gateway's throughput for each warm
+    /// server, or its part of [`MIN_ATTEMPTS_PER_SECOND`] if that is more. `warm` of the `ready` servers are warm;
+    /// `tick` is the time between two control ticks. In a large fleet only a part of the gateways have a server in
+    /// their subset, so each of them grants it more.
+    pub(crate) fn new(
+        context: Context<'_>,
+        selection: &ServerSelection,
+        warm: usize,
+        ready: usize,
+        tick: Duration,
+    ) -> Self {
         let settings = &context.deployment.settings;
         let gateways = f64::from(settings.gateway_count);
-        let warm = warm.max(1) as f64;
-        let observed =
-            context.fleet.throughput / warm * OVERLOAD_SHARE * settings.rules.overload_multiple;
-        // Only a part of a large fleet has a server in its subset, so each of these has a larger share of it.
-        let share = match context.deployment.mode {
-            FleetMode::Gossip => 1.0,
-            FleetMode::Leases => (warm / subset_size(settings, ready) as f64).max(1.0),
-        };
-        let earned = observed.max(BLIND_RATE / gateways) * share * tick.as_micros_f64() / 1e6;
+        let warm = count_as_f64(warm.max(1));
+        let observed_rate = context.fleet.throughput() / warm
+            * OVERLOAD_FRACTION
+            * settings.rules.overload_multiple;
+        let rate = observed_rate.max(MIN_ATTEMPTS_PER_SECOND / gateways)
+            * selection.servers_per_subset(warm, ready);
         SlowStart {
-            earned,
-            kept: (MAX_SAVING_GATEWAYS / gateways).min(1.0),
+            full_grant: expected_count(rate, tick),
+            retained_fraction: (MAX_RETAINING_GATEWAYS / gateways).min(1.0),
         }
     }
 
-    /// Grants a server that warms up its credit. `draw`: random, from 0 to 1.
+    /// Grants a server that warms up its credit: whole attempts, rounded up with a probability of the fraction
+    /// that remains. `warm_up_fraction`: fraction of its capacity that the server has; `draw`: random, from 0 to 1.
     pub(crate) fn grant(&self, server: &mut Server, warm_up_fraction: f64, draw: f64) {
-        let gained = (self.earned * warm_up_fraction + draw).floor();
-        let saved = server.slow_start_credit.max(0.0) * self.kept;
-        server.slow_start_credit = (saved + gained).min(gained.max(MAX_CREDIT));
+        let gained = (self.full_grant * warm_up_fraction + draw).floor();
+        let maximum = gained.max(MAX_CREDIT);
+        server.add_slow_start_credit(gained, self.retained_fraction, maximum);
     }
 }
--- a/crates/gateway-core/src/state/deployment.rs
+++ b/crates/gateway-core/src/state/deployment.rs
@@ -1,7 +1,7 @@
 //! The settings, and what follows from them once and for all.
 
-use super::fleet_estimates::FleetEstimates;
 use super::request::Request;
+use super::servers::FleetEstimates;
 use crate::settings::{Class, Plan, Settings};
 use crate::statistics::percentile_rank;
 use crate::time::{DurationExt, Timestamp};
--- a/crates/gateway-core/src/state/mod.rs
+++ b/crates/gateway-core/src/state/mod.rs
@@ -4,18 +4,12 @@
 
 pub(crate) mod attempt;
 pub(crate) mod deployment;
-pub(crate) mod fleet_estimates;
-pub(crate) mod hash_ring;
 pub(crate) mod latency_samples;
 pub(crate) mod lease;
 pub(crate) mod peer_usage;
 pub(crate) mod permits;
 pub(crate) mod quota_owners;
 pub(crate) mod quota_state;
-pub(crate) mod ranked_set;
 pub(crate) mod request;
-pub(crate) mod server;
-pub(crate) mod server_index;
-pub(crate) mod server_table;
-pub(crate) mod server_view;
+pub(crate) mod servers;
 pub(crate) mod token_bucket;
--- /dev/null
+++ b/crates/gateway-core/src/state/servers/fleet_estimates.rs
@@ -0,0 +1,155 @@
+//! What a gateway estimates of the whole fleet, from its own observations and from gossip.
+
+use crate::message::UNKNOWN_RATIO;
+use crate::statistics::update_mean;
+use crate::time::DurationExt;
+use crate::types::{ClassId, ZoneId};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Running means over the fleet.
+#[derive(Default)]
+pub(crate) struct FleetEstimates {
+    mean_latency_us: f64,
+    median_latency_us: f64,
+    service_time_us: f64,
+    load_factor: Option<f64>,
+    lowest_in_flight: f64,
+    total_in_flight: f64,
+    /// By class: mean latency as a ratio to the class's objective, or [`UNKNOWN_RATIO`].
+    latency_ratios: Vec<f64>,
+    throughput: f64,
+    completed_since_tick: f64,
+    /// By zone: fraction of the attempts that found no connection.
+    unreachable_by_zone: BTreeMap<ZoneId, f64>,
+}
+
+impl FleetEstimates {
+    /// Estimates before anything was observed. `expected_us`: the latency per concurrent request to start from.
+    pub(crate) fn new(classes: usize, expected_us: f64) -> Self {
+        FleetEstimates {
+            mean_latency_us: expected_us,
+            median_latency_us: expected_us,
+            service_time_us: expected_us,
+            latency_ratios: vec![UNKNOWN_RATIO; classes],
+            ..FleetEstimates::default()
+        }
+    }
+
+    /// Mean latency of attempts in µs.
+    pub(crate) fn mean_latency_us(&self) -> f64 {
+        self.mean_latency_us
+    }
+
+    /// Merges the latency of an attempt.
+    pub(crate) fn observe_latency(&mut self, sample_us: f64, weight: f64) {
+        update_mean(&mut self.mean_latency_us, sample_us, weight);
+    }
+
+    /// Latency per concurrent request of the median server in µs.
+    pub(crate) fn median_latency_us(&self) -> f64 {
+        self.median_latency_us
+    }
+
+    /// Time in µs that a server with free capacity takes.
+    pub(crate) fn service_time_us(&self) -> f64 {
+        self.service_time_us
+    }
+
+    /// Merges a sample of the time that a server with free capacity takes.
+    pub(crate) fn observe_service_time(&mut self, sample_us: f64, weight: f64) {
+        update_mean(&mut self.service_time_us, sample_us, weight);
+    }
+
+    /// Load factor of the median server; `None` where servers don't report their load.
+    pub(crate) fn load_factor(&self) -> Option<f64> {
+        self.load_factor
+    }
+
+    /// Replaces what is known of the median server.
+    pub(crate) fn set_medians(&mut self, latency_us: f64, load_factor: Option<f64>) {
+        self.median_latency_us = latency_us;
+        self.load_factor = load_factor;
+    }
+
+    /// Mean number of attempts of the lowest class in flight.
+    pub(crate) fn lowest_in_flight(&self) -> f64 {
+        self.lowest_in_flight
+    }
+
+    /// Mean number of all attempts in flight.
+    pub(crate) fn total_in_flight(&self) -> f64 {
+        self.total_in_flight
+    }
+
+    /// Merges the attempts in flight now, of the lowest class and in all.
+    pub(crate) fn observe_in_flight(&mut self, lowest: f64, total: f64, weight: f64) {
+        update_mean(&mut self.lowest_in_flight, lowest, weight);
+        update_mean(&mut self.total_in_flight, total, weight);
+    }
+
+    /// Mean latency by class as a ratio to the class's objective, or [`UNKNOWN_RATIO`].
+    pub(crate) fn latency_ratios(&self) -> &[f64] {
+        &self.latency_ratios
+    }
+
+    /// The largest latency ratio of all classes but `lowest`; of all, if there is only one. `None` while unknown.
+    pub(crate) fn worst_latency_ratio(&self, lowest: ClassId) -> Option<f64> {
+        let is_only = self.latency_ratios.len() == 1;
+        let ratios = self.latency_ratios.iter().enumerate();
+        let controlled = ratios.filter(|(class, _)| *class != lowest.0 || is_only);
+        let worst = controlled.map(|(_, ratio)| *ratio).max_by(f64::total_cmp);
+        worst.filter(|worst| *worst >= 0.0)
+    }
+
+    /// Merges a sample of a class's latency ratio, of this gateway or of a peer.
+    pub(crate) fn merge_latency_ratio(&mut self, class: ClassId, ratio: f64, weight: f64) {
+        let Some(mean) = self.latency_ratios.get_mut(class.0) else {
+            return;
+        };
+        let weight = if *mean < 0.0 { 1.0 } else { weight };
+        update_mean(mean, ratio, weight);
+    }
+
+    /// Drops what is known of a class's latency ratio.
+    pub(crate) fn reset_latency_ratio(&mut self, class: ClassId) {
+        self.latency_ratios[class.0] = UNKNOWN_RATIO;
+    }
+
+    /// Mean number of answers per second at one gateway.
+    pub(crate) fn throughput(&self) -> f64 {
+        self.throughput
+    }
+
+    /// Merges the throughput of a peer.
+    pub(crate) fn merge_throughput(&mut self, per_second: f64, weight: f64) {
+        update_mean(&mut self.throughput, per_second, weight);
+    }
+
+    /// Counts an answer at this gateway.
+    pub(crate) fn count_answer(&mut self) {
+        self.completed_since_tick += 1.0;
+    }
+
+    /// Merges this gateway's throughput since the last control tick, which was `period` ago.
+    pub(crate) fn merge_own_throughput(&mut self, period: Duration, weight: f64) {
+        let per_second = self.completed_since_tick / period.as_seconds();
+        update_mean(&mut self.throughput, per_second, weight);
+        self.completed_since_tick = 0.0;
+    }
+
+    /// Merges whether an attempt into a zone found a connection.
+    pub(crate) fn observe_zone(&mut self, zone: ZoneId, is_unreachable: bool, weight: f64) {
+        let fraction = self.unreachable_by_zone.entry(zone).or_default();
+        update_mean(fraction, f64::from(u8::from(is_unreachable)), weight);
+    }
+
+    /// Fraction of the attempts into a zone that found no connection.
+    pub(crate) fn unreachable_fraction(&self, zone: ZoneId) -> f64 {
+        self.unreachable_by_zone.get(&zone).copied().unwrap_or(0.0)
+    }
+}
+
+#[cfg(test)]
+#[path = "../../../tests/unit/fleet_estimates.rs"]
+mod tests;
--- /dev/null
+++ b/crates/gateway-core/src/state/servers/latency_estimates.rs
@@ -0,0 +1,89 @@
+//! Expected latencies of servers at one moment, as observed and as reported, decayed to those of the fleet.
+
+use super::fleet_estimates::FleetEstimates;
+use super::server::Server;
+use super::server_table::ServerTable;
+use crate::settings::Rules;
+use crate::state::deployment::Context;
+use crate::statistics::count_as_f64;
+use crate::time::Timestamp;
+
+/// Minimum latency in µs that a concurrency is calculated from.
+const MIN_LATENCY_US: f64 = 1.0;
+/// Minimum load factor that a latency is calculated from.
+const MIN_LOAD_FACTOR: f64 = 1.0;
+
+/// How observations of servers decay. The half-lives are numbers, as every choice calculates with them for each
+/// server.
+#[derive(Clone, Copy)]
+pub(crate) struct LatencyDecay {
+    /// Time in µs in which an observed latency decays halfway to the fleet's.
+    pub(crate) latency_half_life_us: f64,
+    /// Time in µs in which a reported load does; `None` where reported loads do not count.
+    pub(crate) load_half_life_us: Option<f64>,
+    /// Minimum warm-up fraction that the latency of an unknown server is divided by.
+    pub(crate) min_warm_up_fraction: f64,
+}
+
+/// Expected latencies of servers at one moment.
+pub(crate) struct LatencyEstimates<'a> {
+    now: Timestamp,
+    rules: &'a Rules,
+    fleet: &'a FleetEstimates,
+    decay: LatencyDecay,
+}
+
+impl<'a> LatencyEstimates<'a> {
+    /// The expected latencies now.
+    pub(crate) fn new(context: Context<'a>, decay: &LatencyDecay) -> Self {
+        LatencyEstimates {
+            now: context.now,
+            rules: &context.deployment.settings.rules,
+            fleet: context.fleet,
+            decay: *decay,
+        }
+    }
+
+    /// Expected latency per concurrent request at a server, in µs: the larger of what was observed and what its
+    /// reported load lets expect. An unknown server counts as the median one, by how far it has warmed up.
+    pub(crate) fn expected_latency_us(&self, server: &Server) -> f64 {
+        let median_us = self.fleet.median_latency_us();
+        let half_life_us = self.decay.latency_half_life_us;
+        match server.decayed_latency_us(self.now, median_us, half_life_us) {
+            Some(latency_us) => latency_us.max(self.latency_by_load_us(server).unwrap_or(0.0)),
+            None => {
+                let fraction = server.warm_up_fraction(self.rules, self.now);
+                median_us / fraction.max(self.decay.min_warm_up_fraction)
+            }
+        }
+    }
+
+    /// The latency in µs that a server's reported load lets expect.
+    fn latency_by_load_us(&self, server: &Server) -> Option<f64> {
+        let half_life_us = self.decay.load_half_life_us?;
+        let fleet_load_factor = self.fleet.load_factor()?;
+        let load_factor = server.decayed_load_factor(self.now, fleet_load_factor, half_life_us)?;
+        Some(self.fleet.service_time_us() * load_factor.max(MIN_LOAD_FACTOR))
+    }
+
+    /// Attempts that the ready servers together finish within `objective_us` µs. Those that are not tracked count as the
+    /// median one.
+    pub(crate) fn fleet_concurrency(&self, servers: &ServerTable, objective_us: f64) -> f64 {
+        let mut tracked = 0;
+        let concurrency =
+            |server| objective_us / self.expected_latency_us(server).max(MIN_LATENCY_US);
+        let sum: f64 = servers
+            .iter_ready()
+            .inspect(|_| tracked += 1)
+            .map(concurrency)
+            .sum();
+        let untracked = count_as_f64(servers.ready_count() - tracked);
+        let median_us = self.fleet.median_latency_us();
+        sum + untracked * (objective_us / median_us.max(MIN_LATENCY_US))
+    }
+
+    /// Whether a server has all of its capacity.
+    pub(crate) fn is_warm(&self, server: &Server) -> bool {
+        server.is_warm(self.rules, self.now)
+    }
+}
--- a/crates/gateway-core/src/state/ranked_set.rs
+++ b/crates/gateway-core/src/state/servers/ranked_set.rs
@@ -1,6 +1,6 @@
 //! An ordered set that can iterate from a rank, stored in chunks short enough to be moved at each change.
 
-/// The most items that one chunk holds.
+/// Maximum number of items in one chunk.
 const MAX_CHUNK: usize = 2_048;
 
 /// A set in ascending order. Finding a rank costs a step for each chunk; a change, that and the move of one
@@ -25,7 +25,7 @@
         let mut all: Vec<T> = items.into_iter().collect();
         all.sort_unstable();
         all.dedup();
-        // Half full, so that insertions do not split chunks at once.
+        // Half full, so that the next insertions do not split chunks.
         RankedSet {
             len: all.len(),
             chunks: all.chunks(MAX_CHUNK / 2).map(<[T]>::to_vec).collect(),
@@ -39,7 +39,7 @@
         self.len
     }
 
-    /// The chunk where an item is, or belongs.
+    /// Index of the chunk where an item is, or belongs.
     fn chunk_of(&self, item: &T) -> usize {
         let before = |chunk: &Vec<T>| chunk.first().is_some_and(|first| first <= item);
         self.chunks.partition_point(before).saturating_sub(1)
@@ -53,10 +53,10 @@
             self.len = 1;
             return;
         };
-        let Err(place) = chunk.binary_search(&item) else {
+        let Err(index) = chunk.binary_search(&item) else {
             return;
         };
-        chunk.insert(place, item);
+        chunk.insert(index, item);
         self.len += 1;
         if chunk.len() > MAX_CHUNK {
             let upper = chunk.split_off(MAX_CHUNK / 2);
@@ -70,10 +70,10 @@
         let Some(chunk) = self.chunks.get_mut(at) else {
             return;
         };
-        let Ok(place) = chunk.binary_search(item) else {
+        let Ok(index) = chunk.binary_search(item) else {
             return;
         };
-        chunk.remove(place);
+        chunk.remove(index);
         self.len -= 1;
         if chunk.is_empty() {
             self.chunks.remove(at);
@@ -83,27 +83,27 @@
     /// All items in order from that rank on, wrapping round.
     pub(crate) fn iter_from(&self, rank: usize) -> impl Iterator<Item = T> + '_ {
         let mut at = 0;
-        let mut place = rank.min(self.len);
+        let mut offset = rank.min(self.len);
         while self
             .chunks
             .get(at)
-            .is_some_and(|chunk| chunk.len() <= place)
+            .is_some_and(|chunk| chunk.len() <= offset)
         {
-            place -= self.chunks[at].len();
+            offset -= self.chunks[at].len();
             at += 1;
         }
-        let first = self
+        let from_rank = self
             .chunks
             .get(at..)
             .into_iter()
             .flatten()
             .flatten()
-            .skip(place);
-        let again = self.chunks.iter().flatten();
-        first.chain(again).take(self.len).copied()
+            .skip(offset);
+        let wrapped = self.chunks.iter().flatten();
+        from_rank.chain(wrapped).take(self.len).copied()
     }
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/ranked_set.rs"]
+#[path = "../../../tests/unit/ranked_set.rs"]
 mod tests;
--- /dev/null
+++ b/crates/gateway-core/src/state/servers/server.rs
@@ -0,0 +1,307 @@
+//! What a gateway knows of one server.
+
+use super::class_health::ClassHealth;
+use crate::message::HealthReport;
+use crate::settings::Rules;
+use crate::time::{DurationExt, Timestamp};
+use crate::types::{ClassId, Endpoint, EndpointState, ServerId};
+use std::time::Duration;
+
+/// A server: its entry on the endpoint list, its load and its health.
+#[derive(Default)]
+pub(crate) struct Server {
+    pub(super) endpoint: Endpoint,
+    /// Attempts of this gateway in flight.
+    pub(super) in_flight: u32,
+    /// Estimated latency per concurrent request in µs; 0 while unknown.
+    latency_us: f64,
+    latency_observed_at: Timestamp,
+    answered_at: Timestamp,
+    /// By class.
+    pub(super) health: Vec<ClassHealth>,
+    /// Attempts that may be sent while it warms up.
+    slow_start_credit: f64,
+    /// Requests in flight that it last reported.
+    reported_load: Option<f64>,
+    load_reported_at: Timestamp,
+    consecutive_connect_failures: u32,
+    connect_backoff_until: Timestamp,
+    /// When it was last used, or a report on it received.
+    pub(super) last_used_at: Timestamp,
+}
+
+/// How long a server receives nothing after an attempt that found no connection.
+#[derive(Clone, Copy)]
+pub(crate) struct ConnectBackoff {
+    /// Backoff after the first such attempt.
+    pub(crate) initial: Duration,
+    /// Maximum number of times that it doubles with consecutive ones.
+    pub(crate) max_doublings: u32,
+}
+
+impl Server {
+    /// A server of which nothing is known but its entry on the endpoint list.
+    pub(crate) fn unknown(endpoint: Endpoint, now: Timestamp, classes: usize) -> Self {
+        Server {
+            endpoint,
+            latency_observed_at: now,
+            last_used_at: now,
+            health: vec![ClassHealth::default(); classes],
+            ..Server::default()
+        }
+    }
+
+    /// The same server with attempts in flight, which a restart of its process does not end.
+    pub(super) fn with_in_flight(self, in_flight: u32) -> Self {
+        Server { in_flight, ..self }
+    }
+
+    /// Its id.
+    pub(crate) fn id(&self) -> ServerId {
+        self.endpoint.server
+    }
+
+    /// Its entry on the endpoint list.
+    pub(crate) fn endpoint(&self) -> &Endpoint {
+        &self.endpoint
+    }
+
+    /// Whether the endpoint list says that it takes new requests.
+    pub(crate) fn is_ready(&self) -> bool {
+        self.endpoint.state == EndpointState::Ready
+    }
+
+    /// Attempts of this gateway in flight.
+    pub(crate) fn in_flight(&self) -> u32 {
+        self.in_flight
+    }
+
+    /// Its health with a class.
+    pub(crate) fn class_health(&self, class: ClassId) -> &ClassHealth {
+        &self.health[class.0]
+    }
+
+    /// Its health with a class, to be changed.
+    pub(crate) fn class_health_mut(&mut self, class: ClassId) -> &mut ClassHealth {
+        &mut self.health[class.0]
+    }
+
+    /// Its health with each class, to be changed.
+    pub(crate) fn iter_health_mut(&mut self) -> impl Iterator<Item = (ClassId, &mut ClassHealth)> {
+        let health = self.health.iter_mut().enumerate();
+        health.map(|(class, health)| (ClassId(class), health))
+    }
+
+    /// Whether it is ejected for any class.
+    pub(crate) fn is_ejected_for_any_class(&self) -> bool {
+        self.health.iter().any(ClassHealth::is_ejected)
+    }
+
+    /// Records that an attempt was sent: it takes slow-start credit, and is the probe of an ejected server, whose
+    /// next one may be sent at `next_probe_at`.
+    pub(crate) fn record_attempt_sent(&mut self, class: ClassId, next_probe_at: Timestamp) {
+        self.in_flight += 1;
+        self.slow_start_credit -= 1.0;
+        self.health[class.0].record_probe(next_probe_at);
+    }
+
+    /// Records that an attempt is no longer in flight.
+    pub(super) fn record_attempt_finished(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+    }
+
+    /// When it last answered a request of any class; the epoch if never.
+    pub(crate) fn answered_at(&self) -> Timestamp {
+        self.answered_at
+    }
+
+    /// Records that it answered a request.
+    pub(crate) fn record_answer(&mut self, now: Timestamp, class: ClassId) {
+        self.answered_at = now;
+        self.health[class.0].record_answer(now);
+    }
+
+    /// Latency per concurrent request as last estimated, in µs; `None` while unknown.
+    pub(crate) fn observed_latency_us(&self) -> Option<f64> {
+        Some(self.latency_us).filter(|latency_us| *latency_us > 0.0)
+    }
+
+    /// Latency per concurrent request by now, in µs: the estimate decays to that of the fleet, halfway in each
+    /// half-life. `None` while unknown.
+    pub(crate) fn decayed_latency_us(
+        &self,
+        now: Timestamp,
+        fleet_latency_us: f64,
+        half_life_us: f64,
+    ) -> Option<f64> {
+        let latency_us = self.observed_latency_us()?;
+        let elapsed_us = now.micros_since(self.latency_observed_at);
+        let remaining = remaining_fraction(elapsed_us, half_life_us);
+        Some(latency_us * remaining + fleet_latency_us * (1.0 - remaining))
+    }
+
+    /// Lets the estimated latency decay to that of the fleet up to now.
+    pub(crate) fn decay_latency(
+        &mut self,
+        now: Timestamp,
+        fleet_latency_us: f64,
+        half_life_us: f64,
+    ) {
+        let decayed = self.decayed_latency_us(now, fleet_latency_us, half_life_us);
+        self.latency_us = decayed.unwrap_or(0.0);
+    }
+
+    /// Merges a sample of the latency per concurrent request; `initial_us` stands for the estimate while there is
+    /// none.
+    pub(crate) fn observe_latency(
+        &mut self,
+        at: Timestamp,
+        sample_us: f64,
+        weight: f64,
+        initial_us: f64,
+    ) {
+        let before_us = self.observed_latency_us().unwrap_or(initial_us);
+        self.latency_us = before_us + (sample_us - before_us) * weight;
+        self.latency_observed_at = self.latency_observed_at.max(at);
+    }
+
+    /// Merges a peer's health report if it is newer than what is known, and returns whether it was.
+    pub(crate) fn merge_report(
+        &mut self,
+        now: Timestamp,
+        report: &HealthReport,
+        weight: f64,
+        initial_latency_us: f64,
+    ) -> bool {
+        let observed_at = now - report.age;
+        let Some(health) = self.health.get_mut(report.class.0) else {
+            return false;
+        };
+        if observed_at <= health.observed_at() {
+            return false;
+        }
+        health.record_observation(observed_at);
+        health.observe_failure_rate(report.failure_rate, weight);
+        self.observe_latency(observed_at, report.wait, weight, initial_latency_us);
+        self.observe_load(observed_at, report.load);
+        true
+    }
+
+    /// Requests in flight that it last reported; `None` if it never did.
+    pub(crate) fn reported_load(&self) -> Option<f64> {
+        self.reported_load
+    }
+
+    /// The same, if it was reported at most `max_age` ago.
+    pub(crate) fn recent_load(&self, now: Timestamp, max_age: Duration) -> Option<f64> {
+        let is_recent = now <= self.load_reported_at + max_age;
+        self.reported_load.filter(|_| is_recent)
+    }
+
+    /// Records how many requests it had in flight; a report older than the newest is ignored.
+    pub(crate) fn observe_load(&mut self, at: Timestamp, load: Option<f64>) {
+        if load.is_some() && at >= self.load_reported_at {
+            self.reported_load = load;
+            self.load_reported_at = at;
+        }
+    }
+
+    /// Load factor: requests in flight for each unit of its weight, with one more.
+    pub(crate) fn load_factor(&self, in_flight: f64) -> f64 {
+        (in_flight + 1.0) / self.endpoint.weight.max(1.0)
+    }
+
+    /// The reported load factor, which decays to that of the fleet, halfway in each half-life.
+    pub(crate) fn decayed_load_factor(
+        &self,
+        now: Timestamp,
+        fleet_load_factor: f64,
+        half_life_us: f64,
+    ) -> Option<f64> {
+        let elapsed_us = now.micros_since(self.load_reported_at);
+        let remaining = remaining_fraction(elapsed_us, half_life_us);
+        let reported = self.load_factor(self.reported_load?);
+        Some(reported * remaining + fleet_load_factor * (1.0 - remaining))
+    }
+
+    /// Whether it receives nothing now, as recent attempts found no connection.
+    pub(crate) fn is_in_connect_backoff(&self, now: Timestamp) -> bool {
+        self.connect_backoff_until > now
+    }
+
+    /// Records whether an attempt found a connection. The backoff doubles with each consecutive one that did not.
+    pub(crate) fn observe_connect(
+        &mut self,
+        now: Timestamp,
+        is_unreachable: bool,
+        backoff: ConnectBackoff,
+    ) {
+        if is_unreachable {
+            let doublings = self.consecutive_connect_failures.min(backoff.max_doublings);
+            self.consecutive_connect_failures += 1;
+            self.connect_backoff_until = now + backoff.initial * (1 << doublings);
+        } else {
+            self.consecutive_connect_failures = 0;
+            self.connect_backoff_until = Timestamp::EPOCH;
+        }
+    }
+
+    /// Records whether an attempt of a class failed. `other_class_fraction`: fraction of the weight with which it
+    /// counts for other classes.
+    pub(crate) fn observe_failure(
+        &mut self,
+        class: ClassId,
+        has_failed: bool,
+        weight: f64,
+        other_class_fraction: f64,
+    ) {
+        let sample = f64::from(u8::from(has_failed));
+        for (other, health) in self.iter_health_mut() {
+            let weight = if other == class {
+                weight
+            } else {
+                weight * other_class_fraction
+            };
+            health.observe_failure_rate(sample, weight);
+        }
+    }
+
+    /// Whether it has slow-start credit for one more attempt.
+    pub(crate) fn has_slow_start_credit(&self) -> bool {
+        self.slow_start_credit >= 1.0
+    }
+
+    /// Adds slow-start credit to the fraction that is retained of unused credit, up to a maximum.
+    pub(crate) fn add_slow_start_credit(
+        &mut self,
+        gained: f64,
+        retained_fraction: f64,
+        maximum: f64,
+    ) {
+        let retained = self.slow_start_credit.max(0.0) * retained_fraction;
+        self.slow_start_credit = (retained + gained).min(maximum);
+    }
+
+    /// Minimum fraction of its capacity that it has by now: 1 once it is warm.
+    pub(crate) fn warm_up_fraction(&self, rules: &Rules, now: Timestamp) -> f64 {
+        let Some(started_at) = self.endpoint.started_at else {
+            return 1.0;
+        };
+        let progress = now.micros_since(started_at) / rules.warm_up_period.as_micros_f64().max(1.0);
+        (rules.warm_up_from + (1.0 - rules.warm_up_from) * progress).min(1.0)
+    }
+
+    /// Whether it has all of its capacity.
+    pub(crate) fn is_warm(&self, rules: &Rules, now: Timestamp) -> bool {
+        self.warm_up_fraction(rules, now) >= 1.0
+    }
+}
+
+/// The fraction of an observation that remains after some time.
+fn remaining_fraction(elapsed_us: f64, half_life_us: f64) -> f64 {
+    0.5f64.powf(elapsed_us / half_life_us)
+}
+
+#[cfg(test)]
+#[path = "../../../tests/unit/server.rs"]
+mod tests;
--- a/crates/gateway-core/src/state/server_index.rs
+++ b/crates/gateway-core/src/state/servers/server_index.rs
@@ -1,6 +1,7 @@
-//! Indexes and sums over the ready servers, kept as their health changes.
+//! Indexes and sums over the ready servers, updated as their health changes.
 
-use super::server::{IndexedHealth, Server, FAILURE_RATE_STEPS};
+use super::class_health::{IndexedHealth, FAILURE_RATE_STEPS};
+use super::server::Server;
 use crate::time::Timestamp;
 use crate::types::{ClassId, ServerId};
 use std::collections::BTreeSet;
@@ -19,6 +20,7 @@
 }
 
 impl ServerIndex {
+    /// The index of no servers.
     pub(crate) fn new(classes: usize) -> Self {
         ServerIndex {
             probes: vec![BTreeSet::new(); classes],
@@ -27,11 +29,11 @@
         }
     }
 
-    /// Follows a server's health. One that is not `included` any more is taken off.
-    pub(crate) fn update(&mut self, server: &mut Server, included: bool) {
+    /// Updates the entries of a server after its health has changed; removes them unless `is_included`.
+    pub(crate) fn update(&mut self, server: &mut Server, is_included: bool) {
         let id = server.endpoint.server;
         for (class, health) in server.health.iter_mut().enumerate() {
-            let now = if included {
+            let now = if is_included {
                 IndexedHealth::from(&*health)
             } else {
                 IndexedHealth::default()
@@ -44,6 +46,7 @@
         }
     }
 
+    /// Moves the probe of a server.
     fn update_probe(
         &mut self,
         id: ServerId,
@@ -62,6 +65,7 @@
         }
     }
 
+    /// Moves the newest observation of a server.
     fn update_observation(
         &mut self,
         id: ServerId,
@@ -113,7 +117,7 @@
     }
 }
 
-/// A server that is being changed; the index follows when it is dropped.
+/// A server that is being changed; the index is updated when the guard is dropped.
 pub(crate) struct ServerGuard<'a> {
     pub(super) server: &'a mut Server,
     pub(super) index: &'a mut ServerIndex,
--- a/crates/gateway-core/src/state/server_table/update.rs
+++ b/crates/gateway-core/src/state/servers/server_table/update.rs
@@ -1,19 +1,20 @@
-//! How the server table takes in endpoint lists.
+//! Updates of the server table by endpoint lists.
 
 use super::ServerTable;
 use crate::message::short_id;
-use crate::state::server::Server;
+use crate::state::servers::server::Server;
 use crate::time::Timestamp;
 use crate::types::{Endpoint, EndpointState, EndpointUpdate, ServerId};
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, HashMap};
 
+/// Whether an endpoint takes new requests.
 fn is_ready(endpoint: &Endpoint) -> bool {
     endpoint.state == EndpointState::Ready
 }
 
 impl ServerTable {
-    /// Takes in an endpoint list, or changes to it. A server that started anew is unknown again.
+    /// Applies an endpoint list, or changes to it. What was known of a server that has restarted is dropped.
     pub(crate) fn apply_update(
         &mut self,
         now: Timestamp,
@@ -28,7 +29,7 @@
                 }
             }
         }
-        if self.walks_all() {
+        if self.scans_all() {
             for (id, endpoint) in std::mem::take(&mut self.untracked) {
                 self.tracked
                     .insert(id, Server::unknown(endpoint, now, self.classes));
@@ -36,13 +37,14 @@
         }
     }
 
+    /// Applies the change of one endpoint.
     fn apply_change(&mut self, now: Timestamp, endpoint: Endpoint) {
         let id = endpoint.server;
         let known = self
             .get(&id)
             .filter(|server| server.is_ready())
             .map(|server| server.endpoint);
-        let track = self.walks_all();
+        let track = self.scans_all();
         let after = match self.update_tracked(now, endpoint, track) {
             Some(server) => server.is_ready().then_some(server.endpoint),
             None => Some(endpoint).filter(is_ready),
@@ -60,7 +62,7 @@
         self.reindex(now, known.or(untracked), after);
     }
 
-    /// Takes in the endpoint of a server that is tracked, or is to be. `None` if it is not.
+    /// Applies the endpoint of a server that is tracked, or is to be. `None` if it is not.
     fn update_tracked(
         &mut self,
         now: Timestamp,
@@ -80,7 +82,7 @@
             }
             server.endpoint = endpoint;
         } else {
-            // Its zone and cell stay, as they bind requests that it may have executed.
+            // Its zone and cell stay: requests that it may have executed are bound to them.
             server.endpoint.state = endpoint.state;
         }
         let ready = server.is_ready();
@@ -88,7 +90,7 @@
         Some(server)
     }
 
-    /// Moves a server to where its endpoint belongs, or takes it off if it is not ready any more.
+    /// Moves a server to where its endpoint belongs in the indexes, or removes it if it is no longer ready.
     fn reindex(&mut self, now: Timestamp, before: Option<Endpoint>, after: Option<Endpoint>) {
         if before == after {
             return;
@@ -119,8 +121,9 @@
         warms_up.then_some((started_at, endpoint.server))
     }
 
+    /// Replaces the endpoint list.
     fn apply_snapshot(&mut self, now: Timestamp, endpoints: Vec<Endpoint>) {
-        let track = self.will_walk_all(&endpoints);
+        let track = self.will_scan_all(&endpoints);
         let mut before = std::mem::take(&mut self.untracked);
         if !before.is_empty() {
             self.by_short_id = self.tracked.keys().map(|id| (short_id(*id), *id)).collect();
@@ -149,20 +152,20 @@
         self.rebuild_indexes(now);
     }
 
-    /// Whether a snapshot leaves so few ready that all are walked. The last entry of a server counts: a list
+    /// Whether a snapshot leaves so few servers ready that all are scanned. The last entry of a server counts: a list
     /// that names one twice may have fewer ready servers than entries.
-    fn will_walk_all(&self, endpoints: &[Endpoint]) -> bool {
-        if endpoints.len() <= self.max_walked {
+    fn will_scan_all(&self, endpoints: &[Endpoint]) -> bool {
+        if endpoints.len() <= self.full_scan_limit {
             return true;
         }
         let last_entries = endpoints
             .iter()
             .map(|endpoint| (endpoint.server, is_ready(endpoint)));
         let last_entries: HashMap<_, _> = last_entries.collect();
-        last_entries.values().filter(|ready| **ready).count() <= self.max_walked
+        last_entries.values().filter(|ready| **ready).count() <= self.full_scan_limit
     }
 
-    /// Tracks a server that was known and not tracked: its zone and cell stay if it is not ready any more.
+    /// Tracks a server that was known and not tracked: its zone and cell stay if it is no longer ready.
     fn track_known(
         &mut self,
         now: Timestamp,
@@ -179,8 +182,9 @@
         }
     }
 
+    /// Builds all indexes anew from the servers that are ready.
     fn rebuild_indexes(&mut self, now: Timestamp) {
-        // Servers that are not on the list any more are still to be taken off the index.
+        // Servers that are no longer listed are still in the index.
         for server in self.tracked.values_mut() {
             let ready = server.is_ready();
             self.index.update(server, ready);
--- a/crates/gateway-core/tests/unit/fleet_estimates.rs
+++ b/crates/gateway-core/tests/unit/fleet_estimates.rs
@@ -25,7 +25,7 @@
     let mut fleet = FleetEstimates::new(1, 1.0);
     fleet.observe_zone(ZoneId(1), true, 0.5);
     assert_eq!(
-        [1, 2].map(|zone| fleet.unreachable_share(ZoneId(zone))),
+        [1, 2].map(|zone| fleet.unreachable_fraction(ZoneId(zone))),
         [0.5, 0.0]
     );
 }
--- a/crates/gateway-core/tests/unit/fuzzy_controller.rs
+++ b/crates/gateway-core/tests/unit/fuzzy_controller.rs
@@ -46,8 +46,7 @@
     let mut limits = Vec::new();
     for tick in &RECORDED {
         let mut fleet = FleetEstimates::new(1, 1.0);
-        fleet.lowest_in_flight = tick.lowest_in_flight;
-        fleet.total_in_flight = tick.total_in_flight;
+        fleet.observe_in_flight(tick.lowest_in_flight, tick.total_in_flight, 1.0);
         controller.tick(Some(tick.latency_ratio), &fleet, 1.0 / 3.0);
         limits.push(controller.limit);
     }
--- a/crates/gateway-core/tests/unit/outlier_detection.rs
+++ b/crates/gateway-core/tests/unit/outlier_detection.rs
@@ -12,9 +12,10 @@
 fn a_failure_after_the_ejection_does_not_put_off_the_probe() {
     const CLASS: ClassId = ClassId(0);
     let mut server = Server::unknown(Endpoint::default(), at(0), 1);
-    server.health[CLASS.0].failure_rate = 1.0;
+    server.observe_failure(CLASS, true, 1.0, 0.0);
+    assert_eq!(server.class_health(CLASS).failure_rate(), 1.0);
     for probe_at in [at(100), at(200)] {
         update_ejection(&mut server, CLASS, 0.0, probe_at);
     }
-    assert_eq!(server.health[CLASS.0].next_probe_at, Some(at(100)));
+    assert_eq!(server.class_health(CLASS).next_probe_at(), Some(at(100)));
 }
--- a/crates/gateway-core/tests/unit/server.rs
+++ b/crates/gateway-core/tests/unit/server.rs
@@ -1,4 +1,4 @@
-//! What is known of one server, and how it fades.
+//! What is known of one server, and how it decays.
 
 use super::*;
 use crate::types::ServerId;
@@ -17,18 +17,22 @@
 }
 
 #[test]
-fn the_wait_fades_halfway_to_that_of_the_fleet_in_a_half_life() {
+fn the_latency_decays_halfway_to_that_of_the_fleet_in_a_half_life() {
     let mut server = server();
-    assert_eq!(server.faded_wait(at(0), 20.0, 100.0), None, "unknown");
-    server.observe_wait(at(1000), 60.0, 0.5, 20.0);
-    assert_eq!(server.known_wait(), Some(40.0));
-    assert_eq!(server.faded_wait(at(1100), 20.0, 100.0), Some(30.0));
+    assert_eq!(
+        server.decayed_latency_us(at(0), 20.0, 100.0),
+        None,
+        "unknown"
+    );
+    server.observe_latency(at(1000), 60.0, 0.5, 20.0);
+    assert_eq!(server.observed_latency_us(), Some(40.0));
+    assert_eq!(server.decayed_latency_us(at(1100), 20.0, 100.0), Some(30.0));
 }
 
 #[test]
 fn the_connect_backoff_doubles_up_to_its_limit_and_ends_with_a_connection() {
     let backoff = ConnectBackoff {
-        first: Duration::from_micros(10),
+        initial: Duration::from_micros(10),
         max_doublings: 2,
     };
     let mut server = server();
--- a/crates/gateway-core/tests/unit/server_table.rs
+++ b/crates/gateway-core/tests/unit/server_table.rs
@@ -1,9 +1,9 @@
-//! The server table against a reference model that keeps every server and walks over all of them for each sum.
+//! The server table against a reference model that retains every server and scans all of them for each sum.
 
 use super::*;
 use crate::settings::{Class, EndpointDiscovery, Idempotency, Permissions, Rules};
-use crate::state::server::ClassHealth;
-use crate::types::{EndpointUpdate, GatewayId, ZoneId};
+use crate::state::servers::ClassHealth;
+use crate::types::{ClassId, EndpointState, EndpointUpdate, GatewayId, ZoneId};
 use proptest::prelude::*;
 
 fn at(micros: u64) -> Timestamp {
@@ -145,7 +145,7 @@
 /// Every server that was ever listed and is not evicted.
 #[derive(Default)]
 struct ReferenceTable {
-    max_walked: usize,
+    full_scan_limit: usize,
     servers: BTreeMap<ServerId, ReferenceServer>,
 }
 
@@ -195,14 +195,14 @@
     }
 
     fn evict_idle(&mut self, now: Timestamp) {
-        let walks_all = self.ready().count() <= self.max_walked;
+        let scans_all = self.ready().count() <= self.full_scan_limit;
         self.servers.retain(|_, server| {
             server.in_flight > 0 || server.endpoint.state != EndpointState::Gone
         });
         for server in self.servers.values_mut() {
             let is_idle =
                 server.in_flight == 0 && now.duration_since(server.last_used_at) >= MAX_IDLE;
-            if !walks_all && is_idle && !server.is_ejected() {
+            if !scans_all && is_idle && !server.is_ejected() {
                 server.health = Default::default();
             }
         }
@@ -250,11 +250,11 @@
 }
 
 impl Comparison {
-    fn new(max_walked: usize) -> Self {
+    fn new(full_scan_limit: usize) -> Self {
         Comparison {
-            table: ServerTable::new(&settings(), max_walked),
+            table: ServerTable::new(&settings(), full_scan_limit),
             reference: ReferenceTable {
-                max_walked,
+                full_scan_limit,
                 ..ReferenceTable::default()
             },
             now: at(60),
@@ -289,7 +289,7 @@
             }
             Step::SendAttempt(id) => self.send_attempt(&id),
             Step::FinishAttempt(id) => {
-                self.table.attempt_finished(&id);
+                self.table.record_attempt_finished(&id);
                 if let Some(server) = self.reference.servers.get_mut(&id) {
                     server.in_flight = server.in_flight.saturating_sub(1);
                 }
@@ -373,8 +373,8 @@
         let ids = self.reference.ready_ids();
         prop_assert_eq!(self.table.ready_count(), ids.len());
         prop_assert_eq!(
-            self.table.walks_all(),
-            ids.len() <= self.reference.max_walked
+            self.table.scans_all(),
+            ids.len() <= self.reference.full_scan_limit
         );
         let ring: HashRing = ids.iter().copied().collect();
         for position in 0..3 {
@@ -466,11 +466,11 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn it_agrees_with_a_walk_over_all_servers(
-        max_walked in prop_oneof![Just(0usize), Just(4), Just(100)],
+    fn it_agrees_with_a_scan_of_all_servers(
+        full_scan_limit in prop_oneof![Just(0usize), Just(4), Just(100)],
         steps in proptest::collection::vec(step(), 1..60),
     ) {
-        let mut comparison = Comparison::new(max_walked);
+        let mut comparison = Comparison::new(full_scan_limit);
         for step in steps {
             comparison.apply(step)?;
             comparison.check()?;
