--- a/crates/gateway-core/src/gateway/server_health.rs
+++ b/crates/gateway-core/src/gateway/server_health.rs
@@ -10,8 +10,8 @@
 use crate::Action;
 
 impl Gateway {
-    /// Ejects servers that accept requests and answer none, and cancels attempts at them whose requests may be
-    /// retried.
+    /// Ejects servers that accept requests and answer none, and cancels attempts at them whose
+    /// requests may be retried.
     pub(super) fn detect_stalled_servers(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if is_timer_late(now, self.timers.wake_at) {
             return;
--- a/crates/gateway-core/src/gateway/servers/control_tick.rs
+++ b/crates/gateway-core/src/gateway/servers/control_tick.rs
@@ -1,4 +1,5 @@
-//! What a control tick renews: estimates of the fleet, slow-start credit, and the set of tracked servers.
+//! What a control tick renews: estimates of the fleet, slow-start credit, and the set of tracked
+//! servers.
 
 use super::{initial_latency_us, Servers};
 use crate::policy::fuzzy_controller::TICK_PERIOD;
@@ -11,19 +12,19 @@
 use crate::time::Timestamp;
 
 impl Servers {
-    /// Renews what is estimated of the fleet: the throughput of a gateway, and the latency and load of the median
-    /// server.
+    /// Renews what is estimated of the fleet: the throughput of a gateway, and the latency and load
+    /// of the median server.
     pub(in crate::gateway) fn update_estimates(&mut self, now: Timestamp, deployment: &Deployment) {
-        let throughput_weight = self.outlier_detection.own_throughput_weight();
+        let throughput_weight = self.estimation.own_throughput_weight();
         self.estimates
             .merge_own_throughput(TICK_PERIOD, throughput_weight);
         let latencies_us = self.table.sorted(Server::observed_latency_us);
-        let median_us = self.outlier_detection.median(&latencies_us);
+        let median_us = self.estimation.median(&latencies_us);
         let load_factors = self.table.sorted(|server| {
             let load = server.recent_load(now, REPORT_LIFETIME);
             load.map(|load| server.load_factor(load))
         });
-        let load_factor = self.outlier_detection.median(&load_factors);
+        let load_factor = self.estimation.median(&load_factors);
         self.estimates.set_medians(
             median_us.unwrap_or_else(|| initial_latency_us(deployment)),
             load_factor,
--- a/crates/gateway-core/src/gateway/servers/health.rs
+++ b/crates/gateway-core/src/gateway/servers/health.rs
@@ -2,6 +2,7 @@
 
 use super::{Servers, StalledAttempt};
 use crate::gateway::attempts::AttemptResult;
+use crate::policy::fleet_estimates::{LATENCY_WEIGHT, ZONE_WEIGHT};
 use crate::policy::outlier_detection as outliers;
 use crate::state::attempt::{Attempt, AttemptKey, AttemptTable};
 use crate::state::deployment::Deployment;
@@ -23,8 +24,8 @@
 }
 
 impl Servers {
-    /// Merges what an attempt that ended reveals of its server, its zone and the fleet. `was_stalled`: it was cancelled
-    /// as stalled.
+    /// Merges what an attempt that ended reveals of its server, its zone and the fleet.
+    /// `was_stalled`: it was cancelled as stalled.
     pub(in crate::gateway) fn observe_attempt(
         &mut self,
         now: Timestamp,
@@ -63,9 +64,9 @@
             latency_us / attempt.server_in_flight,
             self.estimates.median_latency_us(),
         );
-        // Cancelled attempts count: without them a slow fleet would look fast, and its servers would be ejected.
-        self.estimates
-            .observe_latency(latency_us, outliers::LATENCY_WEIGHT);
+        // Cancelled attempts count: without them a slow fleet would look fast, and its servers
+        // would be ejected.
+        self.estimates.observe_latency(latency_us, LATENCY_WEIGHT);
         if result.outcome == AttemptOutcome::Success {
             outliers::observe_answer(&mut server, now, class);
         }
@@ -152,7 +153,8 @@
     }
 }
 
-/// Records the load that a server reported, and what that and its latency reveal of the service time without load.
+/// Records the load that a server reported, and what that and its latency reveal of the service
+/// time without load.
 fn observe_load(
     server: &mut Server,
     estimates: &mut FleetEstimates,
@@ -163,7 +165,7 @@
     server.observe_load(now, result.reported_load);
     if let (AttemptOutcome::Success, Some(load)) = (result.outcome, result.reported_load) {
         let service_time_us = latency_us / server.load_factor(load - 1.0).max(1.0);
-        estimates.observe_service_time(service_time_us, outliers::LATENCY_WEIGHT);
+        estimates.observe_service_time(service_time_us, LATENCY_WEIGHT);
     }
 }
 
@@ -176,6 +178,6 @@
 ) {
     if outliers::reveals_zone_reachability(server, class, is_unreachable) {
         let zone = server.endpoint().zone;
-        estimates.observe_zone(zone, is_unreachable, outliers::ZONE_WEIGHT);
+        estimates.observe_zone(zone, is_unreachable, ZONE_WEIGHT);
     }
 }
--- a/crates/gateway-core/src/gateway/servers/mod.rs
+++ b/crates/gateway-core/src/gateway/servers/mod.rs
@@ -1,5 +1,5 @@
-//! Servers: their table, the estimates of the fleet, and the two designs, chosen at the start, by which servers are
-//! selected and their health is observed.
+//! Servers: their table, the estimates of the fleet, and the designs, chosen at the start, by which
+//! the fleet is estimated, servers are selected and their health is observed.
 
 mod control_tick;
 mod health;
@@ -8,7 +8,8 @@
 
 pub(super) use health::StallEjection;
 
-use crate::policy::load_balancing::{ServerSelection, INITIAL_LATENCY_FRACTION};
+use crate::policy::fleet_estimates::{FleetEstimation, INITIAL_LATENCY_FRACTION};
+use crate::policy::load_balancing::ServerSelection;
 use crate::policy::outlier_detection::OutlierDetection;
 use crate::state::attempt::AttemptKey;
 use crate::state::deployment::{Context, Deployment};
@@ -21,11 +22,13 @@
     table: ServerTable,
     estimates: FleetEstimates,
     fleet_concurrency: FleetConcurrency,
+    estimation: FleetEstimation,
     selection: ServerSelection,
     outlier_detection: OutlierDetection,
 }
 
-/// Attempts that all servers together finish in time, retained where a sum for each choice would be too much work.
+/// Attempts that all servers together finish in time, retained where a sum for each choice would be
+/// too much work.
 #[derive(Default)]
 struct FleetConcurrency {
     attempts: f64,
@@ -49,6 +52,7 @@
             table: ServerTable::new(settings, selection.full_scan_limit()),
             estimates: FleetEstimates::new(settings.classes.len(), initial_latency_us(deployment)),
             fleet_concurrency: FleetConcurrency::default(),
+            estimation: FleetEstimation::new(deployment.mode),
             selection,
             outlier_detection: OutlierDetection::new(settings, deployment.mode),
         }
--- a/crates/gateway-core/src/gateway/servers/reports.rs
+++ b/crates/gateway-core/src/gateway/servers/reports.rs
@@ -1,17 +1,18 @@
-//! Health reports on servers, which lease messages carry: their selection, and the merge of received ones.
+//! Health reports on servers, which lease messages carry: their selection, and the merge of
+//! received ones.
 
 use super::Servers;
 use crate::message::{GossipDigest, HealthReport};
+use crate::policy::fleet_estimates::PEER_THROUGHPUT_WEIGHT;
 use crate::policy::fleet_mode::LATENCY_RATIO_WEIGHT;
 use crate::policy::health_reports;
 use crate::policy::load_balancing::SAMPLE_SIZE;
-use crate::policy::outlier_detection::PEER_THROUGHPUT_WEIGHT;
 use crate::time::Timestamp;
 use crate::types::ClassId;
 
 impl Servers {
-    /// The digest that a lease message carries: throughput and latency ratios as estimated here, and health reports on
-    /// servers.
+    /// The digest that a lease message carries: throughput and latency ratios as estimated here,
+    /// and health reports on servers.
     pub(in crate::gateway) fn digest(
         &self,
         now: Timestamp,
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Merges a peer's report on a server, and updates the server's ejection if the report was newer than what was
-    /// known.
+    /// Merges a peer's report on a server, and updates the server's ejection if the report was
+    /// newer than what was known.
     fn merge_report(&mut self, now: Timestamp, report: &HealthReport, random: &mut fastrand::Rng) {
         let Some(id) = self.table.by_short_id(report.server) else {
             return;
--- a/crates/gateway-core/src/gateway/servers/selection.rs
+++ b/crates/gateway-core/src/gateway/servers/selection.rs
@@ -9,10 +9,12 @@
 use crate::types::{ClassId, ServerId};
 
 impl Servers {
-    /// Servers that may be chosen from now: ready and with capacity. Of too many to be scanned, a sample.
+    /// Servers that may be chosen from now: ready and with capacity. Of too many to be scanned, a
+    /// sample.
     ///
-    /// None while this gateway has enough `in_flight`. Where not all servers are scanned, the fleet's concurrency that
-    /// this depends on is summed anew once per control tick, the next of which is at `next_control_tick`.
+    /// None while this gateway has enough `in_flight`. Where not all servers are scanned, the
+    /// fleet's concurrency that this depends on is summed anew once per control tick, the next of
+    /// which is at `next_control_tick`.
     pub(in crate::gateway) fn selectable(
         &mut self,
         now: Timestamp,
@@ -47,8 +49,8 @@
         self.track_sample(now, &sample)
     }
 
-    /// The server for a request, of the selectable ones. A request that has to stay in its scope is given a sample of
-    /// its own where not all servers are scanned.
+    /// The server for a request, of the selectable ones. A request that has to stay in its scope is
+    /// given a sample of its own where not all servers are scanned.
     pub(in crate::gateway) fn choose(
         &mut self,
         now: Timestamp,
@@ -89,8 +91,8 @@
         sample.iter().map(|candidate| candidate.server).collect()
     }
 
-    /// Records that an attempt was sent to a server. Returns the number of attempts in flight there, with this one;
-    /// `None` if the server is not known.
+    /// Records that an attempt was sent to a server. Returns the number of attempts in flight
+    /// there, with this one; `None` if the server is not known.
     pub(in crate::gateway) fn record_attempt_sent(
         &mut self,
         now: Timestamp,
--- a/crates/gateway-core/src/policy/health_reports.rs
+++ b/crates/gateway-core/src/policy/health_reports.rs
@@ -1,5 +1,5 @@
-//! Health reports: which of its observations of servers a gateway sends to its peers, and how much a peer's
-//! report counts.
+//! Health reports: which of its observations of servers a gateway sends to its peers, and how much
+//! a peer's report counts.
 //!
 //! 1. [`select_reports`] chooses the reports that a message carries.
 //! 2. [`is_recent`] decides whether a received report may still be merged.
@@ -15,25 +15,27 @@
 const MAX_HEALTHY_REPORTS: usize = 2;
 /// Maximum age of an observation that is sent to peers, or merged when it is received.
 pub(crate) const REPORT_LIFETIME: Duration = Duration::from_secs(4);
-/// Weight of one report in the recipient's means: several reports, each newer than the last, are needed before
-/// a single peer's reports eject a server.
+/// Weight of one report in the recipient's means: several reports, each newer than the last, are
+/// needed before a single peer's reports eject a server.
 pub(crate) const REPORT_WEIGHT: f64 = 0.4;
 /// Fraction of the ejection threshold above which a server is reported as unhealthy.
 const UNHEALTHY_THRESHOLD_FRACTION: f64 = 0.5;
 /// Ratio of a server's expected latency to the fleet's median above which it is reported as slow.
 const SLOW_LATENCY_RATIO: f64 = 2.0;
 
-/// Whether a report tells of a server that is close to ejection, or slow compared with `median_latency_us`.
+/// Whether a report is on a server that is close to ejection, or slow compared with
+/// `median_latency_us`.
 fn reports_problem(report: &HealthReport, median_latency_us: f64) -> bool {
     report.failure_rate > EJECTION_FAILURE_RATE * UNHEALTHY_THRESHOLD_FRACTION
         || report.wait > SLOW_LATENCY_RATIO * median_latency_us
 }
 
-/// Selects the reports that a message carries: a random choice of those that tell of a problem, then the newest
-/// of the others.
+/// Selects the reports that a message carries: a random choice of those that report a problem, then
+/// the newest of the others.
 ///
-/// Problems are chosen at random so that all of them spread, also when more servers are unhealthy than fit into
-/// one message. `median_latency_us`: the fleet's median expected latency per concurrent request.
+/// Problems are chosen at random so that all of them spread, also when more servers are unhealthy
+/// than fit into one message. `median_latency_us`: the fleet's median expected latency per
+/// concurrent request.
 pub(crate) fn select_reports(
     reports: Vec<HealthReport>,
     median_latency_us: f64,
--- a/crates/gateway-core/src/policy/load_balancing/all_servers.rs
+++ b/crates/gateway-core/src/policy/load_balancing/all_servers.rs
@@ -1,25 +1,28 @@
-//! Server selection in a small fleet: every choice scans all servers and takes the one of the lowest cost.
+//! Server selection in a small fleet: every choice scans all servers and takes the one of the
+//! lowest cost.
 
-use super::{is_ejected, lowest_cost, Choice, Selector, PROBE_COST};
+use super::cost::{lowest_cost, PROBE_COST};
+use super::eligibility::Choice;
+use super::{Selector, MIN_WARM_UP_FRACTION};
 use crate::policy::outlier_detection::SMALL_FLEET_LATENCY_HALF_LIFE_US;
-use crate::state::servers::LatencyDecay;
-use crate::state::servers::Server;
+use crate::state::servers::{LatencyDecay, Server};
 use crate::types::ServerId;
 
 /// All servers are scanned, however many there are.
 pub(super) const FULL_SCAN_LIMIT: usize = usize::MAX;
-/// An expected latency that is ten times too long is forgotten within 5 s. Reported loads do not count.
+/// An expected latency that is ten times too long is forgotten within 5 s. Reported loads do not
+/// count.
 pub(super) const LATENCY_DECAY: LatencyDecay = LatencyDecay {
     latency_half_life_us: SMALL_FLEET_LATENCY_HALF_LIFE_US,
     load_half_life_us: None,
-    min_warm_up_fraction: 0.1,
+    min_warm_up_fraction: MIN_WARM_UP_FRACTION,
 };
-/// Maximum fraction by which a random draw increases a cost, so that gateways don't all choose the same of equal
-/// servers.
+/// Maximum fraction by which a random draw increases a cost, so that gateways don't all choose the
+/// same of equal servers.
 const JITTER_FRACTION: f64 = 0.1;
 
-/// The server of the lowest cost with jitter, or the first one whose probe is due. Only a first attempt probes, as a
-/// probe may fail.
+/// The server of the lowest cost with jitter, or the first one whose probe is due. Only a first
+/// attempt probes, as a probe may fail.
 pub(super) fn choose(
     selector: &Selector<'_>,
     choice: &Choice<'_>,
@@ -29,7 +32,7 @@
     let may_probe = choice.request.attempts == 0;
     lowest_cost(eligible, |server| {
         let draw = random.f64();
-        if may_probe && is_ejected(choice, server) {
+        if may_probe && choice.is_ejected(server) {
             return PROBE_COST;
         }
         let zone = server.endpoint().zone;
--- /dev/null
+++ b/crates/gateway-core/src/policy/load_balancing/capacity.rs
@@ -0,0 +1,61 @@
+//! Capacity: whether one more attempt may be sent to the fleet, and to a server.
+
+use super::Selector;
+use crate::state::servers::Server;
+use crate::statistics::count_as_f64;
+
+/// Fraction of the shortest latency objective that the expected latency at a server may reach.
+/// Queues beyond that build up faster than they drain.
+const MAX_SERVER_LATENCY_FRACTION: f64 = 0.3;
+/// Fraction of the fleet's concurrency that this gateway may have in flight.
+const MAX_FLEET_CONCURRENCY_FRACTION: f64 = 0.25;
+/// Attempts that all gateways together may always have in flight at each server.
+const MIN_IN_FLIGHT_PER_SERVER: f64 = 4.0;
+
+impl Selector<'_> {
+    /// Fleet concurrency: attempts that all servers together finish within the shortest latency
+    /// objective.
+    pub(crate) fn fleet_concurrency(&self) -> f64 {
+        self.estimates
+            .fleet_concurrency(self.servers, self.deployment.shortest_objective)
+    }
+
+    /// Whether this gateway has enough attempts in flight at all servers together.
+    ///
+    /// It is full once `in_flight` reaches both a fixed number, the gateway's part of
+    /// [`MIN_IN_FLIGHT_PER_SERVER`] at each ready server and 1 at least, and
+    /// [`MAX_FLEET_CONCURRENCY_FRACTION`] of the fleet's concurrency. Without this limit many
+    /// gateways, each with one attempt at every server, would overload them all.
+    /// `fleet_concurrency` is called only if needed, as it scans the servers.
+    pub(crate) fn is_fleet_full(
+        &self,
+        in_flight: f64,
+        fleet_concurrency: impl FnOnce() -> f64,
+    ) -> bool {
+        let ready = count_as_f64(self.servers.ready_count());
+        let gateways = f64::from(self.deployment.settings.gateway_count);
+        let always_allowed = (MIN_IN_FLIGHT_PER_SERVER * ready / gateways).max(1.0);
+        in_flight >= always_allowed
+            && in_flight >= MAX_FLEET_CONCURRENCY_FRACTION * fleet_concurrency()
+    }
+
+    /// Whether a server may be chosen for one more attempt.
+    ///
+    /// It must have slow-start credit while it warms up, must not be in connect backoff, and must
+    /// have a free in-flight slot. A server without attempts in flight always has one, or a slow
+    /// server would never be tried again.
+    pub(super) fn has_capacity(&self, server: &Server) -> bool {
+        let lacks_credit = !self.estimates.is_warm(server) && !server.has_slow_start_credit();
+        !lacks_credit
+            && !server.is_in_connect_backoff(self.context.now)
+            && (server.in_flight() == 0 || self.has_free_slot(server))
+    }
+
+    /// Whether the expected latency with one more attempt in flight is within
+    /// [`MAX_SERVER_LATENCY_FRACTION`] of the shortest latency objective.
+    fn has_free_slot(&self, server: &Server) -> bool {
+        let latency_us =
+            self.estimates.expected_latency_us(server) * f64::from(server.in_flight() + 1);
+        latency_us <= MAX_SERVER_LATENCY_FRACTION * self.deployment.shortest_objective
+    }
+}
--- /dev/null
+++ b/crates/gateway-core/src/policy/load_balancing/cost.rs
@@ -0,0 +1,87 @@
+//! The load-balancing cost of a server.
+
+use super::Selector;
+use crate::state::request::Request;
+use crate::state::servers::Server;
+use crate::types::ServerId;
+
+/// In-flight slots that a server in another zone counts as taken, for each 1.0 of the cross-zone
+/// cost.
+const CROSS_ZONE_PENALTY_SLOTS: f64 = 30.0;
+/// In-flight slots that the server of the previous attempt counts as taken.
+const SAME_SERVER_PENALTY_SLOTS: f64 = 4.0;
+/// Penalty added to a server's cost factor at a failure rate of 1: failing fast is not being fast.
+const FAILURE_PENALTY: f64 = 4.0;
+/// Penalty added to a server's cost factor where no attempt reaches its zone.
+const UNREACHABLE_ZONE_PENALTY: f64 = 20.0;
+/// Cost of a server whose probe is due: lower than any other, so that the probe is sent.
+pub(super) const PROBE_COST: f64 = 0.0;
+
+impl Selector<'_> {
+    /// Load-balancing cost of a server for a request, in µs:
+    ///
+    /// ```text
+    /// cost = slots * latency * penalties
+    /// slots = in_flight + 1
+    ///     + CROSS_ZONE_PENALTY_SLOTS * cross_zone_cost
+    ///     + SAME_SERVER_PENALTY_SLOTS
+    /// penalties = 1
+    ///     + FAILURE_PENALTY * failure_rate
+    ///     + UNREACHABLE_ZONE_PENALTY * unreachable_fraction
+    /// ```
+    ///
+    /// `latency` is the expected latency per concurrent request in µs. The cross-zone term counts
+    /// only in another zone, the same-server term only at the server of the previous attempt.
+    /// `unreachable_fraction`: fraction of the attempts into the server's zone that found no
+    /// connection.
+    pub(super) fn cost(
+        &self,
+        request: &Request,
+        server: &Server,
+        unreachable_fraction: f64,
+    ) -> f64 {
+        let slots = f64::from(server.in_flight())
+            + 1.0
+            + CROSS_ZONE_PENALTY_SLOTS * self.cross_zone_cost(server)
+            + same_server_penalty_slots(request, server);
+        let failing = server.class_health(request.class).failure_rate() * FAILURE_PENALTY;
+        let penalties = 1.0 + failing + unreachable_fraction * UNREACHABLE_ZONE_PENALTY;
+        slots * self.estimates.expected_latency_us(server) * penalties
+    }
+
+    /// What crossing to the server's zone costs; 0 in the gateway's own zone.
+    fn cross_zone_cost(&self, server: &Server) -> f64 {
+        let settings = &self.deployment.settings;
+        if server.endpoint().zone == settings.zone {
+            0.0
+        } else {
+            settings.cross_zone_cost
+        }
+    }
+}
+
+/// Slots that a server counts as taken because the previous attempt of the request went there.
+fn same_server_penalty_slots(request: &Request, server: &Server) -> f64 {
+    if request.last_server == Some(server.id()) {
+        SAME_SERVER_PENALTY_SLOTS
+    } else {
+        0.0
+    }
+}
+
+/// The first server of the lowest cost. `cost` is called once for each, in their order.
+pub(super) fn lowest_cost(
+    servers: &[&Server],
+    mut cost: impl FnMut(&Server) -> f64,
+) -> Option<ServerId> {
+    let mut lowest_cost = f64::INFINITY;
+    let mut best = None;
+    for server in servers {
+        let server_cost = cost(server);
+        if server_cost < lowest_cost {
+            lowest_cost = server_cost;
+            best = Some(server.id());
+        }
+    }
+    best
+}
--- a/crates/gateway-core/src/policy/load_balancing/subset.rs
+++ b/crates/gateway-core/src/policy/load_balancing/subset.rs
@@ -1,26 +1,29 @@
-//! Server selection in a large fleet: each gateway uses a subset of the servers, and chooses among them at random,
-//! the cheaper ones more often.
+//! Server selection in a large fleet: each gateway uses a subset of the servers, and chooses among
+//! them at random, the cheaper ones more often.
 //!
-//! A gateway and a server that meet seldom pay a handshake for each request, and hold an idle connection in
-//! between. The subset is a run of neighbours on a hash ring that is the same at every gateway.
+//! A gateway and a server that meet seldom pay a handshake for each request, and hold an idle
+//! connection in between. The subset is a run of neighbours on a hash ring that is the same at
+//! every gateway.
 
-use super::{bound_scope, is_ejected, lowest_cost, Choice, Selector, PROBE_COST};
+use super::cost::{lowest_cost, PROBE_COST};
+use super::eligibility::Choice;
+use super::{Selector, MIN_WARM_UP_FRACTION};
+use crate::policy::retry::bound_scope;
 use crate::settings::{DeduplicationScope, Settings};
 use crate::state::request::Request;
-use crate::state::servers::LatencyDecay;
-use crate::state::servers::Server;
-use crate::state::servers::{Candidate, CandidateQuery};
+use crate::state::servers::{Candidate, CandidateQuery, LatencyDecay, Server};
 use crate::statistics::{count_as_f64, round_up_to_count};
 use crate::types::{CellId, GatewayId, ServerId};
 
 /// Number of ready servers up to which all are scanned; beyond, each choice looks at a sample.
 pub(super) const FULL_SCAN_LIMIT: usize = 200;
-/// Estimates last longer than in a small fleet, as a gateway sees each server seldom. Reported loads count, too:
-/// latency shows a queue only once it was waited out, and by then hundreds of gateways have sent more.
+/// Estimates last longer than in a small fleet, as a gateway sees each server seldom. Reported
+/// loads count, too: latency shows a queue only once it was waited out, and by then hundreds of
+/// gateways have sent more.
 pub(super) const LATENCY_DECAY: LatencyDecay = LatencyDecay {
     latency_half_life_us: 5e6,
     load_half_life_us: Some(1.5e6),
-    min_warm_up_fraction: 0.1,
+    min_warm_up_fraction: MIN_WARM_UP_FRACTION,
 };
 /// Minimum number of servers that a gateway uses, and of gateways that use each server.
 const SUBSET_SIZE: f64 = 7.0;
@@ -30,8 +33,7 @@
 pub(crate) const SAMPLE_SIZE: usize = 10;
 /// The smallest random number that a logarithm is taken of.
 const MIN_DRAW: f64 = 1e-9;
-/// Fraction of the attempts that failed to reach a zone, for the cost: a gateway of a large fleet keeps no account
-/// of zones.
+/// Fraction of unreachable attempts in the cost of a server: zones do not count in a large fleet.
 const UNREACHABLE_FRACTION: f64 = 0.0;
 
 /// Selection from a gateway's subset of the servers.
@@ -50,15 +52,15 @@
         }
     }
 
-    /// How many of the `ready` servers this gateway uses: [`SUBSET_SIZE`], and more where servers are many, so
-    /// that as many gateways use each one.
+    /// How many of the `ready` servers this gateway uses: [`SUBSET_SIZE`], and more where servers
+    /// are many, so that as many gateways use each one.
     pub(super) fn size(&self, ready: usize) -> usize {
         let per_gateway = SUBSET_SIZE * count_as_f64(ready) / f64::from(self.gateway_count);
         round_up_to_count(SUBSET_SIZE.max(per_gateway))
     }
 
-    /// Some servers with capacity: those whose probe is due, then servers of this gateway's subset from a random
-    /// position on, then servers beyond the subset where too few of it have capacity.
+    /// Some servers with capacity: those whose probe is due, then servers of this gateway's subset
+    /// from a random position on, then servers beyond the subset where too few of it have capacity.
     ///
     /// For a `request` that has to stay in its scope, only servers that it may be sent to.
     pub(crate) fn sample(
@@ -86,11 +88,11 @@
             .find_candidates(selector.context.now, &query, is_candidate)
     }
 
-    /// One of the preferred servers at random, with a probability in inverse proportion to the square of its
-    /// cost: the lowest of exponential draws gives that.
+    /// One of the preferred servers at random, with a probability in inverse proportion to the
+    /// square of its cost: the lowest of exponential draws gives that.
     ///
-    /// Each gateway knows little. If all took the lowest cost, hundreds would send to the server that was last
-    /// reported to be fast.
+    /// Each gateway knows little. If all took the lowest cost, hundreds would send to the server
+    /// that was last reported to be fast.
     pub(super) fn choose(
         &self,
         selector: &Selector<'_>,
@@ -110,9 +112,9 @@
         })
     }
 
-    /// The servers that are preferred of the eligible ones: one whose probe is due, else a server that warms up,
-    /// as its slow-start credit is rare, else this gateway's subset. In the subset the next server on the ring
-    /// stands in for each that is ejected or has no capacity.
+    /// The servers that are preferred of the eligible ones: one whose probe is due, else a server
+    /// that warms up, as its slow-start credit is rare, else this gateway's subset. In the subset
+    /// the next server on the ring stands in for each that is ejected or has no capacity.
     fn preferred<'s>(
         &self,
         selector: &Selector<'_>,
@@ -135,7 +137,8 @@
         }
     }
 
-    /// The first of some servers on the ring from this gateway's position on, as many as its subset has.
+    /// The first of some servers on the ring from this gateway's position on, as many as its subset
+    /// has.
     fn first_on_ring<'s>(
         &self,
         selector: &Selector<'_>,
@@ -147,13 +150,14 @@
     }
 }
 
-/// Whether sending a request to a server would be a probe. Only a first attempt probes, as a probe may fail, and
-/// none does where ejection is ignored.
+/// Whether sending a request to a server would be a probe. Only a first attempt probes, as a probe
+/// may fail, and none does where ejection is ignored.
 fn is_probe(choice: &Choice<'_>, server: &Server) -> bool {
-    choice.request.attempts == 0 && !choice.ignores_ejection && is_ejected(choice, server)
+    choice.request.attempts == 0 && !choice.ignores_ejection && choice.is_ejected(server)
 }
 
-/// The cell that a request has to stay in, if it may have been executed and is deduplicated within a cell.
+/// The cell that a request has to stay in, if it may have been executed and is deduplicated within
+/// a cell.
 fn bound_cell(selector: &Selector<'_>, request: &Request) -> Option<CellId> {
     let is_bound = bound_scope(selector.deployment, request) == Some(DeduplicationScope::Cell);
     request
--- a/crates/gateway-core/src/policy/mod.rs
+++ b/crates/gateway-core/src/policy/mod.rs
@@ -3,6 +3,7 @@
 
 pub(crate) mod admission;
 pub(crate) mod deadlines;
+pub(crate) mod fleet_estimates;
 pub(crate) mod fleet_mode;
 pub mod fuzzy_controller;
 pub(crate) mod gossip;
--- a/crates/gateway-core/src/policy/outlier_detection/ejection.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/ejection.rs
@@ -16,8 +16,8 @@
 /// Factor on the failure rate of an ejected server for each answered probe.
 const PROBE_SUCCESS_FACTOR: f64 = 0.5;
 
-/// Ejects a server for a class, or readmits it, by its failure rate and `fleet_failure_rate`, the mean over all
-/// servers. A server that is ejected already keeps the time of its probe.
+/// Ejects a server for a class, or readmits it, by its failure rate and `fleet_failure_rate`, the
+/// mean over all servers. The probe of a server that is ejected already is not put off.
 pub(crate) fn update_ejection(
     server: &mut Server,
     class: ClassId,
@@ -38,8 +38,8 @@
     health.failure_rate() < EJECTION_FAILURE_RATE * READMISSION_FRACTION
 }
 
-/// Records that a server answered. An answer of an ejected server reduces its failure rate; until that readmits
-/// it, the next probe follows immediately.
+/// Records that a server answered. An answer of an ejected server reduces its failure rate; until
+/// that readmits it, the next probe follows immediately.
 pub(crate) fn observe_answer(server: &mut Server, now: Timestamp, class: ClassId) {
     server.record_answer(now, class);
     let health = server.class_health_mut(class);
@@ -54,8 +54,8 @@
     }
 }
 
-/// Ejects a server for the class of a stalled attempt; for all classes, if it has answered nothing since the
-/// attempt was sent. `stall_failure_rate`: the minimum failure rate that this proves.
+/// Ejects a server for the class of a stalled attempt; for all classes, if it has answered nothing
+/// since the attempt was sent. `stall_failure_rate`: the minimum failure rate that this proves.
 pub(crate) fn eject_stalled(
     server: &mut Server,
     class: ClassId,
--- a/crates/gateway-core/src/policy/outlier_detection/failures.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/failures.rs
@@ -7,19 +7,18 @@
 
 /// Weight of an attempt in its server's failure rate with its class.
 pub(crate) const FAILURE_WEIGHT: f64 = 0.2;
-/// Fraction of that weight with which it counts for the server's other classes, as one class may fail alone.
+/// Fraction of that weight with which it counts for the server's other classes, as one class may
+/// fail alone.
 pub(crate) const OTHER_CLASS_WEIGHT_FRACTION: f64 = 0.25;
-/// Weight of an attempt in the mean latency and the mean service time of all servers.
-pub(crate) const LATENCY_WEIGHT: f64 = 0.02;
-/// Weight of an attempt in the reachability of its zone.
-pub(crate) const ZONE_WEIGHT: f64 = 0.2;
-/// Minimum latency that a failed attempt counts with, as a fraction of the shortest latency objective.
+/// Minimum latency that a failed attempt counts with, as a fraction of the shortest latency
+/// objective.
 const MIN_FAILED_LATENCY_FRACTION: f64 = 0.5;
 
 /// Whether an attempt that ended counts as a failure of its server.
 ///
-/// An attempt that was cancelled or timed out does not, if the server has answered another one of its class since
-/// and this one was not cancelled as stalled (`was_stalled`): the request may have been the slow part.
+/// An attempt that was cancelled or timed out does not, if the server has answered another one of
+/// its class since and this one was not cancelled as stalled (`was_stalled`): the request may have
+/// been the slow part.
 pub(crate) fn is_failure(
     server: &Server,
     attempt: &Attempt,
@@ -37,8 +36,9 @@
 
 /// Whether an attempt counts for the reachability of its server's zone.
 ///
-/// Zones are observed because the cut links of a whole zone would otherwise be found server by server. An ejected
-/// server that takes no connection counts for nothing, as a machine that hangs does not take one either.
+/// Zones are observed because the cut links of a whole zone would otherwise be found server by
+/// server. An ejected server that takes no connection counts for nothing, as a machine that hangs
+/// does not take one either.
 pub(crate) fn reveals_zone_reachability(
     server: &Server,
     class: ClassId,
@@ -48,7 +48,8 @@
 }
 
 /// The latency in µs that an attempt counts with: a failure counts as no faster than
-/// [`MIN_FAILED_LATENCY_FRACTION`] of the shortest latency objective, or a server that fails fast would look fast.
+/// [`MIN_FAILED_LATENCY_FRACTION`] of the shortest latency objective, or a server that fails fast
+/// would look fast.
 pub(crate) fn counted_latency_us(
     deployment: &Deployment,
     latency_us: f64,
--- a/crates/gateway-core/src/policy/outlier_detection/large_fleet.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Outlier detection in a large fleet: each gateway sees a server seldom, receives health reports on it, and must
-//! not act in step with hundreds of others.
+//! Outlier detection in a large fleet: each gateway sees a server seldom, receives health reports
+//! on it, and must not act in step with hundreds of others.
 
 use super::ejection::PROBE_INTERVAL;
 use super::SERVER_LATENCY_WEIGHT;
@@ -8,11 +8,13 @@
 use crate::time::{DurationExt, Timestamp};
 use std::time::Duration;
 
-/// Minimum failure rate that one stalled attempt proves: less than in a small fleet, as each gateway sees few.
+/// Minimum failure rate that one stalled attempt proves: less than in a small fleet, as each
+/// gateway sees few.
 pub(super) const STALL_FAILURE_RATE: f64 = 0.5;
 /// Minimum factor on the interval between probes.
 const MIN_PROBE_SPREAD: f64 = 0.5;
-/// Minimum time for which a server that took no connection is left alone; the maximum is twice that, at first.
+/// Minimum time for which a server that took no connection is left alone; the maximum is twice
+/// that, at first.
 const CONNECT_BACKOFF: Duration = Duration::from_millis(500);
 /// Maximum number of times that the connect backoff doubles with consecutive failures.
 const MAX_CONNECT_DOUBLINGS: u32 = 4;
@@ -31,8 +33,9 @@
         }
     }
 
-    /// Time until this gateway's next probe of an ejected server: the probes of all gateways together come at the
-    /// pace of one gateway's in a small fleet. `draw`, from 0 to 1, spreads them by half.
+    /// Time until this gateway's next probe of an ejected server: the probes of all gateways
+    /// together come at the pace of one gateway's in a small fleet. `draw`, from 0 to 1, spreads
+    /// them by half.
     pub(super) fn probe_interval(&self, draw: f64) -> Duration {
         let spread = MIN_PROBE_SPREAD + draw;
         let factor = self.gateway_count * spread;
@@ -40,7 +43,8 @@
     }
 }
 
-/// For how long a server that took no connection is left alone: all gateways would send to it again and again.
+/// For how long a server that took no connection is left alone: all gateways would send to it again
+/// and again.
 pub(super) fn connect_backoff(random: &mut fastrand::Rng) -> ConnectBackoff {
     let spread = Duration::from_micros(random.u64(0..CONNECT_BACKOFF.whole_micros()));
     ConnectBackoff {
@@ -49,8 +53,8 @@
     }
 }
 
-/// Merges a sample of a server's latency; the fleet's median stands for the estimate while there is none. Peers'
-/// reports keep the estimate recent, so it does not decay first.
+/// Merges a sample of a server's latency; the fleet's median stands for the estimate while there is
+/// none. Peers' reports keep the estimate recent, so it does not decay first.
 pub(super) fn observe_latency(server: &mut Server, now: Timestamp, sample_us: f64, median_us: f64) {
     server.observe_latency(now, sample_us, SERVER_LATENCY_WEIGHT, median_us);
 }
--- a/crates/gateway-core/src/policy/outlier_detection/mod.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/mod.rs
@@ -1,19 +1,21 @@
-//! Outlier detection: what the ends of attempts reveal about a server, when it is ejected, and when it is probed.
+//! Outlier detection: what the ends of attempts reveal about a server, when it is ejected, and when
+//! it is probed.
 //!
 //! The rules, in the order in which they apply to an attempt that ends:
 //!
 //! 1. [`is_failure`]: whether the attempt counts as a failure of its server.
-//! 2. [`OutlierDetection::connect_backoff`]: for how long a server that took no connection receives nothing (large
-//!    fleet).
+//! 2. [`OutlierDetection::connect_backoff`]: for how long a server that took no connection receives
+//!    nothing (large fleet).
 //! 3. [`reveals_zone_reachability`]: whether the attempt counts for the reachability of its zone.
-//! 4. [`counted_latency_us`] and [`OutlierDetection::observe_latency`]: how its latency enters the estimate.
+//! 4. [`counted_latency_us`] and [`OutlierDetection::observe_latency`]: how its latency enters the
+//!    estimate.
 //! 5. [`observe_answer`]: how an answered probe brings a server back.
 //! 6. [`update_ejection`]: when a server is ejected for a class, and readmitted.
 //!
-//! While attempts are in flight, [`is_stalled`] finds servers that accept requests and answer none, and
-//! [`eject_stalled`] ejects them, unless this gateway itself is slow ([`is_timer_late`]). An ejected server is
-//! probed after [`OutlierDetection::probe_interval`]. What differs by the size of the fleet is in the modules
-//! [`small_fleet`] and [`large_fleet`].
+//! While attempts are in flight, [`is_stalled`] finds servers that accept requests and answer none,
+//! and [`eject_stalled`] ejects them, unless this gateway itself is slow ([`is_timer_late`]). An
+//! ejected server is probed after [`OutlierDetection::probe_interval`]. What differs by the size of
+//! the fleet is in the modules [`small_fleet`] and [`large_fleet`].
 
 mod ejection;
 mod failures;
@@ -24,7 +26,6 @@
 use crate::settings::Settings;
 use crate::state::deployment::FleetMode;
 use crate::state::servers::{ConnectBackoff, Server};
-use crate::statistics::{lower_median, upper_median};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -33,18 +34,20 @@
 pub(super) use ejection::EJECTION_FAILURE_RATE;
 pub(crate) use ejection::{eject_stalled, observe_answer, update_ejection};
 pub(crate) use failures::{
-    counted_latency_us, is_failure, reveals_zone_reachability, FAILURE_WEIGHT, LATENCY_WEIGHT,
-    OTHER_CLASS_WEIGHT_FRACTION, ZONE_WEIGHT,
+    counted_latency_us, is_failure, reveals_zone_reachability, FAILURE_WEIGHT,
+    OTHER_CLASS_WEIGHT_FRACTION,
 };
 pub(super) use small_fleet::SMALL_FLEET_LATENCY_HALF_LIFE_US;
 pub(crate) use stalls::{is_stalled, is_timer_late};
 
-/// Time without use or reports after which the health of a server is dropped, where not all servers are tracked.
+/// Time without use or reports after which the health of a server is dropped, where not all servers
+/// are tracked.
 pub(crate) const MAX_SERVER_IDLE: Duration = Duration::from_secs(20);
 /// Weight of an attempt in its server's expected latency.
 const SERVER_LATENCY_WEIGHT: f64 = 0.15;
 
-/// How the health of servers is observed, which follows from the mode of the fleet and never changes.
+/// How the health of servers is observed, which follows from the mode of the fleet and never
+/// changes.
 #[derive(Clone, Copy)]
 pub(crate) enum OutlierDetection {
     /// Each gateway sees every server often.
@@ -70,7 +73,8 @@
         }
     }
 
-    /// For how long a server is left alone if an attempt finds no connection; `None` without connect backoff.
+    /// For how long a server is left alone if an attempt finds no connection; `None` without
+    /// connect backoff.
     pub(crate) fn connect_backoff(&self, random: &mut fastrand::Rng) -> Option<ConnectBackoff> {
         match self {
             OutlierDetection::SmallFleet => None,
@@ -78,8 +82,8 @@
         }
     }
 
-    /// Merges a sample of a server's latency per concurrent request into its estimate. `sample_us` and the fleet's
-    /// `median_us` are in µs.
+    /// Merges a sample of a server's latency per concurrent request into its estimate. `sample_us`
+    /// and the fleet's `median_us` are in µs.
     pub(crate) fn observe_latency(
         &self,
         server: &mut Server,
@@ -113,24 +117,4 @@
             OutlierDetection::LargeFleet(_) => false,
         }
     }
-
-    /// Weight of this gateway's throughput at a control tick in the mean throughput of a gateway.
-    pub(crate) fn own_throughput_weight(&self) -> f64 {
-        match self {
-            OutlierDetection::SmallFleet => small_fleet::OWN_THROUGHPUT_WEIGHT,
-            OutlierDetection::LargeFleet(_) => PEER_THROUGHPUT_WEIGHT,
-        }
-    }
-
-    /// The median of what servers show, in ascending order. In a small fleet it is the lower one: of a pair of
-    /// servers, one that is not used can't raise the median that it is compared with.
-    pub(crate) fn median(&self, ascending: &[f64]) -> Option<f64> {
-        match self {
-            OutlierDetection::SmallFleet => lower_median(ascending),
-            OutlierDetection::LargeFleet(_) => upper_median(ascending),
-        }
-    }
 }
-
-/// Weight of the throughput that one peer reports in the mean throughput of a gateway.
-pub(crate) const PEER_THROUGHPUT_WEIGHT: f64 = 0.05;
--- a/crates/gateway-core/src/policy/outlier_detection/stalls.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/stalls.rs
@@ -18,23 +18,23 @@
 /// Delay of a timer beyond which this gateway itself is slow.
 const MAX_TIMER_DELAY: Duration = TIMER_PERIOD.saturating_mul(5);
 
-/// Whether a timer fires so late that this gateway itself is slow. Then answers may lie unread here, and no server
-/// counts as stalled.
+/// Whether a timer fires so late that this gateway itself is slow. Then answers may lie unread
+/// here, and no server counts as stalled.
 pub(crate) fn is_timer_late(now: Timestamp, due_at: Timestamp) -> bool {
     now > due_at + MAX_TIMER_DELAY
 }
 
-/// Whether the server of an attempt is stalled: it has answered nothing of the attempt's class since the attempt
-/// was sent, and the attempt is older than [`min_stalled_age_us`].
+/// Whether the server of an attempt is stalled: it has answered nothing of the attempt's class
+/// since the attempt was sent, and the attempt is older than [`min_stalled_age_us`].
 pub(crate) fn is_stalled(context: Context<'_>, server: &Server, attempt: &Attempt) -> bool {
     let age_us = context.now.micros_since(attempt.sent_at);
     server.class_health(attempt.class).answered_at() < attempt.sent_at
         && age_us > min_stalled_age_us(context, server, attempt)
 }
 
-/// Age in µs up to which an attempt is not stalled: the larger of [`MIN_LATENCY_RATIO`] mean latencies and
-/// [`MIN_OBJECTIVE_FRACTION`] of its objective. An attempt that is alone on its server may be a rare heavy request,
-/// and is given more time.
+/// Age in µs up to which an attempt is not stalled: the larger of [`MIN_LATENCY_RATIO`] mean
+/// latencies and [`MIN_OBJECTIVE_FRACTION`] of its objective. An attempt that is alone on its
+/// server may be a rare heavy request, and is given more time.
 fn min_stalled_age_us(context: Context<'_>, server: &Server, attempt: &Attempt) -> f64 {
     let class = &context.deployment.settings.classes[attempt.class.0];
     let objective_us = class.latency_objective.as_micros_f64();
--- a/crates/gateway-core/src/policy/slow_start.rs
+++ b/crates/gateway-core/src/policy/slow_start.rs
@@ -1,10 +1,10 @@
-//! Slow start: how many attempts a server receives while it warms up. A server that has just started is
-//! overloaded by a rate that a warm one sustains.
+//! Slow start: how many attempts a server receives while it warms up. A server that has just
+//! started is overloaded by a rate that a warm one sustains.
 //!
-//! 1. [`SlowStart::new`]: the rate of attempts that a gateway may send to a warm server, by what the warm ones
-//!    sustain.
-//! 2. [`SlowStart::grant`]: at each control tick, every server that warms up gains credit for its fraction of
-//!    that rate.
+//! 1. [`SlowStart::new`]: the rate of attempts that a gateway may send to a warm server, by what
+//!    the warm ones sustain.
+//! 2. [`SlowStart::grant`]: at each control tick, every server that warms up gains credit for its
+//!    fraction of that rate.
 //! 3. Each attempt takes one unit of credit; without a whole unit the server has no capacity (see
 //!    [`load_balancing`](super::load_balancing)).
 
@@ -14,12 +14,13 @@
 use crate::statistics::{count_as_f64, expected_count};
 use std::time::Duration;
 
-/// Attempts that all gateways together send to a cold server while warm ones don't show a higher rate.
+/// Attempts that all gateways together send to a cold server while warm ones don't show a higher
+/// rate.
 const MIN_ATTEMPTS_PER_SECOND: f64 = 1.5;
 /// Attempts' worth of credit that one gateway may accumulate.
 const MAX_CREDIT: f64 = 1.5;
-/// Number of gateways up to which each may retain all credit that it has not used. In larger fleets each retains
-/// less, or all might use theirs at the same time.
+/// Number of gateways up to which each may retain all credit that it has not used. In larger fleets
+/// each retains less, or all might use theirs at the same time.
 const MAX_RETAINING_GATEWAYS: f64 = 6.0;
 /// Fraction of the overload multiple of the warm servers' rate that a server is given.
 const OVERLOAD_FRACTION: f64 = 0.4;
@@ -35,10 +36,10 @@
 impl SlowStart {
     /// The grant for a control tick.
     ///
-    /// The rate is [`OVERLOAD_FRACTION`] of the overload multiple times this gateway's throughput for each warm
-    /// server, or its part of [`MIN_ATTEMPTS_PER_SECOND`] if that is more. `warm` of the `ready` servers are warm;
-    /// `tick` is the time between two control ticks. In a large fleet only a part of the gateways have a server in
-    /// their subset, so each of them grants it more.
+    /// The rate is [`OVERLOAD_FRACTION`] of the overload multiple times this gateway's throughput
+    /// for each warm server, or its part of [`MIN_ATTEMPTS_PER_SECOND`] if that is more. `warm` of
+    /// the `ready` servers are warm; `tick` is the time between two control ticks. In a large fleet
+    /// only a part of the gateways have a server in their subset, so each of them grants it more.
     pub(crate) fn new(
         context: Context<'_>,
         selection: &ServerSelection,
@@ -60,8 +61,9 @@
         }
     }
 
-    /// Grants a server that warms up its credit: whole attempts, rounded up with a probability of the fraction
-    /// that remains. `warm_up_fraction`: fraction of its capacity that the server has; `draw`: random, from 0 to 1.
+    /// Grants a server that warms up its credit: whole attempts, rounded up with a probability of
+    /// the fraction that remains. `warm_up_fraction`: fraction of its capacity that the server has;
+    /// `draw`: random, from 0 to 1.
     pub(crate) fn grant(&self, server: &mut Server, warm_up_fraction: f64, draw: f64) {
         let gained = (self.full_grant * warm_up_fraction + draw).floor();
         let maximum = gained.max(MAX_CREDIT);
--- a/crates/gateway-core/src/state/servers/class_health.rs
+++ b/crates/gateway-core/src/state/servers/class_health.rs
@@ -3,7 +3,8 @@
 use crate::statistics::update_mean;
 use crate::time::Timestamp;
 
-/// Steps in a failure rate of 1, for sums over all servers: whole numbers accumulate no rounding error.
+/// Steps in a failure rate of 1, for sums over all servers: whole numbers accumulate no rounding
+/// error.
 pub(super) const FAILURE_RATE_STEPS: f64 = (1u64 << 32) as f64;
 
 /// The health of a server with one class of requests.
--- a/crates/gateway-core/src/state/servers/fleet_estimates.rs
+++ b/crates/gateway-core/src/state/servers/fleet_estimates.rs
@@ -25,7 +25,8 @@
 }
 
 impl FleetEstimates {
-    /// Estimates before anything was observed. `expected_us`: the latency per concurrent request to start from.
+    /// Estimates before anything was observed. `expected_us`: the latency per concurrent request to
+    /// start from.
     pub(crate) fn new(classes: usize, expected_us: f64) -> Self {
         FleetEstimates {
             mean_latency_us: expected_us,
@@ -93,7 +94,8 @@
         &self.latency_ratios
     }
 
-    /// The largest latency ratio of all classes but `lowest`; of all, if there is only one. `None` while unknown.
+    /// The largest latency ratio of all classes but `lowest`; of all, if there is only one. `None`
+    /// while unknown.
     pub(crate) fn worst_latency_ratio(&self, lowest: ClassId) -> Option<f64> {
         let is_only = self.latency_ratios.len() == 1;
         let ratios = self.latency_ratios.iter().enumerate();
--- a/crates/gateway-core/src/state/servers/hash_ring.rs
+++ b/crates/gateway-core/src/state/servers/hash_ring.rs
@@ -1,5 +1,6 @@
-//! A hash ring of servers: an order by hash that is the same at every gateway, whatever the ids are. Where a server is
-//! added or removed, a run of servers from a position on changes by at most one.
+//! A hash ring of servers: an order by hash that is the same at every gateway, whatever the ids
+//! are. Where a server is added or removed, a run of servers from a position on changes by at most
+//! one.
 
 use super::ranked_set::RankedSet;
 use crate::hash::{fibonacci_hash, GOLDEN_RATIO};
@@ -33,8 +34,9 @@
         self.0.len()
     }
 
-    /// A gateway's position on the ring, as a rank. Steps of the golden ratio put the gateways of any run of numbers, as a
-    /// customer's are, far apart, so that their subsets cover the servers evenly.
+    /// A gateway's position on the ring, as a rank. Steps of the golden ratio put the gateways of
+    /// any run of numbers, as a customer's are, far apart, so that their subsets cover the servers
+    /// evenly.
     pub(crate) fn position_of(&self, gateway: GatewayId) -> usize {
         let turn = GOLDEN_RATIO.wrapping_mul(u64::from(gateway.0));
         ((u128::from(turn) * self.len() as u128) >> 64) as usize
--- a/crates/gateway-core/src/state/servers/latency_estimates.rs
+++ b/crates/gateway-core/src/state/servers/latency_estimates.rs
@@ -1,4 +1,5 @@
-//! Expected latencies of servers at one moment, as observed and as reported, decayed to those of the fleet.
+//! Expected latencies of servers at one moment, as observed and as reported, decayed to those of
+//! the fleet.
 
 use super::fleet_estimates::FleetEstimates;
 use super::server::Server;
@@ -13,8 +14,8 @@
 /// Minimum load factor that a latency is calculated from.
 const MIN_LOAD_FACTOR: f64 = 1.0;
 
-/// How observations of servers decay. The half-lives are numbers, as every choice calculates with them for each
-/// server.
+/// How observations of servers decay. The half-lives are numbers, as every choice calculates with
+/// them for each server.
 #[derive(Clone, Copy)]
 pub(crate) struct LatencyDecay {
     /// Time in µs in which an observed latency decays halfway to the fleet's.
@@ -44,8 +45,9 @@
         }
     }
 
-    /// Expected latency per concurrent request at a server, in µs: the larger of what was observed and what its
-    /// reported load lets expect. An unknown server counts as the median one, by how far it has warmed up.
+    /// Expected latency per concurrent request at a server, in µs: the larger of what was observed
+    /// and what its reported load lets expect. An unknown server counts as the median one, by how
+    /// far it has warmed up.
     pub(crate) fn expected_latency_us(&self, server: &Server) -> f64 {
         let median_us = self.fleet.median_latency_us();
         let half_life_us = self.decay.latency_half_life_us;
@@ -66,8 +68,8 @@
         Some(self.fleet.service_time_us() * load_factor.max(MIN_LOAD_FACTOR))
     }
 
-    /// Attempts that the ready servers together finish within `objective_us` µs. Those that are not tracked count as the
-    /// median one.
+    /// Attempts that the ready servers together finish within `objective_us` µs. Those that are not
+    /// tracked count as the median one.
     pub(crate) fn fleet_concurrency(&self, servers: &ServerTable, objective_us: f64) -> f64 {
         let mut tracked = 0;
         let concurrency =
--- a/crates/gateway-core/src/state/servers/mod.rs
+++ b/crates/gateway-core/src/state/servers/mod.rs
@@ -1,4 +1,5 @@
-//! What a gateway remembers of servers: the table of all of them, the health of each, and estimates of the fleet.
+//! What a gateway remembers of servers: the table of all of them, the health of each, and estimates
+//! of the fleet.
 
 mod class_health;
 mod fleet_estimates;
--- a/crates/gateway-core/src/state/servers/ranked_set.rs
+++ b/crates/gateway-core/src/state/servers/ranked_set.rs
@@ -1,10 +1,11 @@
-//! An ordered set that can iterate from a rank, stored in chunks short enough to be moved at each change.
+//! An ordered set that can iterate from a rank, stored in chunks short enough to be moved at each
+//! change.
 
 /// Maximum number of items in one chunk.
 const MAX_CHUNK: usize = 2_048;
 
-/// A set in ascending order. Finding a rank costs a step for each chunk; a change, that and the move of one
-/// chunk.
+/// A set in ascending order. Finding a rank costs a step for each chunk; a change, that and the
+/// move of one chunk.
 pub(crate) struct RankedSet<T> {
     /// None of them is empty.
     chunks: Vec<Vec<T>>,
--- a/crates/gateway-core/src/state/servers/server.rs
+++ b/crates/gateway-core/src/state/servers/server.rs
@@ -97,8 +97,8 @@
         self.health.iter().any(ClassHealth::is_ejected)
     }
 
-    /// Records that an attempt was sent: it takes slow-start credit, and is the probe of an ejected server, whose
-    /// next one may be sent at `next_probe_at`.
+    /// Records that an attempt was sent: it takes slow-start credit, and is the probe of an ejected
+    /// server, whose next one may be sent at `next_probe_at`.
     pub(crate) fn record_attempt_sent(&mut self, class: ClassId, next_probe_at: Timestamp) {
         self.in_flight += 1;
         self.slow_start_credit -= 1.0;
@@ -126,8 +126,8 @@
         Some(self.latency_us).filter(|latency_us| *latency_us > 0.0)
     }
 
-    /// Latency per concurrent request by now, in µs: the estimate decays to that of the fleet, halfway in each
-    /// half-life. `None` while unknown.
+    /// Latency per concurrent request by now, in µs: the estimate decays to that of the fleet,
+    /// halfway in each half-life. `None` while unknown.
     pub(crate) fn decayed_latency_us(
         &self,
         now: Timestamp,
@@ -151,8 +151,8 @@
         self.latency_us = decayed.unwrap_or(0.0);
     }
 
-    /// Merges a sample of the latency per concurrent request; `initial_us` stands for the estimate while there is
-    /// none.
+    /// Merges a sample of the latency per concurrent request; `initial_us` stands for the estimate
+    /// while there is none.
     pub(crate) fn observe_latency(
         &mut self,
         at: Timestamp,
@@ -229,7 +229,8 @@
         self.connect_backoff_until > now
     }
 
-    /// Records whether an attempt found a connection. The backoff doubles with each consecutive one that did not.
+    /// Records whether an attempt found a connection. The backoff doubles with each consecutive one
+    /// that did not.
     pub(crate) fn observe_connect(
         &mut self,
         now: Timestamp,
@@ -246,8 +247,8 @@
         }
     }
 
-    /// Records whether an attempt of a class failed. `other_class_fraction`: fraction of the weight with which it
-    /// counts for other classes.
+    /// Records whether an attempt of a class failed. `other_class_fraction`: fraction of the weight
+    /// with which it counts for other classes.
     pub(crate) fn observe_failure(
         &mut self,
         class: ClassId,
--- a/crates/gateway-core/src/state/servers/server_index.rs
+++ b/crates/gateway-core/src/state/servers/server_index.rs
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Updates the entries of a server after its health has changed; removes them unless `is_included`.
+    /// Updates the entries of a server after its health has changed; removes them unless
+    /// `is_included`.
     pub(crate) fn update(&mut self, server: &mut Server, is_included: bool) {
         let id = server.endpoint.server;
         for (class, health) in server.health.iter_mut().enumerate() {
--- a/crates/gateway-core/src/state/servers/server_table/candidates.rs
+++ b/crates/gateway-core/src/state/servers/server_table/candidates.rs
@@ -5,8 +5,9 @@
 use crate::time::Timestamp;
 use crate::types::{CellId, ClassId, ServerId};
 
-/// Which servers [`ServerTable::find_candidates`] looks at, in this order: those of a cell, if one is named; those
-/// of a subset of the ring, from a position in it on and wrapping round; those beyond the subset.
+/// Which servers [`ServerTable::find_candidates`] looks at, in this order: those of a cell, if one
+/// is named; those of a subset of the ring, from a position in it on and wrapping round; those
+/// beyond the subset.
 pub(crate) struct CandidateQuery {
     /// Cell whose servers are looked at first.
     pub(crate) cell: Option<CellId>,
@@ -46,8 +47,8 @@
         })
     }
 
-    /// Servers for which a condition holds, in the order of their ids: for each class the ejected one whose probe is
-    /// longest due, and those that the query finds.
+    /// Servers for which a condition holds, in the order of their ids: for each class the ejected
+    /// one whose probe is longest due, and those that the query finds.
     pub(crate) fn find_candidates(
         &self,
         now: Timestamp,
--- a/crates/gateway-core/src/state/servers/server_table/eviction.rs
+++ b/crates/gateway-core/src/state/servers/server_table/eviction.rs
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 impl ServerTable {
-    /// Evicts servers that are gone and have no attempt in flight. Where not all servers are tracked, stops tracking
-    /// those that are idle: not used for `max_idle`, not ejected, and without attempts in flight.
+    /// Evicts servers that are gone and have no attempt in flight. Where not all servers are
+    /// tracked, stops tracking those that are idle: not used for `max_idle`, not ejected, and
+    /// without attempts in flight.
     pub(crate) fn evict_idle(&mut self, now: Timestamp, max_idle: Duration) {
         let scans_all = self.scans_all();
         let mut gone = Vec::new();
--- a/crates/gateway-core/src/state/servers/server_table/health_summary.rs
+++ b/crates/gateway-core/src/state/servers/server_table/health_summary.rs
@@ -39,8 +39,8 @@
         self.ready_count().saturating_sub(self.ejected_count(class))
     }
 
-    /// Sum of the ready servers' failure rates with a class. Where all servers are scanned they are added in the order
-    /// of their ids, else the sum is that of the index.
+    /// Sum of the ready servers' failure rates with a class. Where all servers are scanned they are
+    /// added in the order of their ids, else the sum is that of the index.
     pub(crate) fn failure_rate_sum(&self, class: ClassId) -> f64 {
         if self.scans_all() {
             return self
--- a/crates/gateway-core/src/state/servers/server_table/mod.rs
+++ b/crates/gateway-core/src/state/servers/server_table/mod.rs
@@ -1,7 +1,7 @@
 //! The server table: all servers on the endpoint list.
 //!
-//! A server that this gateway uses is tracked, with its health. Where too many are ready to track all, only the
-//! endpoint of each other one is retained.
+//! A server that this gateway uses is tracked, with its health. Where too many are ready to track
+//! all, only the endpoint of each other one is retained.
 
 mod candidates;
 mod eviction;
@@ -50,7 +50,8 @@
 }
 
 impl ServerTable {
-    /// An empty table. All servers are tracked, and may be scanned, as long as at most `full_scan_limit` are ready.
+    /// An empty table. All servers are tracked, and may be scanned, as long as at most
+    /// `full_scan_limit` are ready.
     pub(crate) fn new(settings: &Settings, full_scan_limit: usize) -> Self {
         let classes = settings.classes.len();
         ServerTable {
--- a/crates/gateway-core/src/state/servers/server_table/reports.rs
+++ b/crates/gateway-core/src/state/servers/server_table/reports.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl ServerTable {
-    /// Reports on ready servers from observations younger than `max_age`: the newest `max_reports` of them,
-    /// in the order of the servers.
+    /// Reports on ready servers from observations younger than `max_age`: the newest `max_reports`
+    /// of them, in the order of the servers.
     pub(crate) fn recent_reports(
         &self,
         now: Timestamp,
--- a/crates/gateway-core/src/state/servers/server_table/ring.rs
+++ b/crates/gateway-core/src/state/servers/server_table/ring.rs
@@ -15,8 +15,8 @@
         self.ring.iter_from(position)
     }
 
-    /// The first `count` of some servers, which are in the order of their ids, on the ring from a position
-    /// on.
+    /// The first `count` of some servers, which are in the order of their ids, on the ring from a
+    /// position on.
     pub(crate) fn first_on_ring<'s>(
         &self,
         position: usize,
--- a/crates/gateway-core/src/state/servers/server_table/update.rs
+++ b/crates/gateway-core/src/state/servers/server_table/update.rs
@@ -14,7 +14,8 @@
 }
 
 impl ServerTable {
-    /// Applies an endpoint list, or changes to it. What was known of a server that has restarted is dropped.
+    /// Applies an endpoint list, or changes to it. What was known of a server that has restarted is
+    /// dropped.
     pub(crate) fn apply_update(
         &mut self,
         now: Timestamp,
@@ -90,7 +91,8 @@
         Some(server)
     }
 
-    /// Moves a server to where its endpoint belongs in the indexes, or removes it if it is no longer ready.
+    /// Moves a server to where its endpoint belongs in the indexes, or removes it if it is no
+    /// longer ready.
     fn reindex(&mut self, now: Timestamp, before: Option<Endpoint>, after: Option<Endpoint>) {
         if before == after {
             return;
@@ -152,8 +154,8 @@
         self.rebuild_indexes(now);
     }
 
-    /// Whether a snapshot leaves so few servers ready that all are scanned. The last entry of a server counts: a list
-    /// that names one twice may have fewer ready servers than entries.
+    /// Whether a snapshot leaves so few servers ready that all are scanned. The last entry of a
+    /// server counts: a list that names one twice may have fewer ready servers than entries.
     fn will_scan_all(&self, endpoints: &[Endpoint]) -> bool {
         if endpoints.len() <= self.full_scan_limit {
             return true;
@@ -165,7 +167,8 @@
         last_entries.values().filter(|ready| **ready).count() <= self.full_scan_limit
     }
 
-    /// Tracks a server that was known and not tracked: its zone and cell stay if it is no longer ready.
+    /// Tracks a server that was known and not tracked: its zone and cell stay if it is no longer
+    /// ready.
     fn track_known(
         &mut self,
         now: Timestamp,
--- a/crates/gateway-core/tests/unit/server_table.rs
+++ b/crates/gateway-core/tests/unit/server_table.rs
@@ -1,4 +1,5 @@
-//! The server table against a reference model that retains every server and scans all of them for each sum.
+//! The server table against a reference model that retains every server and scans all of them for
+//! each sum.
 
 use super::*;
 use crate::settings::{Class, EndpointDiscovery, Idempotency, Permissions, Rules};
@@ -337,8 +338,9 @@
         }
     }
 
-    /// Of a server that is not ready and was never used the table keeps not even when it started: it need not. So it
-    /// may evict only what has no attempt in flight and no observation; the reference then forgets it too.
+    /// Of a server that is not ready and was never used the table does not even retain when it
+    /// started: it need not. So it may evict only what has no attempt in flight and no observation;
+    /// the reference then drops it too.
     fn forget_unused(&mut self) -> CheckResult {
         let table = &self.table;
         let is_evicted = |server: &&ReferenceServer| {
@@ -366,7 +368,7 @@
             self.check_class(class)?;
         }
         self.check_observed_after()?;
-        self.check_kept_health()
+        self.check_retained_health()
     }
 
     fn check_ready_servers(&mut self) -> CheckResult {
@@ -444,19 +446,19 @@
         Ok(())
     }
 
-    /// Whatever was observed is kept, with the attempts in flight.
-    fn check_kept_health(&self) -> CheckResult {
+    /// Whatever was observed is retained, with the attempts in flight.
+    fn check_retained_health(&self) -> CheckResult {
         for known in self
             .reference
             .servers
             .values()
             .filter(|server| server.was_observed())
         {
-            let kept = self.table.get(&known.endpoint.server).map(|server| {
+            let retained = self.table.get(&known.endpoint.server).map(|server| {
                 let health = server.health.iter().map(ReferenceHealth::from);
                 (health.collect::<Vec<_>>(), server.in_flight)
             });
-            prop_assert_eq!(kept, Some((known.health.to_vec(), known.in_flight)));
+            prop_assert_eq!(retained, Some((known.health.to_vec(), known.in_flight)));
         }
         Ok(())
     }
