--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -6,8 +6,8 @@
 mod gossip;
 mod leases;
 mod requests;
-mod server_health;
 mod servers;
+mod stalled_servers;
 
 use self::servers::Servers;
 use crate::policy::deadlines::TIMER_PERIOD;
--- a/crates/gateway-core/src/gateway/servers/control_tick.rs
+++ b/crates/gateway-core/src/gateway/servers/control_tick.rs
@@ -47,13 +47,8 @@
             fleet: &self.estimates,
         };
         let slow_start = SlowStart::new(context, &self.selection, warm, ready, TICK_PERIOD);
-        let warming_up = self
-            .table
-            .iter_tracked_mut()
-            .filter(|server| !server.is_warm(rules, now));
-        for server in warming_up {
-            let fraction = server.warm_up_fraction(rules, now);
-            slow_start.grant(server, fraction, random.f64());
+        for server in self.table.warming_up_mut(now, rules) {
+            slow_start.grant(server.credit, server.warm_up_fraction, random.f64());
         }
     }
 
--- a/crates/gateway-core/src/gateway/servers/reports.rs
+++ b/crates/gateway-core/src/gateway/servers/reports.rs
@@ -6,7 +6,6 @@
 use crate::policy::fleet_estimates::PEER_THROUGHPUT_WEIGHT;
 use crate::policy::fleet_mode::LATENCY_RATIO_WEIGHT;
 use crate::policy::health_reports;
-use crate::policy::load_balancing::SAMPLE_SIZE;
 use crate::time::Timestamp;
 use crate::types::ClassId;
 
@@ -18,11 +17,8 @@
         now: Timestamp,
         random: &mut fastrand::Rng,
     ) -> GossipDigest {
-        let max_reports = if self.table.scans_all() {
-            usize::MAX
-        } else {
-            SAMPLE_SIZE
-        };
+        let scans_all = self.table.scans_all();
+        let max_reports = health_reports::max_considered_observations(scans_all);
         let reports = self
             .table
             .recent_reports(now, health_reports::REPORT_LIFETIME, max_reports);
--- a/crates/gateway-core/src/policy/health_reports.rs
+++ b/crates/gateway-core/src/policy/health_reports.rs
@@ -1,9 +1,10 @@
 //! Health reports: which of its observations of servers a gateway sends to its peers, and how much
 //! a peer's report counts.
 //!
-//! 1. [`select_reports`] chooses the reports that a message carries.
-//! 2. [`is_recent`] decides whether a received report may still be merged.
-//! 3. [`REPORT_WEIGHT`] is the weight with which a report enters the estimates of a server.
+//! 1. [`max_considered_observations`] limits the recent observations that are looked at.
+//! 2. [`select_reports`] chooses the reports that a message carries.
+//! 3. [`is_recent`] decides whether a received report may still be merged.
+//! 4. [`REPORT_WEIGHT`] is the weight with which a report enters the estimates of a server.
 
 use super::outlier_detection::EJECTION_FAILURE_RATE;
 use crate::message::HealthReport;
@@ -13,6 +14,8 @@
 const MAX_UNHEALTHY_REPORTS: usize = 4;
 /// Maximum number of reports on other servers in one message.
 const MAX_HEALTHY_REPORTS: usize = 2;
+/// Maximum number of observations that reports are selected from where not all servers are scanned.
+const MAX_SAMPLED_OBSERVATIONS: usize = 10;
 /// Maximum age of an observation that is sent to peers, or merged when it is received.
 pub(crate) const REPORT_LIFETIME: Duration = Duration::from_secs(4);
 /// Weight of one report in the recipient's means: several reports, each newer than the last, are
@@ -52,6 +55,16 @@
     selected
 }
 
+/// Maximum number of recent observations that reports are selected from: all of them in a small
+/// table, and only the newest where not all servers are scanned.
+pub(crate) fn max_considered_observations(scans_all_servers: bool) -> usize {
+    if scans_all_servers {
+        usize::MAX
+    } else {
+        MAX_SAMPLED_OBSERVATIONS
+    }
+}
+
 /// Whether a received report describes a recent observation, and may be merged.
 pub(crate) fn is_recent(report: &HealthReport) -> bool {
     report.age < REPORT_LIFETIME
--- a/crates/gateway-core/src/policy/load_balancing/mod.rs
+++ b/crates/gateway-core/src/policy/load_balancing/mod.rs
@@ -27,7 +27,7 @@
 use crate::types::ServerId;
 
 use eligibility::Choice;
-pub(crate) use subset::{Subset, SAMPLE_SIZE};
+pub(crate) use subset::Subset;
 
 /// Minimum warm-up fraction that the latency of an unknown server is divided by.
 const MIN_WARM_UP_FRACTION: f64 = 0.1;
--- a/crates/gateway-core/src/policy/load_balancing/subset.rs
+++ b/crates/gateway-core/src/policy/load_balancing/subset.rs
@@ -30,7 +30,7 @@
 /// Maximum number of servers that are looked at for a sample.
 const MAX_VISITED: usize = 200;
 /// Maximum number of servers in a sample, apart from those to be probed.
-pub(crate) const SAMPLE_SIZE: usize = 10;
+const SAMPLE_SIZE: usize = 10;
 /// The smallest random number that a logarithm is taken of.
 const MIN_DRAW: f64 = 1e-9;
 /// Fraction of unreachable attempts in the cost of a server: zones do not count in a large fleet.
--- a/crates/gateway-core/src/policy/slow_start.rs
+++ b/crates/gateway-core/src/policy/slow_start.rs
@@ -10,7 +10,7 @@
 
 use super::load_balancing::ServerSelection;
 use crate::state::deployment::Context;
-use crate::state::servers::Server;
+use crate::state::servers::SlowStartCredit;
 use crate::statistics::{count_as_f64, expected_count};
 use std::time::Duration;
 
@@ -64,9 +64,9 @@
     /// Grants a server that warms up its credit: whole attempts, rounded up with a probability of
     /// the fraction that remains. `warm_up_fraction`: fraction of its capacity that the server has;
     /// `draw`: random, from 0 to 1.
-    pub(crate) fn grant(&self, server: &mut Server, warm_up_fraction: f64, draw: f64) {
+    pub(crate) fn grant(&self, credit: &mut SlowStartCredit, warm_up_fraction: f64, draw: f64) {
         let gained = (self.full_grant * warm_up_fraction + draw).floor();
         let maximum = gained.max(MAX_CREDIT);
-        server.add_slow_start_credit(gained, self.retained_fraction, maximum);
+        credit.add(gained, self.retained_fraction, maximum);
     }
 }
--- a/crates/gateway-core/src/state/servers/server.rs
+++ b/crates/gateway-core/src/state/servers/server.rs
@@ -1,6 +1,7 @@
 //! What a gateway knows of one server.
 
 use super::class_health::ClassHealth;
+use super::slow_start_credit::SlowStartCredit;
 use crate::message::HealthReport;
 use crate::settings::Rules;
 use crate::time::{DurationExt, Timestamp};
@@ -20,7 +21,7 @@
     /// By class.
     pub(super) health: Vec<ClassHealth>,
     /// Attempts that may be sent while it warms up.
-    slow_start_credit: f64,
+    pub(super) slow_start_credit: SlowStartCredit,
     /// Requests in flight that it last reported.
     reported_load: Option<f64>,
     load_reported_at: Timestamp,
@@ -101,7 +102,7 @@
     /// server, whose next one may be sent at `next_probe_at`.
     pub(crate) fn record_attempt_sent(&mut self, class: ClassId, next_probe_at: Timestamp) {
         self.in_flight += 1;
-        self.slow_start_credit -= 1.0;
+        self.slow_start_credit.take_attempt();
         self.health[class.0].record_probe(next_probe_at);
     }
 
@@ -269,18 +270,7 @@
 
     /// Whether it has slow-start credit for one more attempt.
     pub(crate) fn has_slow_start_credit(&self) -> bool {
-        self.slow_start_credit >= 1.0
-    }
-
-    /// Adds slow-start credit to the fraction that is retained of unused credit, up to a maximum.
-    pub(crate) fn add_slow_start_credit(
-        &mut self,
-        gained: f64,
-        retained_fraction: f64,
-        maximum: f64,
-    ) {
-        let retained = self.slow_start_credit.max(0.0) * retained_fraction;
-        self.slow_start_credit = (retained + gained).min(maximum);
+        self.slow_start_credit.covers_attempt()
     }
 
     /// Minimum fraction of its capacity that it has by now: 1 once it is warm.
--- a/crates/gateway-core/src/state/servers/server_table/mod.rs
+++ b/crates/gateway-core/src/state/servers/server_table/mod.rs
@@ -15,8 +15,9 @@
 use super::hash_ring::HashRing;
 use super::server::Server;
 use super::server_index::{ServerGuard, ServerIndex};
+use super::slow_start_credit::SlowStartCredit;
 use crate::message::ShortServerId;
-use crate::settings::Settings;
+use crate::settings::{Rules, Settings};
 use crate::time::Timestamp;
 use crate::types::{CellId, Endpoint, ServerId};
 use std::cell::Cell;
@@ -49,6 +50,14 @@
     visited: Cell<u64>,
 }
 
+/// A server that warms up, to be granted slow-start credit.
+pub(crate) struct WarmingServer<'a> {
+    /// Minimum fraction of its capacity that the server has by now.
+    pub(crate) warm_up_fraction: f64,
+    /// Its slow-start credit.
+    pub(crate) credit: &'a mut SlowStartCredit,
+}
+
 impl ServerTable {
     /// An empty table. All servers are tracked, and may be scanned, as long as at most
     /// `full_scan_limit` are ready.
@@ -129,12 +138,22 @@
         self.tracked.values().inspect(|_| self.visit())
     }
 
-    /// The same, to change their slow-start credit; nothing that is indexed may be changed.
-    pub(crate) fn iter_tracked_mut(&mut self) -> impl Iterator<Item = &mut Server> {
+    /// The tracked servers that warm up, in the order of their ids: the fraction of its capacity
+    /// that each has, and its slow-start credit to be changed.
+    pub(crate) fn warming_up_mut<'a>(
+        &'a mut self,
+        now: Timestamp,
+        rules: &'a Rules,
+    ) -> impl Iterator<Item = WarmingServer<'a>> {
         let visited = &self.visited;
         self.tracked
             .values_mut()
             .inspect(|_| visited.set(visited.get() + 1))
+            .filter(move |server| !server.is_warm(rules, now))
+            .map(move |server| WarmingServer {
+                warm_up_fraction: server.warm_up_fraction(rules, now),
+                credit: &mut server.slow_start_credit,
+            })
     }
 
     /// The tracked servers that are ready.
--- /dev/null
+++ b/crates/gateway-core/src/state/servers/slow_start_credit.rs
@@ -0,0 +1,27 @@
+//! Slow-start credit: attempts that may be sent to a server while it warms up.
+
+/// Credit that one attempt takes.
+const CREDIT_PER_ATTEMPT: f64 = 1.0;
+
+/// Attempts that may be sent to a server while it warms up. Negative while the server was sent
+/// attempts as a warm one.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct SlowStartCredit(f64);
+
+impl SlowStartCredit {
+    /// Whether there is credit for one more attempt.
+    pub(super) fn covers_attempt(self) -> bool {
+        self.0 >= CREDIT_PER_ATTEMPT
+    }
+
+    /// Takes the credit of one attempt.
+    pub(super) fn take_attempt(&mut self) {
+        self.0 -= CREDIT_PER_ATTEMPT;
+    }
+
+    /// Adds credit to the fraction that is retained of unused credit, up to a maximum.
+    pub(crate) fn add(&mut self, gained: f64, retained_fraction: f64, maximum: f64) {
+        let retained = self.0.max(0.0) * retained_fraction;
+        self.0 = (retained + gained).min(maximum);
+    }
+}
--- a/crates/gateway-core/tests/policy/slow_start.rs
+++ b/crates/gateway-core/tests/policy/slow_start.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_cold_server_gets_less_than_a_warm_one() {
+fn a_server_that_warms_up_gets_less_than_a_warm_one() {
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), 100 * S, 1);
     for _ in 0..400 {
         let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
@@ -14,11 +14,11 @@
             gateway.finish(&id, AttemptOutcome::Success);
         }
     }
-    let cold = Endpoint {
+    let warming_up = Endpoint {
         started_at: Some(Timestamp::from_micros(gateway.now)),
         ..ready_endpoint(9)
     };
-    gateway.update_endpoints(EndpointUpdate::Snapshot, vec![cold]);
+    gateway.update_endpoints(EndpointUpdate::Snapshot, vec![warming_up]);
     let mut sent = 0;
     for _ in 0..50 {
         let before = gateway.sent_count();
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn hundreds_of_gateways_do_not_overload_a_cold_server() {
+fn hundreds_of_gateways_do_not_overload_a_server_that_warms_up() {
     let mut by_second = [0; SECONDS];
     for number in 0..LARGE_FLEET {
         for (sum, sent) in by_second.iter_mut().zip(sent_by_second(number)) {
--- a/crates/gateway-core/tests/unit/hash_ring.rs
+++ b/crates/gateway-core/tests/unit/hash_ring.rs
@@ -37,10 +37,10 @@
     let (before, after) = (ring(0..60), ring(1..60));
     for gateway in 0..100 {
         let old: Vec<_> = subset(&before, gateway, 12).collect();
-        let kept = subset(&after, gateway, 12)
+        let retained = subset(&after, gateway, 12)
             .filter(|server| old.contains(server))
             .count();
-        assert!(kept >= 10, "gateway {gateway} keeps {kept} of 12");
+        assert!(retained >= 10, "gateway {gateway} retains {retained} of 12");
     }
 }
 
