--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -1,11 +1,11 @@
 //! Attempts: sending queued requests, and what is learned from how attempts end.
 
 use super::Gateway;
+use crate::policy::dispatch::{self, DispatchDecision, DispatchPass};
 use crate::policy::retry::{self, RetryDecision};
-use crate::policy::{admission, quota};
 use crate::state::attempt::{Attempt, AttemptKey};
 use crate::state::deployment::Context;
-use crate::state::request::PossibleExecution;
+use crate::state::request::{PossibleExecution, Request};
 use crate::time::{DurationExt, Timestamp};
 use crate::types::{AttemptNumber, AttemptOutcome, RejectReason, RequestId, ServerId};
 use crate::Action;
@@ -28,44 +28,19 @@
         }
         let mut selectable = self.selectable_servers(now);
         if selectable.is_empty() {
-            return; // in a jam, sorting the queue at each event would use up the processor
+            return; // sorting the queue at each event during an overload would use up the processor
         }
         let lowest_class = self.deployment.lowest_class;
-        let mut lowest_in_flight = self.attempts.count_of(lowest_class);
+        let mut pass = DispatchPass::new(lowest_class, self.attempts.count_of(lowest_class));
         for id in self.queue_by_priority(now) {
             if selectable.is_empty() {
                 break;
             }
-            let Some(request) = self.requests.get_mut(&id) else {
+            let Some(server) = self.server_for_queued(now, &id, &pass, &selectable) else {
                 continue;
             };
-            let is_lowest = request.class == lowest_class;
-            let is_limited = is_lowest
-                && !self.controller.allows(
-                    lowest_in_flight,
-                    now,
-                    self.servers.estimates().mean_latency_us(),
-                );
-            let context = Context {
-                now,
-                deployment: &self.deployment,
-                fleet: self.servers.estimates(),
-            };
-            if request.attempts == 0 && !quota::allows_attempt(&mut self.quotas, context, request) {
-                // Its customer's own limit delays it: taken for pressed servers, that would close the
-                // in-flight limit.
-                request.due_since = now;
-                continue;
-            }
-            if is_limited {
-                continue;
-            }
-            let Some(server) = self.pick_server(now, &id, &selectable) else {
-                continue;
-            };
-            if is_lowest {
-                lowest_in_flight += 1.0;
-                self.controller.consume_pacing_token();
+            if let Some(request) = self.requests.get(&id) {
+                pass.attempt_sent(request.class(), self.controller.limit());
             }
             self.send_attempt(now, id, server, actions);
             selectable = if self.requests.is_queue_empty() {
@@ -76,6 +51,31 @@
         }
     }
 
+    /// The server to which a queued request is sent now; `None` if it stays queued.
+    fn server_for_queued(
+        &mut self,
+        now: Timestamp,
+        id: &RequestId,
+        pass: &DispatchPass,
+        selectable: &[ServerId],
+    ) -> Option<ServerId> {
+        let context = Context {
+            now,
+            deployment: &self.deployment,
+            fleet: self.servers.estimates(),
+        };
+        let request = self.requests.get_mut(id)?;
+        let limit = self.controller.limit();
+        match pass.decide(context, request, limit, &mut self.quotas) {
+            DispatchDecision::Send => self.pick_server(now, id, selectable),
+            DispatchDecision::SkipForQuota => {
+                request.delayed_by_quota_until(now);
+                None
+            }
+            DispatchDecision::SkipForInFlightLimit => None,
+        }
+    }
+
     /// Servers that may be chosen from now.
     fn selectable_servers(&mut self, now: Timestamp) -> Vec<ServerId> {
         self.servers.selectable(
@@ -103,7 +103,7 @@
         let context = self.context(now);
         let queued = self.requests.queued();
         let mut order: Vec<_> = queued
-            .map(|(id, request)| (admission::priority(context, request), id.clone()))
+            .map(|(id, request)| (dispatch::priority(context, request), id.clone()))
             .collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0));
         order.into_iter().map(|(_, id)| id).collect()
@@ -120,18 +120,19 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
+        let class = request.class();
         let Some(server_in_flight) =
             self.servers
-                .record_attempt_sent(now, &server_id, request.class, next_probe_at)
+                .record_attempt_sent(now, &server_id, class, next_probe_at)
         else {
             return;
         };
-        let first = request.attempts == 0;
-        if let Some(bucket) = self.quotas.local.get_mut(&request.customer) {
-            bucket.attempt_sent(now, request.units, first);
+        let first = !request.was_sent();
+        if let Some(bucket) = self.quotas.local.get_mut(&request.customer()) {
+            bucket.attempt_sent(now, request.units(), first);
         }
         if first {
-            self.retry_budget = retry::earn(self.retry_budget);
+            self.retry_budget.first_attempt_sent();
         }
         let number = request.attempt_sent(server_id);
         let attempt = request.attempt_record(server_id, now, server_in_flight);
@@ -168,7 +169,7 @@
         let was_cancelled = self
             .requests
             .get(&id)
-            .is_some_and(|request| request.cancelled);
+            .is_some_and(Request::is_cancelled_or_streaming);
         let was_stalled = was_cancelled && outcome == AttemptOutcome::Cancelled;
         self.servers.observe_attempt(
             now,
@@ -184,18 +185,16 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.in_flight = None;
+        request.attempt_finished(outcome);
         if result.closed {
             return self.remove_request(&id, actions);
         }
-        request.cancelled = false;
-        request.reached_server |= outcome.reached_server();
-        if outcome.may_have_executed() && request.possibly_executed.is_none() {
+        if outcome.may_have_executed() && request.possible_execution().is_none() {
             let endpoint = self.servers.endpoint(&attempt.server);
-            request.possibly_executed = endpoint.map(|endpoint| PossibleExecution {
+            request.possibly_executed(endpoint.map(|endpoint| PossibleExecution {
                 endpoint,
                 sent_at: attempt.sent_at,
-            });
+            }));
         }
         self.retry_or_answer(now, id, outcome, actions);
     }
@@ -210,15 +209,15 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        match retry::decide(self.context(now), request, outcome, self.retry_budget) {
-            RetryDecision::Retry { cost } => {
-                self.retry_budget -= cost;
+        match retry::decide(self.context(now), request, outcome, &self.retry_budget) {
+            RetryDecision::Retry => {
+                self.retry_budget.charge(outcome);
                 self.requests.enqueue(id);
             }
             RetryDecision::GiveUp => {
                 self.reject_or_fail(now, &id, RejectReason::RetriesExhausted, actions);
             }
-            RetryDecision::Wait => {}
+            RetryDecision::AwaitDeadline => {}
         }
     }
 
@@ -234,7 +233,7 @@
     fn observe_success(&mut self, now: Timestamp, attempt: &Attempt) {
         self.servers.estimates_mut().count_answer();
         let class = &self.deployment.settings.classes[attempt.class.0];
-        let latency = now.micros_since(attempt.due_since);
+        let latency = now.micros_since(attempt.eligible_since);
         self.latencies
             .of(attempt.class)
             .add(latency / class.latency_objective.as_micros_f64().max(1.0));
--- a/crates/gateway-core/src/gateway/control_tick.rs
+++ b/crates/gateway-core/src/gateway/control_tick.rs
@@ -2,9 +2,8 @@
 //! renewed.
 
 use super::Gateway;
-use crate::policy::fuzzy_controller::{counts_while_open, TICK_PERIOD};
+use crate::policy::fuzzy_controller::TICK_PERIOD;
 use crate::policy::quota::PARTITIONED;
-use crate::state::deployment::FleetMode;
 use crate::state::latency_samples::LatencySamples;
 use crate::state::quota_state::silent_gateways;
 use crate::time::{DurationExt, Timestamp};
@@ -37,23 +36,23 @@
                 .latency_objective
                 .as_micros_f64()
                 .max(1.0);
-            let ratio = now.micros_since(request.due_since) / objective;
-            let samples = samples.of(request.class);
-            if counts_while_open(self.deployment.mode, request, ratio, samples.mean()) {
+            let ratio = now.micros_since(request.eligible_since()) / objective;
+            let samples = samples.of(request.class());
+            let inputs = self.controller_inputs;
+            if inputs.counts_open_request(request, ratio, samples.mean()) {
                 samples.add(ratio);
             }
         }
     }
 
     fn update_latency_ratios(&mut self, samples: &LatencySamples) {
-        let mode = self.deployment.mode;
-        let weight = mode.parameters().latency_ratio_weight;
+        let weight = self.controller_inputs.latency_ratio_weight();
         for (class, samples) in samples.iter().enumerate() {
             if let Some(ratio) = samples.mean() {
                 self.servers
                     .estimates_mut()
                     .merge_latency_ratio(ClassId(class), ratio, weight);
-            } else if mode == FleetMode::Gossip {
+            } else if self.controller_inputs.forgets_latency_ratios() {
                 self.servers
                     .estimates_mut()
                     .reset_latency_ratio(ClassId(class));
@@ -62,7 +61,7 @@
     }
 
     fn update_in_flight(&mut self) {
-        let weight = self.deployment.mode.parameters().in_flight_weight;
+        let weight = self.controller_inputs.in_flight_weight();
         let lowest = self.attempts.count_of(self.deployment.lowest_class);
         let total = self.attempts.count();
         self.servers
@@ -78,8 +77,7 @@
         let share = 1.0 / f64::from(self.deployment.settings.gateway_count);
         self.controller.tick(ratio, fleet, share);
         let has_started = self.controller.is_limiting() && !was_limiting;
-        // Hundreds of gateways would flood the log.
-        let warns = has_started && self.deployment.mode == FleetMode::Gossip;
+        let warns = has_started && self.controller_inputs.warns_of_missed_objectives();
         if let Some(latency_ratio) = ratio.filter(|_| warns) {
             actions.push(Action::Warn(Warning::ObjectiveMissed {
                 latency_ratio,
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -10,16 +10,17 @@
 mod stalled_servers;
 
 use self::servers::Servers;
+use crate::policy::controller_inputs::ControllerInputs;
 use crate::policy::deadlines::TIMER_PERIOD;
 use crate::policy::fleet_mode::mode_of;
 use crate::policy::fuzzy_controller::{FuzzyController, TICK_PERIOD};
-use crate::policy::retry;
+use crate::policy::retry_budget::RetryBudget;
 use crate::settings::{EndpointDiscovery, Settings, SettingsError};
 use crate::state::attempt::AttemptTable;
 use crate::state::deployment::{Context, Deployment, FleetMode};
 use crate::state::latency_samples::LatencySamples;
 use crate::state::quota_state::QuotaState;
-use crate::state::request::{Request, RequestTable};
+use crate::state::request::{Request, RequestDetails, RequestTable};
 use crate::time::Timestamp;
 use crate::types::{PlanId, RejectReason};
 use crate::{Action, Event};
@@ -41,11 +42,11 @@
     watch_requested: bool,
     requests: RequestTable,
     attempts: AttemptTable,
-    /// Retries that may be sent.
-    retry_budget: f64,
+    retry_budget: RetryBudget,
     servers: Servers,
     quotas: QuotaState,
     controller: FuzzyController,
+    controller_inputs: &'static dyn ControllerInputs,
     /// Latencies since the last control tick.
     latencies: LatencySamples,
     /// Final answers that no server made, by reason and plan.
@@ -75,10 +76,11 @@
             watch_requested: false,
             requests: RequestTable::default(),
             attempts: AttemptTable::default(),
-            retry_budget: retry::MAX_BUDGET,
+            retry_budget: mode.retry_budget(),
             servers,
             quotas,
             controller: FuzzyController::default(),
+            controller_inputs: mode.controller_inputs(),
             latencies: LatencySamples::new(classes),
             rejections: BTreeMap::new(),
         })
@@ -108,20 +110,18 @@
                 if settings.classes.len() <= class.0 || settings.plans.len() <= plan.0 {
                     return actions.push(Action::Fail { id });
                 }
-                let units = units.max(0.0);
-                let arriving = Request::arriving(now, client_timeout);
-                let request = Request {
+                let details = RequestDetails {
                     class,
                     plan,
                     customer,
-                    units,
-                    ..arriving
+                    units: units.max(0.0),
                 };
+                let request = Request::arriving(now, client_timeout, details);
                 self.on_request(now, id, request, gateways, actions);
             }
             Event::StreamStarted { id } => {
                 if let Some(request) = self.requests.get_mut(&id) {
-                    request.hand_to_client();
+                    request.stream_started();
                 }
             }
             Event::AttemptFinished {
--- a/crates/gateway-core/src/gateway/servers/reports.rs
+++ b/crates/gateway-core/src/gateway/servers/reports.rs
@@ -3,8 +3,8 @@
 
 use super::Servers;
 use crate::message::{GossipDigest, HealthReport};
+use crate::policy::controller_inputs::LATENCY_RATIO_WEIGHT;
 use crate::policy::fleet_estimates::PEER_THROUGHPUT_WEIGHT;
-use crate::policy::fleet_mode::LATENCY_RATIO_WEIGHT;
 use crate::policy::health_reports;
 use crate::time::Timestamp;
 use crate::types::ClassId;
@@ -40,7 +40,7 @@
         self.estimates
             .merge_throughput(digest.throughput, PEER_THROUGHPUT_WEIGHT);
         for (class, ratio) in digest.latency_ratios.into_iter().enumerate() {
-            if ratio >= 0.0 {
+            if let Some(ratio) = ratio {
                 self.estimates
                     .merge_latency_ratio(ClassId(class), ratio, LATENCY_RATIO_WEIGHT);
             }
--- a/crates/gateway-core/src/policy/load_balancing/all_servers.rs
+++ b/crates/gateway-core/src/policy/load_balancing/all_servers.rs
@@ -29,7 +29,7 @@
     eligible: &[&Server],
     random: &mut fastrand::Rng,
 ) -> Option<ServerId> {
-    let may_probe = choice.request.attempts == 0;
+    let may_probe = !choice.request.was_sent();
     lowest_cost(eligible, |server| {
         let draw = random.f64();
         if may_probe && choice.is_ejected(server) {
--- a/crates/gateway-core/src/policy/load_balancing/cost.rs
+++ b/crates/gateway-core/src/policy/load_balancing/cost.rs
@@ -44,7 +44,7 @@
             + 1.0
             + CROSS_ZONE_PENALTY_SLOTS * self.cross_zone_cost(server)
             + same_server_penalty_slots(request, server);
-        let failing = server.class_health(request.class).failure_rate() * FAILURE_PENALTY;
+        let failing = server.class_health(request.class()).failure_rate() * FAILURE_PENALTY;
         let penalties = 1.0 + failing + unreachable_fraction * UNREACHABLE_ZONE_PENALTY;
         slots * self.estimates.expected_latency_us(server) * penalties
     }
@@ -62,7 +62,7 @@
 
 /// Slots that a server counts as taken because the previous attempt of the request went there.
 fn same_server_penalty_slots(request: &Request, server: &Server) -> f64 {
-    if request.last_server == Some(server.id()) {
+    if request.last_server() == Some(server.id()) {
         SAME_SERVER_PENALTY_SLOTS
     } else {
         0.0
--- a/crates/gateway-core/src/policy/load_balancing/eligibility.rs
+++ b/crates/gateway-core/src/policy/load_balancing/eligibility.rs
@@ -31,14 +31,14 @@
     ) -> Self {
         Choice {
             request,
-            ignores_ejection: selector.ignores_ejection(request.class),
+            ignores_ejection: selector.ignores_ejection(request.class()),
             has_alternatives: candidates.len() > 1,
         }
     }
 
     /// Whether a server is ejected for the class of the request.
     pub(super) fn is_ejected(&self, server: &Server) -> bool {
-        server.class_health(self.request.class).is_ejected()
+        server.class_health(self.request.class()).is_ejected()
     }
 }
 
@@ -61,7 +61,7 @@
     /// Whether a server is not ejected for the request's class, or its probe is due: nothing is in
     /// flight there and the time of the probe has come.
     fn is_available(&self, choice: &Choice<'_>, server: &Server) -> bool {
-        let probe_at = server.class_health(choice.request.class).next_probe_at();
+        let probe_at = server.class_health(choice.request.class()).next_probe_at();
         probe_at.is_none_or(|at| at <= self.context.now && server.in_flight() == 0)
     }
 
--- a/crates/gateway-core/src/policy/load_balancing/mod.rs
+++ b/crates/gateway-core/src/policy/load_balancing/mod.rs
@@ -18,7 +18,7 @@
 mod eligibility;
 mod subset;
 
-use super::retry::bound_scope;
+use super::retry::required_scope;
 use crate::settings::{DeduplicationScope, Settings};
 use crate::state::deployment::{Context, Deployment, FleetMode};
 use crate::state::request::Request;
@@ -123,7 +123,7 @@
     /// Whether a request has to stay in a scope smaller than the fleet, as it may have been
     /// executed there. Then a sample of all servers may hold none that it may be sent to.
     pub(crate) fn is_bound_to_scope(&self, request: &Request) -> bool {
-        bound_scope(self.deployment, request)
+        required_scope(self.deployment, request)
             .is_some_and(|scope| scope != DeduplicationScope::AllServers)
     }
 
--- a/crates/gateway-core/src/policy/load_balancing/subset.rs
+++ b/crates/gateway-core/src/policy/load_balancing/subset.rs
@@ -8,7 +8,7 @@
 use super::cost::{lowest_cost, PROBE_COST};
 use super::eligibility::Choice;
 use super::{Selector, MIN_WARM_UP_FRACTION};
-use crate::policy::retry::bound_scope;
+use crate::policy::retry::required_scope;
 use crate::settings::{DeduplicationScope, Settings};
 use crate::state::request::Request;
 use crate::state::servers::{Candidate, CandidateQuery, LatencyDecay, Server};
@@ -153,15 +153,15 @@
 /// Whether sending a request to a server would be a probe. Only a first attempt probes, as a probe
 /// may fail, and none does where ejection is ignored.
 fn is_probe(choice: &Choice<'_>, server: &Server) -> bool {
-    choice.request.attempts == 0 && !choice.ignores_ejection && choice.is_ejected(server)
+    !choice.request.was_sent() && !choice.ignores_ejection && choice.is_ejected(server)
 }
 
 /// The cell that a request has to stay in, if it may have been executed and is deduplicated within
 /// a cell.
 fn bound_cell(selector: &Selector<'_>, request: &Request) -> Option<CellId> {
-    let is_bound = bound_scope(selector.deployment, request) == Some(DeduplicationScope::Cell);
+    let is_bound = required_scope(selector.deployment, request) == Some(DeduplicationScope::Cell);
     request
-        .possibly_executed
+        .possible_execution()
         .filter(|_| is_bound)
         .map(|executed| executed.endpoint.cell)
 }
--- a/crates/gateway-core/src/state/servers/fleet_estimates.rs
+++ b/crates/gateway-core/src/state/servers/fleet_estimates.rs
@@ -1,12 +1,14 @@
 //! What a gateway estimates of the whole fleet, from its own observations and from gossip.
 
-use crate::message::UNKNOWN_RATIO;
 use crate::statistics::update_mean;
 use crate::time::DurationExt;
 use crate::types::{ClassId, ZoneId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Mean latency ratio that the first sample replaces, at a weight of 1.
+const REPLACED_RATIO: f64 = -1.0;
+
 /// Running means over the fleet.
 #[derive(Default)]
 pub(crate) struct FleetEstimates {
@@ -16,8 +18,8 @@
     load_factor: Option<f64>,
     lowest_in_flight: f64,
     total_in_flight: f64,
-    /// By class: mean latency as a ratio to the class's objective, or [`UNKNOWN_RATIO`].
-    latency_ratios: Vec<f64>,
+    /// By class: mean latency as a ratio to the class's latency objective; `None` while unknown.
+    latency_ratios: Vec<Option<f64>>,
     throughput: f64,
     completed_since_tick: f64,
     /// By zone: fraction of the attempts that found no connection.
@@ -32,7 +34,7 @@
             mean_latency_us: expected_us,
             median_latency_us: expected_us,
             service_time_us: expected_us,
-            latency_ratios: vec![UNKNOWN_RATIO; classes],
+            latency_ratios: vec![None; classes],
             ..FleetEstimates::default()
         }
     }
@@ -89,33 +91,41 @@
         update_mean(&mut self.total_in_flight, total, weight);
     }
 
-    /// Mean latency by class as a ratio to the class's objective, or [`UNKNOWN_RATIO`].
-    pub(crate) fn latency_ratios(&self) -> &[f64] {
+    /// By class: mean latency as a ratio to the class's latency objective; `None` while unknown.
+    pub(crate) fn latency_ratios(&self) -> &[Option<f64>] {
         &self.latency_ratios
     }
 
     /// The largest latency ratio of all classes but `lowest`; of all, if there is only one. `None`
     /// while unknown.
     pub(crate) fn worst_latency_ratio(&self, lowest: ClassId) -> Option<f64> {
-        let is_only = self.latency_ratios.len() == 1;
+        let is_only_class = self.latency_ratios.len() == 1;
         let ratios = self.latency_ratios.iter().enumerate();
-        let controlled = ratios.filter(|(class, _)| *class != lowest.0 || is_only);
-        let worst = controlled.map(|(_, ratio)| *ratio).max_by(f64::total_cmp);
-        worst.filter(|worst| *worst >= 0.0)
+        let controlled = ratios.filter(|(class, _)| *class != lowest.0 || is_only_class);
+        controlled
+            .filter_map(|(_, ratio)| *ratio)
+            .max_by(f64::total_cmp)
     }
 
-    /// Merges a sample of a class's latency ratio, of this gateway or of a peer.
-    pub(crate) fn merge_latency_ratio(&mut self, class: ClassId, ratio: f64, weight: f64) {
-        let Some(mean) = self.latency_ratios.get_mut(class.0) else {
+    /// Merges a sample of a class's latency ratio, of this gateway or of a peer: the first one sets
+    /// it, later ones count by `weight`.
+    pub(crate) fn merge_latency_ratio(&mut self, class: ClassId, sample: f64, weight: f64) {
+        let Some(ratio) = self.latency_ratios.get_mut(class.0) else {
             return;
         };
-        let weight = if *mean < 0.0 { 1.0 } else { weight };
-        update_mean(mean, ratio, weight);
+        let (mut mean, weight) = match *ratio {
+            Some(mean) => (mean, weight),
+            None => (REPLACED_RATIO, 1.0),
+        };
+        update_mean(&mut mean, sample, weight);
+        *ratio = Some(mean);
     }
 
-    /// Drops what is known of a class's latency ratio.
+    /// Makes the latency ratio of a class unknown.
     pub(crate) fn reset_latency_ratio(&mut self, class: ClassId) {
-        self.latency_ratios[class.0] = UNKNOWN_RATIO;
+        if let Some(ratio) = self.latency_ratios.get_mut(class.0) {
+            *ratio = None;
+        }
     }
 
     /// Mean number of answers per second at one gateway.
--- a/crates/gateway-core/tests/unit/fuzzy_controller.rs
+++ b/crates/gateway-core/tests/unit/fuzzy_controller.rs
@@ -48,7 +48,7 @@
         let mut fleet = FleetEstimates::new(1, 1.0);
         fleet.observe_in_flight(tick.lowest_in_flight, tick.total_in_flight, 1.0);
         controller.tick(Some(tick.latency_ratio), &fleet, 1.0 / 3.0);
-        limits.push(controller.limit);
+        limits.push(controller.limit().maximum());
     }
     let recorded: Vec<_> = RECORDED.iter().map(|tick| tick.limit).collect();
     assert_eq!(limits, recorded);
