--- a/crates/gateway-core/src/gateway/servers/health.rs
+++ b/crates/gateway-core/src/gateway/servers/health.rs
@@ -1,6 +1,6 @@
 //! The health of servers: what attempts reveal when they end, and stalled ones that don't end.
 
-use super::{Servers, StalledAttempt};
+use super::Servers;
 use crate::gateway::attempts::AttemptResult;
 use crate::policy::fleet_estimates::{LATENCY_WEIGHT, ZONE_WEIGHT};
 use crate::policy::outlier_detection as outliers;
@@ -10,6 +10,16 @@
 use crate::time::Timestamp;
 use crate::types::{AttemptOutcome, ClassId, ServerId};
 
+/// An attempt at a server that has stalled.
+pub(in crate::gateway) struct StalledAttempt {
+    /// Names the attempt.
+    pub(in crate::gateway) key: AttemptKey,
+    /// Its server.
+    pub(in crate::gateway) server: ServerId,
+    class: ClassId,
+    sent_at: Timestamp,
+}
+
 /// What a stalled attempt did to its server.
 pub(in crate::gateway) enum StallEjection {
     /// The server is no longer known.
--- a/crates/gateway-core/src/gateway/servers/mod.rs
+++ b/crates/gateway-core/src/gateway/servers/mod.rs
@@ -6,16 +6,15 @@
 mod reports;
 mod selection;
 
-pub(super) use health::StallEjection;
+pub(super) use health::{StallEjection, StalledAttempt};
 
 use crate::policy::fleet_estimates::{FleetEstimation, INITIAL_LATENCY_FRACTION};
 use crate::policy::load_balancing::ServerSelection;
 use crate::policy::outlier_detection::OutlierDetection;
-use crate::state::attempt::AttemptKey;
 use crate::state::deployment::{Context, Deployment};
 use crate::state::servers::{FleetEstimates, ServerTable};
 use crate::time::Timestamp;
-use crate::types::{ClassId, Endpoint, EndpointUpdate, ServerId};
+use crate::types::{Endpoint, EndpointUpdate, ServerId};
 
 /// The servers as a gateway knows them.
 pub(super) struct Servers {
@@ -35,14 +34,6 @@
     valid_until: Timestamp,
 }
 
-/// An attempt at a server that has stalled.
-pub(super) struct StalledAttempt {
-    pub(super) key: AttemptKey,
-    pub(super) server: ServerId,
-    class: ClassId,
-    sent_at: Timestamp,
-}
-
 impl Servers {
     /// No servers, and the designs for the fleet.
     pub(super) fn new(deployment: &Deployment) -> Self {
@@ -98,6 +89,7 @@
         self.table.visited()
     }
 
+    /// What decisions depend on, now.
     fn context<'a>(&'a self, now: Timestamp, deployment: &'a Deployment) -> Context<'a> {
         Context {
             now,
--- a/crates/gateway-core/src/policy/load_balancing/capacity.rs
+++ b/crates/gateway-core/src/policy/load_balancing/capacity.rs
@@ -17,7 +17,7 @@
     /// objective.
     pub(crate) fn fleet_concurrency(&self) -> f64 {
         self.estimates
-            .fleet_concurrency(self.servers, self.deployment.shortest_objective)
+            .fleet_concurrency(self.servers, self.context.deployment.shortest_objective)
     }
 
     /// Whether this gateway has enough attempts in flight at all servers together.
@@ -33,7 +33,7 @@
         fleet_concurrency: impl FnOnce() -> f64,
     ) -> bool {
         let ready = count_as_f64(self.servers.ready_count());
-        let gateways = f64::from(self.deployment.settings.gateway_count);
+        let gateways = f64::from(self.context.deployment.settings.gateway_count);
         let always_allowed = (MIN_IN_FLIGHT_PER_SERVER * ready / gateways).max(1.0);
         in_flight >= always_allowed
             && in_flight >= MAX_FLEET_CONCURRENCY_FRACTION * fleet_concurrency()
@@ -56,6 +56,6 @@
     fn has_free_slot(&self, server: &Server) -> bool {
         let latency_us =
             self.estimates.expected_latency_us(server) * f64::from(server.in_flight() + 1);
-        latency_us <= MAX_SERVER_LATENCY_FRACTION * self.deployment.shortest_objective
+        latency_us <= MAX_SERVER_LATENCY_FRACTION * self.context.deployment.shortest_objective
     }
 }
--- a/crates/gateway-core/src/policy/load_balancing/cost.rs
+++ b/crates/gateway-core/src/policy/load_balancing/cost.rs
@@ -51,7 +51,7 @@
 
     /// What crossing to the server's zone costs; 0 in the gateway's own zone.
     fn cross_zone_cost(&self, server: &Server) -> f64 {
-        let settings = &self.deployment.settings;
+        let settings = &self.context.deployment.settings;
         if server.endpoint().zone == settings.zone {
             0.0
         } else {
--- a/crates/gateway-core/src/policy/load_balancing/eligibility.rs
+++ b/crates/gateway-core/src/policy/load_balancing/eligibility.rs
@@ -69,14 +69,14 @@
     /// lost, so it takes an idempotent request unless there is no other server.
     fn is_risky_probe(&self, choice: &Choice<'_>, server: &Server) -> bool {
         let is_idempotent =
-            self.deployment.class_of(choice.request).idempotency == Idempotency::Idempotent;
+            self.context.deployment.class_of(choice.request).idempotency == Idempotency::Idempotent;
         choice.is_ejected(server) && !is_idempotent && choice.has_alternatives
     }
 
     /// Whether a request may be sent to a server without being executed twice.
     pub(super) fn may_send(&self, request: &Request, server: &Server) -> bool {
         may_send(
-            self.deployment,
+            self.context.deployment,
             request,
             self.context.now,
             server.endpoint(),
--- a/crates/gateway-core/src/policy/load_balancing/mod.rs
+++ b/crates/gateway-core/src/policy/load_balancing/mod.rs
@@ -20,7 +20,7 @@
 
 use super::retry::required_scope;
 use crate::settings::{DeduplicationScope, Settings};
-use crate::state::deployment::{Context, Deployment, FleetMode};
+use crate::state::deployment::{Context, FleetMode};
 use crate::state::request::Request;
 use crate::state::servers::{LatencyDecay, LatencyEstimates, Server, ServerTable};
 use crate::statistics::count_as_f64;
@@ -80,7 +80,6 @@
 /// Selects servers at one moment.
 pub(crate) struct Selector<'a> {
     context: Context<'a>,
-    deployment: &'a Deployment,
     selection: &'a ServerSelection,
     servers: &'a ServerTable,
     estimates: LatencyEstimates<'a>,
@@ -95,7 +94,6 @@
     ) -> Self {
         Selector {
             context,
-            deployment: context.deployment,
             selection,
             servers,
             estimates: LatencyEstimates::new(context, selection.latency_decay()),
@@ -123,7 +121,7 @@
     /// Whether a request has to stay in a scope smaller than the fleet, as it may have been
     /// executed there. Then a sample of all servers may hold none that it may be sent to.
     pub(crate) fn is_bound_to_scope(&self, request: &Request) -> bool {
-        required_scope(self.deployment, request)
+        required_scope(self.context.deployment, request)
             .is_some_and(|scope| scope != DeduplicationScope::AllServers)
     }
 
--- a/crates/gateway-core/src/policy/load_balancing/subset.rs
+++ b/crates/gateway-core/src/policy/load_balancing/subset.rs
@@ -39,7 +39,9 @@
 /// Selection from a gateway's subset of the servers.
 #[derive(Clone, Copy)]
 pub(crate) struct Subset {
+    /// This gateway, whose subset begins at its position on the ring.
     gateway: GatewayId,
+    /// Number of gateways in the fleet.
     gateway_count: u32,
 }
 
@@ -159,7 +161,8 @@
 /// The cell that a request has to stay in, if it may have been executed and is deduplicated within
 /// a cell.
 fn bound_cell(selector: &Selector<'_>, request: &Request) -> Option<CellId> {
-    let is_bound = required_scope(selector.deployment, request) == Some(DeduplicationScope::Cell);
+    let is_bound =
+        required_scope(selector.context.deployment, request) == Some(DeduplicationScope::Cell);
     request
         .possible_execution()
         .filter(|_| is_bound)
--- a/crates/gateway-core/src/policy/outlier_detection/large_fleet.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/large_fleet.rs
@@ -22,6 +22,7 @@
 /// Outlier detection of a large fleet.
 #[derive(Clone, Copy)]
 pub(crate) struct LargeFleet {
+    /// Number of gateways in the fleet.
     gateway_count: f64,
 }
 
