--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -58,7 +58,10 @@
         actions: &mut Vec<Action>,
     ) {
         if owner.gateway != self.deployment.settings.gateway_id {
-            let bytes = message::encode(&Message::LeaseRequest(request, self.digest(now)));
+            let bytes = message::encode(&Message::LeaseRequest(
+                request,
+                self.servers.digest(now, &mut self.random),
+            ));
             return actions.push(Action::SendToPeer {
                 to: owner.gateway,
                 bytes,
@@ -81,7 +84,7 @@
         let Some(response) = self.decide_lease_request(now, from, request) else {
             return;
         };
-        let response = Message::LeaseResponse(response, self.digest(now));
+        let response = Message::LeaseResponse(response, self.servers.digest(now, &mut self.random));
         actions.push(Action::SendToPeer {
             to: from,
             bytes: message::encode(&response),
@@ -132,7 +135,7 @@
         let context = Context {
             now,
             deployment: &self.deployment,
-            fleet: &self.fleet,
+            fleet: self.servers.estimates(),
         };
         match policy::on_response(context, request, &response, expires_at) {
             ResponseDecision::Send => {
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -6,25 +6,22 @@
 mod gossip;
 mod leases;
 mod requests;
-mod server_health;
-mod server_selection;
+mod servers;
+mod stalled_servers;
 
+use self::servers::Servers;
 use crate::policy::controller_inputs::ControllerInputs;
 use crate::policy::deadlines::TIMER_PERIOD;
 use crate::policy::fleet_mode::mode_of;
 use crate::policy::fuzzy_controller::{FuzzyController, TICK_PERIOD};
-use crate::policy::load_balancing::INITIAL_WAIT_SHARE;
 use crate::policy::quota_sharing::QuotaSharing;
 use crate::policy::retry_budget::RetryBudget;
 use crate::settings::{EndpointDiscovery, Settings, SettingsError};
 use crate::state::attempt::AttemptTable;
 use crate::state::deployment::{Context, Deployment};
-use crate::state::fleet_estimates::FleetEstimates;
 use crate::state::latency_samples::LatencySamples;
 use crate::state::quota::QuotaState;
 use crate::state::request::{Request, RequestDetails, RequestTable};
-use crate::state::server_table::ServerTable;
-use crate::state::server_view::FleetCapacity;
 use crate::time::Timestamp;
 use crate::types::{PlanId, RejectReason};
 use crate::units::Units;
@@ -48,11 +45,9 @@
     requests: RequestTable,
     attempts: AttemptTable,
     retry_budget: RetryBudget,
-    servers: ServerTable,
-    capacity: FleetCapacity,
+    servers: Servers,
     quota_sharing: QuotaSharing,
     quotas: QuotaState,
-    fleet: FleetEstimates,
     controller: FuzzyController,
     controller_inputs: &'static dyn ControllerInputs,
     /// Latencies since the last control tick.
@@ -70,11 +65,10 @@
         settings.validate()?;
         let classes = settings.classes.len();
         let mode = mode_of(&settings);
-        let servers = ServerTable::new(&settings, mode.parameters().max_walked_servers);
         let quotas = QuotaState::new(now, settings.gateway_id, settings.gateway_count);
         let quota_sharing = QuotaSharing::for_mode(mode, &settings);
         let deployment = Deployment::new(settings, mode);
-        let initial_wait = deployment.shortest_objective * INITIAL_WAIT_SHARE;
+        let servers = Servers::new(&deployment);
         Ok(Gateway {
             deployment,
             random: fastrand::Rng::with_seed(seed),
@@ -88,10 +82,8 @@
             attempts: AttemptTable::default(),
             retry_budget: mode.retry_budget(),
             servers,
-            capacity: FleetCapacity::default(),
             quota_sharing,
             quotas,
-            fleet: FleetEstimates::new(classes, initial_wait),
             controller: FuzzyController::default(),
             controller_inputs: mode.controller_inputs(),
             latencies: LatencySamples::new(classes),
@@ -199,7 +191,7 @@
         Context {
             now,
             deployment: &self.deployment,
-            fleet: &self.fleet,
+            fleet: self.servers.estimates(),
         }
     }
 
--- a/crates/gateway-core/src/gateway/requests.rs
+++ b/crates/gateway-core/src/gateway/requests.rs
@@ -23,7 +23,7 @@
         let context = Context {
             now,
             deployment: &self.deployment,
-            fleet: &self.fleet,
+            fleet: self.servers.estimates(),
         };
         let account = account_on_arrival(&mut self.quotas, context, &request, gateways);
         let admission = admission::decide(
--- a/crates/gateway-core/src/policy/dispatch.rs
+++ b/crates/gateway-core/src/policy/dispatch.rs
@@ -72,7 +72,7 @@
             && !limit.allows(
                 self.lowest_in_flight,
                 context.now,
-                context.fleet.mean_latency,
+                context.fleet.mean_latency_us(),
             );
         let is_first_attempt = !request.was_sent();
         if is_first_attempt
--- a/crates/gateway-core/src/policy/quota_sharing/gossip.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/gossip.rs
@@ -96,8 +96,9 @@
     let even_part = (f64::from(limit) / account.gateway_count())
         .round()
         .max(1.0);
-    let expected_at_peers =
-        account.peer_units_per_second(context.now) * context.fleet.mean_latency / MICROS_PER_SECOND;
+    let expected_at_peers = account.peer_units_per_second(context.now)
+        * context.fleet.mean_latency_us()
+        / MICROS_PER_SECOND;
     let below_limit_probability = poisson_below(
         limit.saturating_sub(account.attempts_in_flight()),
         expected_at_peers,
--- a/crates/gateway-core/src/state/mod.rs
+++ b/crates/gateway-core/src/state/mod.rs
@@ -4,13 +4,7 @@
 
 pub(crate) mod attempt;
 pub(crate) mod deployment;
-pub(crate) mod fleet_estimates;
-pub(crate) mod hash_ring;
 pub(crate) mod latency_samples;
 pub(crate) mod quota;
-pub(crate) mod ranked_set;
 pub(crate) mod request;
-pub(crate) mod server;
-pub(crate) mod server_index;
-pub(crate) mod server_table;
-pub(crate) mod server_view;
+pub(crate) mod servers;
