--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -251,21 +251,21 @@
     ) {
         let sequence = grant.sequence;
         match policy::permit_release(&self.deployment, &self.quotas, customer, grant) {
-            policy::PermitRelease::OwnPart => {
+            policy::PermitReleaseTarget::OwnPart => {
                 let holder = PermitHolder {
                     gateway: grant.owner,
                     sequence,
                 };
                 self.quotas.release_permit(customer, holder);
             }
-            policy::PermitRelease::SendTo(owner) => {
+            policy::PermitReleaseTarget::SendTo(owner) => {
                 let release = Message::PermitRelease(PermitRelease { sequence, customer });
                 actions.push(Action::SendToPeer {
                     to: owner,
                     bytes: message::encode(&release),
                 });
             }
-            policy::PermitRelease::Unneeded => {}
+            policy::PermitReleaseTarget::Unneeded => {}
         }
     }
 }
--- a/crates/gateway-core/src/message/mod.rs
+++ b/crates/gateway-core/src/message/mod.rs
@@ -27,8 +27,11 @@
 
 /// A server as the sender sees it for one class.
 pub(crate) struct HealthReport {
+    /// The server.
     pub(crate) server: ShortServerId,
+    /// The class of requests.
     pub(crate) class: ClassId,
+    /// Fraction of attempts that fail, 0 to 1.
     pub(crate) failure_rate: f64,
     /// Microseconds of wait for one in-flight slot; 0 while unknown.
     pub(crate) wait: f64,
@@ -45,6 +48,7 @@
     pub(crate) throughput: f64,
     /// By class: mean latency relative to the latency objective; `None` while unknown.
     pub(crate) latency_ratios: Vec<Option<f64>>,
+    /// Reports on servers.
     pub(crate) reports: Vec<HealthReport>,
 }
 
@@ -64,7 +68,9 @@
 /// A customer's usage: the sender's running count of units, in steps on which sender and recipient agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct UsageCount {
+    /// The customer.
     pub(crate) customer: CustomerId,
+    /// The running count; it wraps round.
     pub(crate) count: u16,
 }
 
@@ -72,34 +78,45 @@
 pub(crate) struct UsageCounts {
     /// When the sender started, in ms.
     pub(crate) incarnation: u32,
+    /// The customers whose usage rose recently.
     pub(crate) counts: Vec<UsageCount>,
 }
 
 /// What remains of an ended lease, by the lease request that it was granted under.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ReturnedLease {
+    /// Sequence number of that lease request.
     pub(crate) sequence: u16,
+    /// Units that were not used.
     pub(crate) units: Units,
 }
 
 /// A request that asks one of its customer's quota owners for its units, and for a lease beyond them.
 pub(crate) struct LeaseRequest {
+    /// Sequence number, for the response.
     pub(crate) sequence: u16,
+    /// The customer.
     pub(crate) customer: CustomerId,
+    /// The customer's plan.
     pub(crate) plan: PlanId,
+    /// The gateways that the customer's requests come through.
     pub(crate) gateways: GatewaySet,
     /// Index of the owner that is asked among the customer's owners.
     pub(crate) owner_index: u32,
+    /// Units of the request that asks.
     pub(crate) units: Units,
     /// Units that the sender is likely to use beyond this request's within a lease's lifetime.
     pub(crate) requested_units: Units,
+    /// The rest of the sender's last lease.
     pub(crate) returned: ReturnedLease,
 }
 
 /// An owner's decision on a request's own units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseDecision {
+    /// The request may be sent.
     Granted,
+    /// Units, permits or the hard limit do not allow it.
     QuotaExceeded,
 }
 
@@ -108,6 +125,7 @@
 pub(crate) struct LeaseResponse {
     /// The sequence number of the lease request.
     pub(crate) sequence: u16,
+    /// What the owner decided.
     pub(crate) decision: LeaseDecision,
     /// Probability with which the customer's requests may ask.
     pub(crate) request_probability: f64,
@@ -130,15 +148,21 @@
 /// Releases the concurrency permit that was granted under a lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PermitRelease {
+    /// Sequence number of that lease request.
     pub(crate) sequence: u16,
+    /// The customer.
     pub(crate) customer: CustomerId,
 }
 
 /// A message between two gateways.
 pub(crate) enum Message {
+    /// What the sender has forwarded.
     UsageCounts(UsageCounts),
+    /// Asks a quota owner.
     LeaseRequest(LeaseRequest, GossipDigest),
+    /// Responds to a lease request.
     LeaseResponse(LeaseResponse, GossipDigest),
+    /// Returns a concurrency permit.
     PermitRelease(PermitRelease),
 }
 
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -215,7 +215,9 @@
     RenewGrant(RequestGrant),
     /// Its owner has not responded in time.
     Missed {
+        /// The lease request.
         pending: PendingLease,
+        /// What follows for the request.
         next: AfterMiss,
     },
 }
@@ -285,7 +287,7 @@
 }
 
 /// Who is notified that a concurrency permit is no longer needed.
-pub(crate) enum PermitRelease {
+pub(crate) enum PermitReleaseTarget {
     /// This gateway, which granted it as an owner.
     OwnPart,
     /// The owner that granted it.
@@ -300,17 +302,17 @@
     quotas: &QuotaState,
     customer: CustomerId,
     grant: RequestGrant,
-) -> PermitRelease {
+) -> PermitReleaseTarget {
     let settings = &deployment.settings;
     if grant.owner == settings.gateway_id {
-        return PermitRelease::OwnPart;
+        return PermitReleaseTarget::OwnPart;
     }
     let plan = quotas
         .account(customer)
         .map(|account| &settings.plans[account.plan().0]);
     if plan.is_some_and(|plan| plan.max_concurrent.is_some()) {
-        PermitRelease::SendTo(grant.owner)
+        PermitReleaseTarget::SendTo(grant.owner)
     } else {
-        PermitRelease::Unneeded
+        PermitReleaseTarget::Unneeded
     }
 }
--- a/crates/gateway-core/src/state/quota/account.rs
+++ b/crates/gateway-core/src/state/quota/account.rs
@@ -16,7 +16,9 @@
 /// What a customer's account is made from.
 #[derive(Clone, Copy)]
 pub(crate) struct AccountConfig<'a> {
+    /// The plan that the customer's requests name.
     pub(crate) plan_id: PlanId,
+    /// Its limits.
     pub(crate) plan: &'a Plan,
     /// The gateways that the customer's requests come through.
     pub(crate) gateways: GatewaySet,
@@ -27,7 +29,9 @@
 /// The probability with which a customer's requests may ask its quota owners, as an owner last set it.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestProbability {
+    /// The probability, 0 to 1.
     pub(crate) value: f64,
+    /// When an owner set it.
     pub(crate) updated_at: Timestamp,
 }
 
@@ -35,6 +39,7 @@
 pub(super) struct AnnouncedUsage {
     /// The running usage count.
     pub(super) count: u16,
+    /// When it last rose.
     pub(super) last_risen_at: Timestamp,
 }
 
@@ -42,9 +47,12 @@
 pub(crate) struct CustomerAccount {
     plan: PlanId,
     gateways: GatewaySet,
+    /// What remains of the quota here.
     quota: TokenBucket,
+    /// What remains of this gateway's part of the hard limit.
     hard_limit: HardLimitBucket,
     refilled_at: Timestamp,
+    /// When a request last arrived.
     last_used_at: Timestamp,
     /// Consecutive requests that named another plan or gateway set.
     conflicting_hints: u32,
--- a/crates/gateway-core/src/state/quota/forwarded_usage.rs
+++ b/crates/gateway-core/src/state/quota/forwarded_usage.rs
@@ -7,7 +7,9 @@
 /// Running count of forwarded units.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ForwardedUsage {
+    /// Units forwarded since the account was made.
     units: Units,
+    /// When units were last added.
     last_risen_at: Timestamp,
 }
 
--- a/crates/gateway-core/src/state/quota/held_lease.rs
+++ b/crates/gateway-core/src/state/quota/held_lease.rs
@@ -8,7 +8,9 @@
 /// asking, until they expire.
 #[derive(Default)]
 pub(crate) struct HeldLease {
+    /// Units that remain.
     units: Units,
+    /// Until when they may be used.
     expires_at: Timestamp,
     /// Index of the owner that granted it.
     owner_index: u32,
--- a/crates/gateway-core/src/state/quota/ledger.rs
+++ b/crates/gateway-core/src/state/quota/ledger.rs
@@ -8,6 +8,7 @@
 struct GrantedLease {
     /// The lease request that it was granted under.
     sequence: u16,
+    /// Units granted.
     units: Units,
 }
 
--- a/crates/gateway-core/src/state/quota/mod.rs
+++ b/crates/gateway-core/src/state/quota/mod.rs
@@ -47,19 +47,23 @@
     started_at: Timestamp,
     /// Whether peers have been up for much longer: this gateway has restarted.
     has_restarted: bool,
+    /// The account of each customer at this gateway.
     accounts: BTreeMap<CustomerId, CustomerAccount>,
     /// The parts of quotas that it keeps as a quota owner.
     owned: BTreeMap<CustomerId, OwnedQuota>,
     /// Requests that wait for the response to a lease request, by its sequence number.
     pending_leases: BTreeMap<u16, RequestId>,
     last_sequence: u16,
+    /// Owners that did not respond to the last lease requests.
     unresponsive_owners: BTreeMap<GatewayId, OwnerMisses>,
     liveness: GatewayLiveness,
 }
 
 /// A customer's account, and what its refill depends on.
 pub(crate) struct AccountEntry<'a> {
+    /// The account.
     pub(crate) account: &'a mut CustomerAccount,
+    /// Which gateways are silent.
     liveness: &'a GatewayLiveness,
 }
 
--- a/crates/gateway-core/src/state/quota/owned.rs
+++ b/crates/gateway-core/src/state/quota/owned.rs
@@ -15,7 +15,9 @@
 /// What an owned part is made from.
 #[derive(Clone, Copy)]
 pub(crate) struct OwnedPart<'a> {
+    /// The plan that the first lease request names.
     pub(crate) plan_id: PlanId,
+    /// Its limits.
     pub(crate) plan: &'a Plan,
     /// Fraction of the quota that the owner has.
     pub(crate) quota_fraction: f64,
@@ -32,12 +34,18 @@
 pub(crate) struct OwnedQuota {
     /// The plan that it was made for.
     plan: PlanId,
+    /// What remains of this part of the quota.
     quota: TokenBucket,
+    /// What fraction of the quota this part is.
     quota_fraction: f64,
+    /// What remains of this part of the hard limit.
     hard_limit: HardLimitBucket,
     refilled_at: Timestamp,
+    /// When a lease request last came in.
     last_used_at: Timestamp,
+    /// What is on lease to other gateways.
     ledger: LeaseLedger,
+    /// Permits of the limit on attempts in flight.
     permits: ConcurrencyPermits,
     /// Lease requests in about a second.
     lease_request_rate: f64,
--- a/crates/gateway-core/src/state/quota/owners.rs
+++ b/crates/gateway-core/src/state/quota/owners.rs
@@ -7,9 +7,11 @@
 #[derive(Clone, Copy)]
 pub(crate) struct QuotaOwners {
     count: u32,
+    /// The gateways that the customer's requests come through.
     gateways: GatewaySet,
     /// Gateways in the fleet.
     gateway_count: u32,
+    /// Places the first owner among them.
     hash: u32,
 }
 
--- a/crates/gateway-core/src/state/quota/peer_usage.rs
+++ b/crates/gateway-core/src/state/quota/peer_usage.rs
@@ -41,6 +41,7 @@
         units.as_f64() / USAGE_WINDOW.as_seconds()
     }
 
+    /// The usage of one peer.
     pub(super) fn of(&mut self, peer: GatewayId) -> &mut PeerUsage {
         self.0.entry(peer).or_default()
     }
@@ -57,8 +58,11 @@
 pub(super) struct PeerUsage {
     /// The peer's incarnation: when it started, in ms.
     incarnation: u32,
+    /// The last count that was accepted.
     count: u16,
+    /// When a count was last received.
     received_at: Timestamp,
+    /// What was added within the window, in the order of time.
     recent: VecDeque<Usage>,
 }
 
--- a/crates/gateway-core/src/state/quota/permits.rs
+++ b/crates/gateway-core/src/state/quota/permits.rs
@@ -6,7 +6,9 @@
 /// Who holds a permit, and under which lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PermitHolder {
+    /// The gateway that sends the attempt.
     pub(crate) gateway: GatewayId,
+    /// Sequence number of its lease request.
     pub(crate) sequence: u16,
 }
 
@@ -20,18 +22,22 @@
 pub(crate) struct ConcurrencyPermits(Vec<Permit>);
 
 impl ConcurrencyPermits {
+    /// How many are in use, with those that have expired since the last call of `drop_expired`.
     pub(crate) fn in_use(&self) -> usize {
         self.0.len()
     }
 
+    /// Hands one out; whether one is free is decided before.
     pub(crate) fn acquire(&mut self, holder: PermitHolder, expires_at: Timestamp) {
         self.0.push(Permit { holder, expires_at });
     }
 
+    /// Takes one back, if it is in use.
     pub(crate) fn release(&mut self, holder: PermitHolder) {
         self.0.retain(|permit| permit.holder != holder);
     }
 
+    /// Takes back those that have expired.
     pub(crate) fn drop_expired(&mut self, now: Timestamp) {
         self.0.retain(|permit| permit.expires_at > now);
     }
--- a/crates/gateway-core/src/state/quota/progress.rs
+++ b/crates/gateway-core/src/state/quota/progress.rs
@@ -15,7 +15,9 @@
 /// A lease request without a response.
 #[derive(Clone, Copy)]
 pub(crate) struct PendingLease {
+    /// Its sequence number.
     pub(crate) sequence: u16,
+    /// When it was sent.
     pub(crate) sent_at: Timestamp,
 }
 
