--- a/crates/fleet-lab/src/hybrid/environment.rs
+++ b/crates/fleet-lab/src/hybrid/environment.rs
@@ -3,11 +3,16 @@
 use super::datagrams::Datagrams;
 use super::endpoint_registry::EndpointRegistry;
 use super::ledger::Ledger;
-use super::scenario::Scenario;
+use super::nodes::{bind_listener, ReservedPorts};
+use super::scenario::{Scenario, DRAIN_GRACE};
+use super::server_http;
 use super::servers::Server;
+use anyhow::Result;
 use gateway_core::{Endpoint, GatewayId, Timestamp};
 use std::cell::RefCell;
+use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use tokio::net::TcpListener;
 
 /// Unix time that never goes back. Real and hollow nodes exchange times of it. The simulation has no clock, since its
 /// time is that of the next event.
@@ -52,6 +57,43 @@
 }
 
 impl Environment {
+    /// Starts the servers and the network between the nodes.
+    ///
+    /// # Errors
+    /// If a port cannot be bound.
+    pub(super) async fn start(
+        scenario: Scenario,
+        seed: u64,
+        ports: &ReservedPorts,
+    ) -> Result<Rc<Environment>> {
+        let clock = Clock::start();
+        let servers = Server::all(scenario.server_slots(), seed);
+        let registry = EndpointRegistry::new();
+        let listeners = register_servers(&servers, &registry).await?;
+        let fleet_size = scenario.size().fleet_size as usize;
+        let datagrams = Datagrams::bind(&ports.addresses()?, fleet_size).await?;
+        let ledger = Ledger::new(clock.now(), DRAIN_GRACE, scenario.customer_quotas());
+        let environment = Rc::new(Environment {
+            clock,
+            scenario,
+            ledger: RefCell::new(ledger),
+            servers,
+            registry,
+            datagrams,
+        });
+        environment.spawn_tasks(listeners);
+        Ok(environment)
+    }
+
+    /// Lets the servers accept connections, and counts messages to nodes that do not run.
+    fn spawn_tasks(self: &Rc<Self>, listeners: Vec<TcpListener>) {
+        for (server, listener) in listeners.into_iter().enumerate() {
+            tokio::task::spawn_local(server_http::serve(Rc::clone(self), server, listener));
+        }
+        let environment = Rc::clone(self);
+        tokio::task::spawn_local(async move { environment.datagrams.count_undeliverable().await });
+    }
+
     /// Records that a node has received these entries of the list now.
     pub(super) fn record_update(&self, node: GatewayId, endpoints: &[Endpoint]) {
         let now = self.clock.now();
@@ -61,3 +103,17 @@
         }
     }
 }
+
+/// Binds a port for each server, and adds the server to the list.
+async fn register_servers(
+    servers: &[Server],
+    registry: &EndpointRegistry,
+) -> Result<Vec<TcpListener>> {
+    let mut listeners = Vec::new();
+    for server in servers {
+        let listener = bind_listener().await?;
+        registry.add(server.name.clone(), server.id, listener.local_addr()?);
+        listeners.push(listener);
+    }
+    Ok(listeners)
+}
--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -169,19 +169,7 @@
                 attempts: 0,
             },
         );
-        let customer = request.customer;
-        self.post(Event::RequestReceived {
-            id: id.clone(),
-            class: ClassId(request.class),
-            plan: customer.plan,
-            customer: customer.id,
-            units: f64::from(request.units),
-            gateways: GatewaySet {
-                first: customer.first_node,
-                count: customer.node_count,
-            },
-            client_timeout: CLIENT_TIMEOUT,
-        });
+        self.post(request_event(id, request));
         let time_left = give_up_at.duration_since(self.environment.clock.now());
         let answer = tokio::time::timeout(time_left, receiver)
             .await
@@ -272,3 +260,19 @@
         });
     }
 }
+
+fn request_event(id: &RequestId, request: &PlannedRequest) -> Event {
+    let customer = request.customer;
+    Event::RequestReceived {
+        id: id.clone(),
+        class: ClassId(request.class),
+        plan: customer.plan,
+        customer: customer.id,
+        units: f64::from(request.units),
+        gateways: GatewaySet {
+            first: customer.first_node,
+            count: customer.node_count,
+        },
+        client_timeout: CLIENT_TIMEOUT,
+    }
+}
--- a/crates/fleet-lab/src/hybrid/ledger.rs
+++ b/crates/fleet-lab/src/hybrid/ledger.rs
@@ -3,13 +3,13 @@
 //! The records and checks of single requests, quotas and drains are those of the simulation. What differs is what can be
 //! observed: here attempts are seen only where they arrive and run, and a client's end of waiting ends nothing.
 
+use super::invariant_result::InvariantResult;
 use super::observed_request::{ObservedRequest, ReceivedAnswer, SentRequest};
 use super::quotas::{CustomerQuota, QuotaUsage};
 use crate::world::draining::{DrainGrace, DrainingServers};
 use crate::world::request_record::RequestRecord;
 use crate::world::usage_limit::Excess;
 use gateway_core::{CustomerId, EndpointState, GatewayId, ServerId, Timestamp};
-use serde::Serialize;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,24 +20,6 @@
 /// By this every time limit is longer on sockets.
 pub const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// The result of checking one invariant. The simulation's [`Violations`](crate::world::invariant::Violations) give
-/// times instead: it checks at each event, whereas here some violations are known only at the end of the run.
-#[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct InvariantResult {
-    /// The invariant.
-    #[serde(rename = "rule")]
-    pub invariant: &'static str,
-    /// In how many cases it was checked.
-    #[serde(rename = "looked_at")]
-    pub checked: u64,
-    /// In how many it was violated.
-    #[serde(rename = "broken")]
-    pub violations: u64,
-    /// Further observations.
-    #[serde(rename = "seen")]
-    pub details: String,
-}
-
 /// The record of all requests of one run.
 #[derive(Debug)]
 pub struct Ledger {
--- a/crates/fleet-lab/src/hybrid/load.rs
+++ b/crates/fleet-lab/src/hybrid/load.rs
@@ -3,11 +3,12 @@
 use super::customers::PlannedRequest;
 use super::environment::Environment;
 use super::ledger::ANSWER_GRACE;
+use super::node_totals::NodeTotals;
 use super::nodes::{usage_of, Node, NodeUsage};
 use super::observed_request::{ReceivedAnswer, SentRequest};
-use super::report::NodeTotals;
 use super::scenario::CLIENT_TIMEOUT;
 use super::server_faults::FaultProfile;
+use crate::time::MICROS_PER_SECOND;
 use crate::world::{seconds_to_next_event, Rng};
 use anyhow::{Context, Result};
 use gateway_core::RequestId;
@@ -58,7 +59,7 @@
     /// Adds what a node has used between two measurements.
     fn add_usage(&mut self, node: &Node, before: &NodeUsage, after: &NodeUsage) {
         let totals = self.of(node);
-        totals.cost += after.cost.saturating_sub(before.cost).as_secs_f64() * 1e6;
+        totals.cost_us += after.cost.saturating_sub(before.cost).as_secs_f64() * MICROS_PER_SECOND;
         totals.messages += after.sent.counts.messages - before.sent.counts.messages;
         totals.bytes += after.sent.counts.bytes - before.sent.counts.bytes;
         totals.too_long += after.sent.too_long;
--- a/crates/fleet-lab/src/hybrid/server_http.rs
+++ b/crates/fleet-lab/src/hybrid/server_http.rs
@@ -35,12 +35,7 @@
     server: usize,
     request: Request<Incoming>,
 ) -> HttpResponse {
-    let id = request
-        .headers()
-        .get("x-request-id")
-        .and_then(|id| id.to_str().ok())
-        .map(str::to_owned);
-    let Some(id) = id else {
+    let Some(id) = request_id(&request) else {
         return empty_response(StatusCode::NOT_FOUND);
     };
     if request.into_body().collect().await.is_err() {
@@ -55,7 +50,18 @@
     let Some(units) = units else {
         return empty_response(StatusCode::BAD_REQUEST);
     };
-    let AttemptReply { status, held } = server.handle_attempt(&environment.ledger, &id).await;
+    let reply = server.handle_attempt(&environment.ledger, &id).await;
+    response_to_attempt(id, units, reply)
+}
+
+fn request_id<B>(request: &Request<B>) -> Option<String> {
+    let id = request.headers().get("x-request-id")?;
+    id.to_str().ok().map(str::to_owned)
+}
+
+/// A served attempt's response names its request, so that a node that mixes responses up is found out.
+fn response_to_attempt(id: String, units: f64, reply: AttemptReply) -> HttpResponse {
+    let AttemptReply { status, held } = reply;
     let response = Response::builder().header("x-load", format!("concurrent={held}"));
     match status {
         AttemptStatus::Served => response
--- a/crates/fleet-lab/src/scaling/plot.rs
+++ b/crates/fleet-lab/src/scaling/plot.rs
@@ -2,6 +2,7 @@
 
 use super::report::{CostCurve, Report, Statistics};
 use anyhow::{anyhow, Result};
+use plotters::coord::combinators::LogCoord;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::ops::Range;
@@ -14,6 +15,10 @@
 /// Panels side by side.
 const COLUMNS: usize = 2;
 
+/// A chart with two logarithmic axes.
+type LogarithmicChart<'a> =
+    ChartContext<'a, SVGBackend<'a>, Cartesian2d<LogCoord<f64>, LogCoord<f64>>>;
+
 /// Processor time at one size.
 struct TimePoint {
     size: f64,
@@ -24,7 +29,7 @@
 /// One curve, as far as it has processor times above 0, which a logarithmic axis can show.
 struct TimeCurve<'a> {
     curve: &'a CostCurve,
-    /// At least one.
+    /// One or more.
     points: Vec<TimePoint>,
 }
 
@@ -48,20 +53,20 @@
     }
 
     fn time_range(&self) -> Range<f64> {
-        let least = padded(self.points.iter().map(|point| point.time.min));
-        let greatest = padded(self.points.iter().map(|point| point.time.max));
-        least.start..greatest.end
+        let minimums = padded(self.points.iter().map(|point| point.time.min));
+        let maximums = padded(self.points.iter().map(|point| point.time.max));
+        minimums.start..maximums.end
     }
 }
 
 /// A range with room around some positive values.
 fn padded(values: impl Iterator<Item = f64> + Clone) -> Range<f64> {
-    let least = values.clone().fold(f64::MAX, f64::min);
-    let greatest = values.fold(0.0, f64::max);
-    least * 0.8..greatest * 1.25
+    let minimum = values.clone().fold(f64::MAX, f64::min);
+    let maximum = values.fold(0.0, f64::max);
+    minimum * 0.8..maximum * 1.25
 }
 
-/// Draws a panel for each curve that has a processor time: medians as a line, each with its least and greatest value,
+/// Draws a panel for each curve that has a processor time: medians as a line, each with its minimum and maximum,
 /// and logarithmic axes.
 ///
 /// # Errors
@@ -106,17 +111,19 @@
         .y_label_formatter(&axis_label)
         .draw()
         .map_err(drawing_error)?;
-    let medians = time_curve
-        .points
-        .iter()
-        .map(|point| (point.size, point.time.median));
+    draw_points(&mut chart, &time_curve.points)
+}
+
+/// Draws medians as a line with circles, and the extent of each as a vertical line.
+fn draw_points(chart: &mut LogarithmicChart, points: &[TimePoint]) -> Result<()> {
+    let medians = points.iter().map(|point| (point.size, point.time.median));
     chart
         .draw_series(LineSeries::new(medians.clone(), &BLUE))
         .map_err(drawing_error)?;
     chart
         .draw_series(medians.map(|at| Circle::new(at, 3, BLUE.filled())))
         .map_err(drawing_error)?;
-    let extents = time_curve.points.iter().map(|TimePoint { size, time }| {
+    let extents = points.iter().map(|TimePoint { size, time }| {
         PathElement::new(vec![(*size, time.min), (*size, time.max)], BLUE)
     });
     chart.draw_series(extents).map_err(drawing_error)?;
--- a/crates/fleet-lab/src/simulate/engine/attempts.rs
+++ b/crates/fleet-lab/src/simulate/engine/attempts.rs
@@ -1,7 +1,6 @@
 //! Attempts: from a gateway to a server, and how they end.
 
 use super::queue::{AttemptKey, AttemptResult, SimulationEvent};
-use super::state::OpenAttempt;
 use super::Engine;
 use crate::time::draw_duration;
 use crate::world::final_answer::FinalAnswer;
@@ -10,8 +9,7 @@
 use crate::world::servers::Server;
 use crate::world::RequestNumber;
 use gateway_core::{
-    AttemptNumber, AttemptOutcome, Endpoint, EndpointState, Event, GatewayId, RequestId, ServerId,
-    Timestamp,
+    AttemptOutcome, Endpoint, EndpointState, Event, GatewayId, RequestId, ServerId, Timestamp,
 };
 use std::ops::Range;
 use std::time::Duration;
@@ -47,6 +45,7 @@
         )
     }
 
+    /// Sends an attempt of an open request to a server. What the invariant checker does not permit is not carried out.
     pub(super) fn send_attempt(
         &mut self,
         gateway: GatewayId,
@@ -64,32 +63,27 @@
         let Some(open) = self.open_requests.get_mut(&request) else {
             return;
         };
-        let number = AttemptNumber(open.attempts.len() as u32);
-        open.attempts.push(OpenAttempt {
-            server,
-            is_in_flight: true,
-        });
-        let expires_at = timeout.map_or(open.deadline, |timeout| {
-            open.deadline.min(self.now + timeout)
-        });
-        let work = draw_duration(&mut self.rng, &self.experiment.machine.work);
-        let start_known = self.discovery.knows_latest_start(gateway, to);
+        let expires_at = open.attempt_deadline(self.now, timeout);
         let job = Job {
             request,
-            attempt: number,
+            attempt: open.add_attempt(server),
             gateway,
             expires_at,
-            work,
-            start_known,
+            work: draw_duration(&mut self.rng, &self.experiment.machine.work),
+            start_known: self.discovery.knows_latest_start(gateway, to),
         };
-        let attempt = AttemptKey { request, number };
-        self.schedule_result(expires_at, attempt, AttemptOutcome::TimedOut);
-        if self.is_partitioned(gateway, server) {
+        self.schedule_result(expires_at, AttemptKey::of(&job), AttemptOutcome::TimedOut);
+        self.transmit(server, job);
+    }
+
+    /// Lets an attempt arrive at its server, or end when its gateway can't connect because of a partition.
+    fn transmit(&mut self, server: usize, job: Job) {
+        if self.is_partitioned(job.gateway, server) {
             let at = self.now + self.experiment.resolved.connect_timeout;
-            self.schedule_result(at, attempt, AttemptOutcome::Unreachable);
+            self.schedule_result(at, AttemptKey::of(&job), AttemptOutcome::Unreachable);
             return;
         }
-        let delay = self.draw_server_delay(gateway, server);
+        let delay = self.draw_server_delay(job.gateway, server);
         self.schedule(
             self.now + delay,
             SimulationEvent::AttemptArrives { server, job },
@@ -162,20 +156,11 @@
                 outcome,
                 reported_load,
             } => {
-                // A gateway behind a partition waits until the attempt times out.
-                if !self.is_partitioned(job.gateway, server) {
-                    let delay = self.draw_server_delay(job.gateway, server);
-                    let attempt = AttemptKey {
-                        request: job.request,
-                        number: job.attempt,
-                    };
-                    let result = AttemptResult {
-                        outcome,
-                        reported_load,
-                    };
-                    let event = SimulationEvent::AttemptFinished { attempt, result };
-                    self.schedule(self.now + delay, event);
-                }
+                let result = AttemptResult {
+                    outcome,
+                    reported_load,
+                };
+                self.transmit_result(server, &job, result);
             }
             ServerEvent::Crashed(load) => {
                 let endpoint = self.servers[server].endpoint;
@@ -188,6 +173,18 @@
         }
     }
 
+    /// Lets the result of an attempt arrive at its gateway. A gateway behind a partition waits until the attempt times
+    /// out.
+    fn transmit_result(&mut self, server: usize, job: &Job, result: AttemptResult) {
+        if self.is_partitioned(job.gateway, server) {
+            return;
+        }
+        let delay = self.draw_server_delay(job.gateway, server);
+        let attempt = AttemptKey::of(job);
+        let event = SimulationEvent::AttemptFinished { attempt, result };
+        self.schedule(self.now + delay, event);
+    }
+
     /// Ends an attempt, unless it has already ended.
     pub(super) fn finish_attempt(&mut self, attempt: AttemptKey, result: AttemptResult) {
         let AttemptKey { request, number } = attempt;
@@ -195,36 +192,25 @@
             outcome,
             reported_load,
         } = result;
-        let Some(open) = self.open_requests.get_mut(&request) else {
-            return;
-        };
-        let Some(open_attempt) = open.attempts.get_mut(number.0 as usize) else {
+        let open = self.open_requests.get_mut(&request);
+        let Some(finished) = open.and_then(|open| open.finish_attempt(number, outcome)) else {
             return;
         };
-        if !open_attempt.is_in_flight {
-            return;
-        }
-        open_attempt.is_in_flight = false;
-        let run = open.run;
-        let is_answer = outcome == AttemptOutcome::Success && !open.is_answered;
-        open.is_answered |= is_answer;
-        let closed = open.is_answered;
         self.checker.attempt_finished(request, number, outcome);
-        if is_answer {
+        if finished.is_final_answer {
             self.checker
                 .answered(self.now, request, FinalAnswer::Served);
         }
         self.remove_if_finished(request);
-        if self.is_current(run) {
-            let id = request.id();
+        if self.is_current(finished.run) {
             let event = Event::AttemptFinished {
-                id,
+                id: request.id(),
                 attempt: number,
                 outcome,
-                closed,
+                closed: finished.is_answered,
                 reported_load,
             };
-            self.post(run.gateway, event);
+            self.post(finished.run.gateway, event);
         }
     }
 }
--- a/crates/fleet-lab/src/simulate/engine/mod.rs
+++ b/crates/fleet-lab/src/simulate/engine/mod.rs
@@ -76,19 +76,7 @@
 ) -> Result<SimulationResult, Failure> {
     let mut engine = Engine::new(experiment, &mut new_module, log)?;
     engine.schedule_initial_events()?;
-    let mut next_progress = START;
-    let end = START + experiment.duration;
-    while let Some(next) = engine.queue.pop() {
-        if next.at >= end && engine.open_requests.is_empty() {
-            break;
-        }
-        engine.now = next.at;
-        if next.at >= next_progress {
-            progress(next.at);
-            next_progress = next.at + PROGRESS_INTERVAL;
-        }
-        engine.handle(next.event)?;
-    }
+    engine.run(progress)?;
     let Engine {
         now,
         servers,
@@ -105,6 +93,24 @@
 }
 
 impl Engine<'_> {
+    /// Handles all events, to the end of the last request.
+    fn run(&mut self, progress: &mut dyn FnMut(Timestamp)) -> Result<(), Failure> {
+        let mut next_progress = START;
+        let end = START + self.experiment.duration;
+        while let Some(next) = self.queue.pop() {
+            if next.at >= end && self.open_requests.is_empty() {
+                break;
+            }
+            self.now = next.at;
+            if next.at >= next_progress {
+                progress(next.at);
+                next_progress = next.at + PROGRESS_INTERVAL;
+            }
+            self.handle(next.event)?;
+        }
+        Ok(())
+    }
+
     fn gateway_ids(&self) -> impl Iterator<Item = GatewayId> {
         (0..self.experiment.gateway_count()).map(GatewayId)
     }
--- a/crates/fleet-lab/src/simulate/engine/queue.rs
+++ b/crates/fleet-lab/src/simulate/engine/queue.rs
@@ -24,6 +24,16 @@
     pub(super) number: AttemptNumber,
 }
 
+impl AttemptKey {
+    /// The attempt that is a server's job.
+    pub(super) fn of(job: &Job) -> AttemptKey {
+        AttemptKey {
+            request: job.request,
+            number: job.attempt,
+        }
+    }
+}
+
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptResult {
--- a/crates/fleet-lab/src/simulate/engine/setup.rs
+++ b/crates/fleet-lab/src/simulate/engine/setup.rs
@@ -13,7 +13,8 @@
 use crate::world::servers::Server;
 use crate::world::{random_stream, Rng, START};
 use crate::Failure;
-use gateway_core::ZoneId;
+use gateway_core::settings::ResolvedSettings;
+use gateway_core::{ServerId, ZoneId};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::time::Duration;
@@ -47,19 +48,9 @@
         let settings = &experiment.resolved.settings;
         let stream = |part| random_stream(experiment.seed, part);
         let clients = Clients::new(stream(CLIENT_STREAM), START, settings, &demand(experiment));
-        let customers = clients.customers.iter();
-        let plans = customers.map(|customer| CustomerPlan {
-            customer: customer.id,
-            plan: customer.plan,
-        });
-        let drain_grace = experiment.resolved.drain_grace;
-        let checker = InvariantChecker::new(settings.clone(), drain_grace, plans)?;
+        let checker = new_checker(experiment, &clients)?;
         let mut rng = stream(ENGINE_STREAM);
         let servers = new_servers(experiment, &mut rng);
-        let indices = servers
-            .iter()
-            .enumerate()
-            .map(|(index, server)| (server.endpoint.server, index));
         let gateway_count = experiment.gateway_count() as usize;
         let conditions = network_conditions(experiment);
         Ok(Engine {
@@ -67,7 +58,7 @@
             now: START,
             queue: EventQueue::default(),
             gateways: Vec::new(),
-            server_indices: indices.collect(),
+            server_indices: indices_by_id(&servers),
             servers,
             clients,
             discovery: new_discovery(experiment, stream(DISCOVERY_STREAM)),
@@ -136,6 +127,27 @@
         .collect()
 }
 
+fn indices_by_id(servers: &[Server]) -> BTreeMap<ServerId, usize> {
+    let servers = servers.iter().enumerate();
+    servers
+        .map(|(index, server)| (server.endpoint.server, index))
+        .collect()
+}
+
+fn new_checker(experiment: &Experiment, clients: &Clients) -> anyhow::Result<InvariantChecker> {
+    let customers = clients.customers.iter();
+    let plans = customers.map(|customer| CustomerPlan {
+        customer: customer.id,
+        plan: customer.plan,
+    });
+    let ResolvedSettings {
+        settings,
+        drain_grace,
+        ..
+    } = &experiment.resolved;
+    InvariantChecker::new(settings.clone(), *drain_grace, plans)
+}
+
 fn new_discovery(experiment: &Experiment, rng: Rng) -> Discovery {
     let outages = experiment.faults.discovery_outages.clone();
     let gateway_count = experiment.gateway_count() as usize;
--- a/crates/fleet-lab/src/simulate/experiment.rs
+++ b/crates/fleet-lab/src/simulate/experiment.rs
@@ -56,6 +56,25 @@
     pub settings: Option<String>,
 }
 
+impl ExperimentConfig {
+    fn validate(&self, server_count: u32) -> Result<(), Failure> {
+        validate_range("nodes", self.nodes, MAX_GATEWAYS)?;
+        validate_range("servers", server_count, MAX_SERVERS)?;
+        validate_range("seconds", self.seconds, MAX_SECONDS)?;
+        if !(self.load > 0.0 && self.load <= MAX_LOAD) {
+            return invalid(format!(
+                "load must be above 0 and at most {MAX_LOAD}, not {}",
+                self.load
+            ));
+        }
+        Ok(())
+    }
+
+    fn duration(&self) -> Duration {
+        Duration::from_secs(self.seconds.into())
+    }
+}
+
 /// What is simulated.
 #[derive(Clone, Debug)]
 pub struct Experiment {
@@ -88,15 +107,7 @@
         let server_count = config
             .servers
             .unwrap_or_else(|| default_servers(config.nodes));
-        validate_range("nodes", config.nodes, MAX_GATEWAYS)?;
-        validate_range("servers", server_count, MAX_SERVERS)?;
-        validate_range("seconds", config.seconds, MAX_SECONDS)?;
-        if !(config.load > 0.0 && config.load <= MAX_LOAD) {
-            return invalid(format!(
-                "load must be above 0 and at most {MAX_LOAD}, not {}",
-                config.load
-            ));
-        }
+        config.validate(server_count)?;
         let settings = config.settings.as_deref().unwrap_or(DEFAULT_SETTINGS);
         let resolved = parse_settings(settings, config.nodes)?;
         let zones = resolved.zone_names.len().max(1) as u32;
@@ -105,29 +116,17 @@
         let servers: Vec<Endpoint> = (0..server_count)
             .map(|number| endpoints.draw(number, None))
             .collect();
-        let duration = Duration::from_secs(config.seconds.into());
-        let mut rng = random_stream(config.seed, FAULT_STREAM);
-        let mut new_endpoint = |zone, started_at| endpoints.draw(zone, started_at);
-        let scheduler = FaultScheduler::new(
-            &mut rng,
-            duration,
-            config.nodes,
-            zones,
-            &servers,
-            &mut new_endpoint,
-        );
-        let faults = scheduler.schedule(&faults);
         let machine = machine(&resolved.settings);
         Ok(Experiment {
             seed: config.seed,
-            duration,
+            duration: config.duration(),
             zones,
             rate: config.load * f64::from(server_count) * machine.capacity(),
+            faults: draw_schedule(config, &faults, &servers, endpoints),
             servers,
             machine,
             resolved,
             fault_names: config.faults.clone(),
-            faults,
         })
     }
 
@@ -197,6 +196,27 @@
     Ok(faults)
 }
 
+/// Draws when each fault happens.
+fn draw_schedule(
+    config: &ExperimentConfig,
+    faults: &BTreeSet<Fault>,
+    servers: &[Endpoint],
+    mut endpoints: EndpointFactory,
+) -> FaultSchedule {
+    let mut rng = random_stream(config.seed, FAULT_STREAM);
+    let zones = endpoints.zones;
+    let mut new_endpoint = |zone, started_at| endpoints.draw(zone, started_at);
+    let scheduler = FaultScheduler::new(
+        &mut rng,
+        config.duration(),
+        config.nodes,
+        zones,
+        servers,
+        &mut new_endpoint,
+    );
+    scheduler.schedule(faults)
+}
+
 /// Draws entries of the list of servers.
 struct EndpointFactory {
     rng: Rng,
--- a/crates/fleet-lab/src/simulate/host.rs
+++ b/crates/fleet-lab/src/simulate/host.rs
@@ -1,7 +1,7 @@
 //! What a simulation uses of the machine that it runs on. None of this is compared between simulations.
 
 use super::report::Report;
-use crate::time::DurationExt;
+use crate::time::{DurationExt, MICROS_PER_SECOND};
 use crate::world::seconds_since_start;
 use gateway_core::Timestamp;
 use std::fs;
@@ -24,7 +24,7 @@
         .map(Duration::from_nanos)
 }
 
-/// The most memory that this process has had, MiB; `None` where the system does not provide it.
+/// Peak memory of this process, MiB; `None` where the system does not provide it.
 fn peak_memory() -> Option<f64> {
     let text = fs::read_to_string("/proc/self/status").ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
@@ -47,16 +47,6 @@
 
     /// What was used since the start, as lines; `decision_time` is the time inside the decision modules.
     pub(super) fn summary(&self, report: &Report, decision_time: Duration) -> String {
-        let node_seconds = f64::from(report.nodes) * report.simulated_seconds;
-        let requests = (report.all.arrived as f64).max(1.0);
-        let per_unit = |time: Duration| {
-            let us = time.as_secs_f64() * 1e6;
-            format!(
-                "{:.0} µs a node-second, {:.0} µs a request",
-                us / node_seconds,
-                us / requests
-            )
-        };
         let mut lines = vec![format!(
             "host: {:.1} s on the clock",
             self.started.elapsed().as_secs_f64()
@@ -66,13 +56,13 @@
             lines.push(format!(
                 "host: {:.1} s of CPU in all: {}",
                 used.as_secs_f64(),
-                per_unit(used)
+                time_per_unit(report, used)
             ));
         }
         lines.push(format!(
             "host: {:.1} s on the clock inside the module: {}",
             decision_time.as_secs_f64(),
-            per_unit(decision_time)
+            time_per_unit(report, decision_time)
         ));
         if let Some(peak) = peak_memory() {
             lines.push(format!("host: {peak:.0} MiB of memory at the most"));
@@ -81,6 +71,18 @@
     }
 }
 
+/// A time divided by the simulated time of all nodes, and by the number of requests.
+fn time_per_unit(report: &Report, time: Duration) -> String {
+    let node_seconds = f64::from(report.nodes) * report.simulated_seconds;
+    let requests = (report.all.arrived as f64).max(1.0);
+    let time_us = time.as_secs_f64() * MICROS_PER_SECOND;
+    format!(
+        "{:.0} µs a node-second, {:.0} µs a request",
+        time_us / node_seconds,
+        time_us / requests
+    )
+}
+
 /// Shows the simulated time on standard error if that is a terminal.
 pub(super) fn progress(duration: Duration) -> impl FnMut(Timestamp) {
     let is_terminal = stderr().is_terminal();
--- a/crates/fleet-lab/src/simulate/plot.rs
+++ b/crates/fleet-lab/src/simulate/plot.rs
@@ -10,6 +10,9 @@
 /// Height of the upper plot, pixels.
 const UPPER_HEIGHT: i32 = 400;
 
+/// Height of a plot as a multiple of its greatest value.
+const HEADROOM_RATIO: f64 = 1.1;
+
 /// One line of a plot.
 struct Curve {
     label: &'static str,
@@ -79,16 +82,21 @@
     Ok(text)
 }
 
+/// The greatest value of all curves; 1 if that is more.
+fn maximum(report: &Report, curves: &[Curve]) -> f64 {
+    let values = curves
+        .iter()
+        .flat_map(|curve| report.seconds.iter().map(curve.value));
+    values.fold(1.0, f64::max)
+}
+
 fn draw_curves(
     area: &DrawingArea<SVGBackend, Shift>,
     title: &str,
     report: &Report,
     curves: &[Curve],
 ) -> anyhow::Result<()> {
-    let values = curves
-        .iter()
-        .flat_map(|curve| report.seconds.iter().map(curve.value));
-    let max = values.fold(1.0, f64::max) * 1.1;
+    let max = maximum(report, curves) * HEADROOM_RATIO;
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 18))
         .margin(10)
--- a/crates/fleet-lab/src/world/server_events.rs
+++ b/crates/fleet-lab/src/world/server_events.rs
@@ -27,7 +27,7 @@
 pub enum ServerEvent {
     /// A request begins to run.
     Started {
-        /// For [`Server::complete`].
+        /// For [`Server::complete`](super::servers::Server::complete).
         run: u64,
         /// When it is done, unless the server hangs meanwhile.
         done_at: Timestamp,
@@ -36,7 +36,7 @@
     },
     /// A running request takes longer.
     Delayed {
-        /// For [`Server::complete`].
+        /// For [`Server::complete`](super::servers::Server::complete).
         run: u64,
         /// When it is done.
         done_at: Timestamp,
--- a/crates/fleet-lab/tests/hybrid.rs
+++ b/crates/fleet-lab/tests/hybrid.rs
@@ -1,9 +1,11 @@
 //! `fleet-lab hybrid`: its invariants on scripted requests, and short runs with the edge node's real program.
 
-use fleet_lab::hybrid::ledger::{InvariantResult, Ledger, ANSWER_GRACE, SOCKET_TOLERANCE};
+use fleet_lab::hybrid::invariant_result::InvariantResult;
+use fleet_lab::hybrid::ledger::{Ledger, ANSWER_GRACE, SOCKET_TOLERANCE};
+use fleet_lab::hybrid::node_totals::NodeTotals;
 use fleet_lab::hybrid::observed_request::{ReceivedAnswer, SentRequest};
 use fleet_lab::hybrid::quotas::{CustomerQuota, Quota};
-use fleet_lab::hybrid::report::{NodeTotals, Report};
+use fleet_lab::hybrid::report::Report;
 use fleet_lab::world::final_answer::FinalAnswer;
 use gateway_core::{CustomerId, EndpointState, GatewayId, ServerId, Timestamp};
 use std::path::PathBuf;
@@ -203,7 +205,7 @@
     }
     totals.messages = messages;
     totals.bytes = messages * 50;
-    totals.cost = messages as f64;
+    totals.cost_us = messages as f64;
     totals
 }
 
