--- a/crates/fleet-lab/src/hybrid/observed_request.rs
+++ b/crates/fleet-lab/src/hybrid/observed_request.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// A request as a client sends it over a socket. The simulation's
-/// [`ClientRequest`](crate::world::clients::ClientRequest) is another type: it also says what the client will do,
+/// [`ClientRequest`](crate::world::client_request::ClientRequest) is another type: it also says what the client will do,
 /// which the simulation decides beforehand, and it names the customer by index.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
