--- a/crates/gateway-core/src/policy/admission.rs
+++ b/crates/gateway-core/src/policy/admission.rs
@@ -34,15 +34,15 @@
     random: &mut fastrand::Rng,
 ) -> Admission {
     let now = context.now;
-    let too_short = request.deadline <= now + FINAL_ANSWER_MARGIN;
-    bucket.record_demand(now, request.units, MAX_LEASE_LIFETIME);
+    let too_short = request.deadline() <= now + FINAL_ANSWER_MARGIN;
+    bucket.record_demand(now, request.units(), MAX_LEASE_LIFETIME);
     let may_ask = lease_request_probability(bucket, now);
     let plan = &context.deployment.settings.plans[bucket.plan.0];
     let kept_back = (bucket.peer_rate(now) * UNHEARD_USAGE)
         .min(plan.burst - bucket.capacity)
         .max(0.0);
-    let quota_exceeded = plan.rate > 0.0 && bucket.tokens - kept_back < request.units;
-    bucket.tokens -= request.units;
+    let quota_exceeded = plan.rate > 0.0 && bucket.tokens - kept_back < request.units();
+    bucket.tokens -= request.units();
     if context.deployment.mode == FleetMode::Gossip {
         return if too_short {
             Admission::Reject(RejectReason::DeadlineTooShort)
@@ -60,7 +60,7 @@
     if shed {
         return Admission::Reject(RejectReason::LoadShed);
     }
-    if let Some(expires_at) = bucket.lease.consume(now, request.units) {
+    if let Some(expires_at) = bucket.lease.consume(now, request.units()) {
         return Admission::AdmitOnLease { expires_at };
     }
     if throttled {
@@ -74,11 +74,3 @@
     let forgotten = (now.micros_since(bucket.probability_set_at) / PROBABILITY_LIFETIME).min(1.0);
     bucket.lease_request_probability + (1.0 - bucket.lease_request_probability) * forgotten
 }
-
-/// What an answer to a request still earns: queued requests are sent the highest first.
-pub(crate) fn priority(context: Context<'_>, request: &Request) -> f64 {
-    let class = context.deployment.class_of(request);
-    let is_late = context.now > request.arrived_at + class.latency_objective;
-    let share = if is_late { class.late_weight } else { 1.0 };
-    context.deployment.priority(request) * share
-}
