--- a/crates/fleet-lab/src/hybrid/datagrams.rs
+++ b/crates/fleet-lab/src/hybrid/datagrams.rs
@@ -10,8 +10,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use tokio::net::UdpSocket;
 
-/// Most bytes of a datagram, by the protocol.
-const MAX_DATAGRAM: usize = 256;
+/// Maximum length of a datagram in bytes, by the protocol.
+const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// What one node has sent.
 #[derive(Clone, Copy, Debug, Default)]
@@ -119,7 +119,7 @@
     /// have sent it.
     pub(super) async fn receive(&self, to: GatewayId) -> Option<PeerDatagram> {
         let receiver = &self.nodes[to.0 as usize];
-        let mut buffer = [0; MAX_DATAGRAM + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let (length, source) = receiver.socket.recv_from(&mut buffer).await.ok()?;
         let bytes = &buffer[..length];
         let sender_index = self.nodes.iter().position(|node| node.source() == source)?;
@@ -139,9 +139,9 @@
         None
     }
 
-    /// Counts what real nodes send to nodes that do not run, for ever.
+    /// Counts what real nodes send to nodes that do not run, until the end of the run.
     pub(super) async fn count_undeliverable(&self) {
-        let mut buffer = [0; MAX_DATAGRAM + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         while let Ok((length, source)) = self.absent_socket.recv_from(&mut buffer).await {
             if let Some(from) = self.nodes.iter().position(|node| node.real == Some(source)) {
                 self.count(GatewayId(from as u32), &buffer[..length]);
@@ -153,7 +153,7 @@
         let counter = &self.nodes[from.0 as usize].sent;
         let mut sent = counter.get();
         sent.counts.add(bytes.len());
-        sent.too_long += u64::from(bytes.len() > MAX_DATAGRAM);
+        sent.too_long += u64::from(bytes.len() > MAX_DATAGRAM_BYTES);
         counter.set(sent);
     }
 }
--- a/crates/fleet-lab/src/hybrid/discovery_agent.rs
+++ b/crates/fleet-lab/src/hybrid/discovery_agent.rs
@@ -23,7 +23,7 @@
 /// The path of the list.
 const LIST_PATH: &str = "/api/targets";
 
-/// Serves one real node for ever.
+/// Serves one real node until the end of the run.
 pub(super) async fn serve(environment: Rc<Environment>, node: GatewayId, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let environment = Rc::clone(&environment);
--- a/crates/fleet-lab/src/hybrid/ledger.rs
+++ b/crates/fleet-lab/src/hybrid/ledger.rs
@@ -1,7 +1,7 @@
 //! The record of all requests of a run, and the check of the invariants. No input, no output, no clock.
 //!
 //! The records and checks of single requests, quotas and drains are those of the simulation. What differs is what can be
-//! observed: here attempts are seen only where they arrive and run, and a client's end of waiting ends nothing.
+//! observed: here attempts are seen only where they arrive and run, and a request stays open when its client gives up.
 
 use super::invariant_result::InvariantResult;
 use super::observed_request::{ObservedRequest, ReceivedAnswer, SentRequest};
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// A final answer is missing if it comes later than this after the client's timeout: half a second, and
-/// [`SOCKET_TOLERANCE`]. The simulation allows far less, as its clock does not go on while a gateway computes.
+/// [`SOCKET_TOLERANCE`]. The simulation allows far less, as its clock stands still while a gateway computes.
 pub const ANSWER_GRACE: Duration = Duration::from_millis(550);
 /// By this every time limit is longer on sockets.
 pub const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
--- a/crates/fleet-lab/src/hybrid/nodes.rs
+++ b/crates/fleet-lab/src/hybrid/nodes.rs
@@ -53,7 +53,7 @@
 pub(super) struct ReservedPorts(Vec<Option<UdpSocket>>);
 
 impl ReservedPorts {
-    /// Reserves ports for so many real nodes, which are distributed evenly among the hollow ones, so that both kinds share
+    /// Reserves ports for the real nodes, which are distributed evenly among the hollow ones, so that both kinds share
     /// customers.
     pub(super) async fn reserve(real: u32, nodes: u32) -> Result<ReservedPorts> {
         let mut ports: Vec<Option<UdpSocket>> = (0..nodes).map(|_| None).collect();
--- a/crates/fleet-lab/src/hybrid/real_node.rs
+++ b/crates/fleet-lab/src/hybrid/real_node.rs
@@ -22,9 +22,9 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, BufReader};
 use tokio::process::{Child, ChildStderr, Command};
 
-/// Most time from a node's start until it is ready.
+/// Maximum time from a node's start until it is ready.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most time from SIGTERM to the end of a node: no client waits for it any more.
+/// Maximum time from SIGTERM to the end of a node: no client is waiting for it then.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(4);
 /// A client's connection that has been idle for this long is not used again, since the node closes it soon.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/fleet-lab/src/hybrid/report.rs
+++ b/crates/fleet-lab/src/hybrid/report.rs
@@ -102,7 +102,7 @@
         row("failed share", &|totals| totals.fraction(totals.failed)),
         row("wait p50, ms", &|totals| totals.wait_ms(0.5)),
         row("wait p99, ms", &|totals| totals.wait_ms(0.99)),
-        // A hollow node has no connections and no sockets of its own, which are most of what a real one costs.
+        // A hollow node has no connections and no sockets of its own, which cause the larger part of the cost of a real one.
         ComparisonRow {
             agrees: None,
             ..cost
--- a/crates/fleet-lab/src/hybrid/server_http.rs
+++ b/crates/fleet-lab/src/hybrid/server_http.rs
@@ -14,7 +14,7 @@
 
 type HttpResponse = http::Result<Response<Full<Bytes>>>;
 
-/// Serves a server, by index, for ever.
+/// Serves a server, by index, until the end of the run.
 pub(super) async fn serve(environment: Rc<Environment>, server: usize, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         // Without it a response in two segments would wait for an acknowledgement; it works all the same.
--- a/crates/fleet-lab/src/hybrid/servers.rs
+++ b/crates/fleet-lab/src/hybrid/servers.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// All servers of a run, each with so many requests that run at once.
+    /// All servers of a run. Each runs `slots` requests concurrently.
     pub(super) fn all(slots: usize, seed: u64) -> Vec<Server> {
         (0..SERVER_COUNT)
             .map(|index| Server::new(index, slots, seed))
@@ -115,7 +115,7 @@
         }
         let work = self.draw_work();
         let is_unlucky = self.rng.borrow_mut().random::<bool>();
-        // The semaphore is never closed; if it were, one more request would run at most.
+        // The semaphore is never closed; if it were, a request would only run earlier.
         let _slot = self.execution_slots.acquire().await;
         tokio::time::sleep(work).await;
         let is_error = mode == ServerMode::FailHalf && is_unlucky;
--- a/crates/fleet-lab/src/scaling/cost.rs
+++ b/crates/fleet-lab/src/scaling/cost.rs
@@ -35,7 +35,7 @@
         self.events += other.events;
     }
 
-    /// Adds a message that is sent to so many gateways.
+    /// Adds a message that is sent to a number of gateways.
     pub(super) fn add_message(&mut self, receivers: u64, bytes: &[u8]) {
         let length = bytes.len() as u64;
         self.messages += receivers;
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -15,7 +15,7 @@
 pub(super) const START: Timestamp = Timestamp::from_micros(5_000_000);
 /// How long a client waits; long enough for requests that stay open.
 pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_secs(3_600);
-/// Least number of customers whose requests are served by turns: enough that gateways need not throttle their lease
+/// Minimum number of customers that take turns in sending requests: enough that gateways need not throttle their lease
 /// requests. Where more requests stay open, each has a customer of its own.
 pub(super) const MIN_ACTIVE_CUSTOMERS: u64 = 64;
 /// Zones of the fleet.
--- a/crates/fleet-lab/src/scaling/gateway_pair/member.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair/member.rs
@@ -11,7 +11,7 @@
 pub(super) struct Member {
     /// The decision module.
     pub(super) gateway: Gateway,
-    /// Customers whose requests arrive at it by turns.
+    /// Customers that take turns in sending requests to it.
     pub(super) customers: Vec<Customer>,
     /// When its next timer fires.
     pub(super) timer_at: Timestamp,
--- a/crates/fleet-lab/src/scaling/gateway_pair/mod.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair/mod.rs
@@ -1,5 +1,5 @@
-//! Two gateways of one fleet, each the owner of the quotas of the other's customers, with servers that answer at
-//! once. The first is measured; the second is its peer and has the same list, information and request rate.
+//! Two gateways of one fleet, each the owner of the quotas of the other's customers, with servers that answer
+//! immediately. The first is measured; the second is its peer and has the same list, information and request rate.
 
 mod member;
 mod preparation;
--- a/crates/fleet-lab/src/scaling/report.rs
+++ b/crates/fleet-lab/src/scaling/report.rs
@@ -71,9 +71,9 @@
 pub struct Statistics {
     /// The middle value; of an even number of values the upper of the two.
     pub median: f64,
-    /// The least value.
+    /// The minimum.
     pub min: f64,
-    /// The greatest value.
+    /// The maximum.
     pub max: f64,
 }
 
--- a/crates/fleet-lab/src/simulate/engine/gateways.rs
+++ b/crates/fleet-lab/src/simulate/engine/gateways.rs
@@ -40,7 +40,7 @@
         Ok(())
     }
 
-    /// Gives a gateway an event, and carries out the resulting actions. No action causes another event at once.
+    /// Gives a gateway an event, and carries out the resulting actions. No action causes another event immediately.
     pub(super) fn post(&mut self, id: GatewayId, event: Event) {
         let mut actions = std::mem::take(&mut self.action_buffer);
         if let Some(module) = &mut self.gateways[id.0 as usize].module {
--- a/crates/fleet-lab/src/simulate/engine/requests.rs
+++ b/crates/fleet-lab/src/simulate/engine/requests.rs
@@ -56,7 +56,7 @@
         self.post(gateway, event);
     }
 
-    /// The gateway for a request; `None` if its client gets one that is down, which nobody has noticed yet.
+    /// The gateway for a request; `None` if the front end picks one that is down, which it has not noticed yet.
     fn pick_gateway(&mut self, request: &ClientRequest) -> Option<GatewayId> {
         let (now, gateways) = (self.now, &self.gateways);
         let is_known_down = |id: GatewayId| {
@@ -136,11 +136,12 @@
         }
     }
 
-    /// A gateway was killed: all requests that it held fail.
+    /// A gateway was killed: all requests that are open at it fail.
     pub(super) fn fail_requests_of(&mut self, gateway: GatewayId) {
-        let is_held = |open: &OpenRequest| open.run.gateway == gateway && !open.is_answered;
-        let held = self.open_requests.iter().filter(|(_, open)| is_held(open));
-        let numbers: Vec<RequestNumber> = held.map(|(number, _)| *number).collect();
+        let is_open = |open: &OpenRequest| open.run.gateway == gateway && !open.is_answered;
+        let requests = self.open_requests.iter();
+        let requests = requests.filter(|(_, open)| is_open(open));
+        let numbers: Vec<RequestNumber> = requests.map(|(number, _)| *number).collect();
         for number in numbers {
             self.checker.gateway_killed(self.now, number);
             let Some(open) = self.open_requests.get_mut(&number) else {
--- a/crates/fleet-lab/src/simulate/engine/state.rs
+++ b/crates/fleet-lab/src/simulate/engine/state.rs
@@ -35,7 +35,7 @@
 
 /// A request that has no final answer yet, or of which an attempt is in flight.
 pub(super) struct OpenRequest {
-    /// The run of the gateway that holds it.
+    /// The run of the gateway that received it.
     pub(super) run: GatewayRun,
     /// The request as its client sent it.
     pub(super) request: ClientRequest,
--- a/crates/fleet-lab/src/simulate/experiment.rs
+++ b/crates/fleet-lab/src/simulate/experiment.rs
@@ -3,7 +3,7 @@
 use super::fault::Fault;
 use super::fault_schedule::FaultSchedule;
 use super::fault_scheduler::FaultScheduler;
-use crate::time::DurationExt;
+use crate::time::{DurationExt, MICROSECOND};
 use crate::world::machine::Machine;
 use crate::world::{random_stream, Rng};
 use crate::Failure;
@@ -16,22 +16,23 @@
 
 /// Settings of an experiment that is given none: two classes, three plans of which one has a hard limit.
 const DEFAULT_SETTINGS: &str = include_str!("settings.json");
-/// Most gateways: their numbers take two bytes in messages.
+/// Maximum number of gateways: their numbers take two bytes in messages.
 const MAX_GATEWAYS: u32 = 65_535;
+/// Maximum number of servers.
 const MAX_SERVERS: u32 = 100_000;
+/// Maximum time in which clients arrive, s.
 const MAX_SECONDS: u32 = 3_600;
+/// Maximum demand within the quotas, as a fraction of what the servers can do.
 const MAX_LOAD: f64 = 2.0;
 /// Shortest latency objective of a class.
 const MIN_LATENCY_OBJECTIVE: Duration = Duration::from_millis(1);
-/// Mean work of a request, as a share of the shortest latency objective.
+/// Mean work of a request, as a fraction of the shortest latency objective.
 const MEAN_WORK_RATIO: f64 = 0.119;
-/// How far the work of single requests lies from the mean, as a share of it.
+/// How far the work of single requests lies from the mean, as a fraction of it.
 const WORK_DEVIATION_RATIO: f64 = 0.26;
 /// Interval at which a server measures the load that it reports.
 const LOAD_REPORT_INTERVAL: Range<Duration> =
     Duration::from_millis(110)..Duration::from_millis(540);
-/// The unit of all times.
-const MICROSECOND: Duration = Duration::from_micros(1);
 /// Number of the random stream that draws ids of servers.
 const ENDPOINT_STREAM: u64 = 16;
 /// Number of the random stream that draws the fault schedule.
@@ -48,7 +49,7 @@
     pub seconds: u32,
     /// Seed of all random draws.
     pub seed: u64,
-    /// Demand within the quotas, as a share of what the servers can do.
+    /// Demand within the quotas, as a fraction of what the servers can do.
     pub load: f64,
     /// Names of faults.
     pub faults: Vec<String>,
@@ -140,7 +141,7 @@
     Err(Failure::InvalidArguments(problem.into()))
 }
 
-/// Two servers for every three gateways, and two at least.
+/// Two servers for every three gateways, with a minimum of two.
 fn default_servers(gateways: u32) -> u32 {
     (u64::from(gateways) * 2).div_ceil(3).max(2) as u32
 }
@@ -152,7 +153,7 @@
     Ok(())
 }
 
-/// Reads settings for so many gateways.
+/// Reads settings for a number of gateways.
 fn parse_settings(text: &str, gateways: u32) -> Result<ResolvedSettings, Failure> {
     let mut json: serde_json::Value = match serde_json::from_str(text) {
         Ok(json) => json,
--- a/crates/fleet-lab/src/simulate/fault.rs
+++ b/crates/fleet-lab/src/simulate/fault.rs
@@ -15,7 +15,7 @@
     Slow,
     /// Half of the servers are replaced one after the other by cold ones.
     Drain,
-    /// Seven of ten gateways are killed at once and restart.
+    /// Seven of ten gateways are killed concurrently and restart.
     Kill,
     /// A zone is partitioned from the others, and more messages are lost everywhere.
     Cut,
--- a/crates/fleet-lab/src/simulate/fault_schedule.rs
+++ b/crates/fleet-lab/src/simulate/fault_schedule.rs
@@ -55,8 +55,8 @@
     pub discovery_outages: Vec<TimeSpan>,
     /// When all customers ask for a multiple.
     pub surges: Vec<Temporary>,
-    /// When two customers add a share to all traffic.
+    /// When two customers add a fraction to all traffic.
     pub flood: Option<Temporary>,
-    /// When a share of all messages is lost.
+    /// When a fraction of all messages is lost.
     pub message_loss: Option<Temporary>,
 }
--- a/crates/fleet-lab/src/simulate/fault_scheduler.rs
+++ b/crates/fleet-lab/src/simulate/fault_scheduler.rs
@@ -16,15 +16,15 @@
 const DRAIN_TO_STOP: Duration = Duration::from_secs(8);
 /// Time from the start of an outage of discovery to the drains that no gateway knows of.
 const OUTAGE_TO_DRAIN: Duration = Duration::from_millis(100);
-/// No fault lasts longer than until this share of the simulation.
-const LATEST_END: f64 = 0.8;
-/// One of so many servers is affected by a fault of single servers.
-const ONE_SERVER_OF: usize = 8;
-/// One of so many servers is replaced by a rolling replacement.
+/// Fraction of the simulation by which each fault has ended.
+const LATEST_END_FRACTION: f64 = 0.8;
+/// A fault of single servers affects one server out of this number.
+const AFFECTED_ONE_OF: usize = 8;
+/// A rolling replacement replaces one server out of this number.
 const REPLACED_ONE_OF: usize = 2;
 /// Factor by which slow servers take longer.
-const SLOWDOWN: f64 = 6.0;
-/// Of ten gateways so many are killed.
+const SLOWDOWN_RATIO: f64 = 6.0;
+/// Gateways that are killed out of ten.
 const KILLED_OF_TEN: usize = 7;
 
 /// Draws the entry of a new server, in a zone by number and with its start time.
@@ -100,7 +100,7 @@
 
     fn schedule_hang(&mut self) {
         let hang = self.span(0.25, 12.0);
-        for endpoint in self.take_servers(ONE_SERVER_OF) {
+        for endpoint in self.take_servers(AFFECTED_ONE_OF) {
             let action = FaultAction::HangServer {
                 server: endpoint.server,
                 until: hang.end,
@@ -111,13 +111,13 @@
 
     fn schedule_slowness(&mut self) {
         let slowness = self.span(0.25, 16.0);
-        for endpoint in self.take_servers(ONE_SERVER_OF) {
+        for endpoint in self.take_servers(AFFECTED_ONE_OF) {
             let server = endpoint.server;
             self.add(
                 slowness.start,
                 FaultAction::SlowServer {
                     server,
-                    factor: SLOWDOWN,
+                    factor: SLOWDOWN_RATIO,
                 },
             );
             self.add(
@@ -162,7 +162,7 @@
         let outage = self.span(0.25, 8.0);
         self.schedule.discovery_outages.push(outage);
         let drained_at = outage.start + OUTAGE_TO_DRAIN;
-        for endpoint in self.take_servers(ONE_SERVER_OF) {
+        for endpoint in self.take_servers(AFFECTED_ONE_OF) {
             self.add_drain(drained_at, endpoint.server);
         }
     }
@@ -175,28 +175,28 @@
 
     fn schedule_server_restarts(&mut self) {
         let stopped_at = self.at(0.25);
-        for endpoint in self.take_servers(ONE_SERVER_OF) {
+        for endpoint in self.take_servers(AFFECTED_ONE_OF) {
             self.add(stopped_at, FaultAction::StopServer(endpoint.server));
             let restarted_at = stopped_at + Duration::from_seconds(self.rng.random_range(1.0..4.0));
             self.add(restarted_at, FaultAction::RestartServer(endpoint.server));
         }
     }
 
-    /// The time at which this share of the simulation has passed.
-    fn at(&self, share: f64) -> Timestamp {
-        START + Duration::from_micros_f64(self.duration.as_micros_f64() * share)
+    /// The time at which this fraction of the simulation has passed.
+    fn at(&self, fraction: f64) -> Timestamp {
+        START + Duration::from_micros_f64(self.duration.as_micros_f64() * fraction)
     }
 
-    /// A span of so many seconds, or shorter if it would last too long.
-    fn span(&self, from_share: f64, seconds: f64) -> TimeSpan {
-        let start = self.at(from_share);
+    /// A span that starts at a fraction of the simulation. It is shortened if it would last too long.
+    fn span(&self, from_fraction: f64, seconds: f64) -> TimeSpan {
+        let start = self.at(from_fraction);
         TimeSpan {
             start,
-            end: (start + Duration::from_seconds(seconds)).min(self.at(LATEST_END)),
+            end: (start + Duration::from_seconds(seconds)).min(self.at(LATEST_END_FRACTION)),
         }
     }
 
-    /// Takes one of so many servers, of those that no fault affects yet.
+    /// Takes one out of `one_of` servers, of those that no fault affects yet.
     fn take_servers(&mut self, one_of: usize) -> Vec<Endpoint> {
         self.unaffected
             .by_ref()
--- a/crates/fleet-lab/src/simulate/report.rs
+++ b/crates/fleet-lab/src/simulate/report.rs
@@ -30,11 +30,11 @@
 pub struct MessageRates {
     /// Messages that a gateway receives in a second, on average.
     pub mean_per_s: f64,
-    /// The same of the gateway that receives most messages.
+    /// The same of the gateway that receives the maximum number of messages.
     pub busiest_per_s: f64,
     /// Bytes that a gateway receives in a second, on average.
     pub mean_bytes_per_s: f64,
-    /// The same of the gateway that receives most bytes.
+    /// The same of the gateway that receives the maximum number of bytes.
     pub busiest_bytes_per_s: f64,
     /// Messages sent, one for each receiver.
     pub sent: u64,
--- a/crates/fleet-lab/src/simulate/table.rs
+++ b/crates/fleet-lab/src/simulate/table.rs
@@ -5,7 +5,7 @@
 use crate::world::request_counts::RequestCounts;
 use std::fmt::{Display, Formatter, Result};
 
-/// Most cold servers that the text lists.
+/// Maximum number of cold servers that the text lists.
 const MAX_COLD_SERVERS: usize = 5;
 
 impl Display for Report {
@@ -120,7 +120,7 @@
                 load.calls,
                 load.budget,
                 load.age.as_seconds(),
-                100.0 * load.start_known_share,
+                100.0 * load.start_known_fraction,
                 if *crashed { "; it fell" } else { "" }
             )?;
         }
--- a/crates/fleet-lab/src/time.rs
+++ b/crates/fleet-lab/src/time.rs
@@ -8,6 +8,8 @@
 use std::ops::Range;
 use std::time::Duration;
 
+/// The unit of all times.
+pub(crate) const MICROSECOND: Duration = Duration::from_micros(1);
 /// Microseconds in a second.
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -24,10 +26,10 @@
     /// Seconds, from whole microseconds.
     fn as_seconds(&self) -> f64;
 
-    /// A duration of so many microseconds, rounded down; negative numbers count as 0.
+    /// A duration of a number of microseconds, rounded down; negative numbers count as 0.
     fn from_micros_f64(micros: f64) -> Self;
 
-    /// A duration of so many seconds, rounded to whole microseconds.
+    /// A duration of a number of seconds, rounded to whole microseconds.
     fn from_seconds(seconds: f64) -> Self;
 }
 
--- a/crates/fleet-lab/src/world/clients.rs
+++ b/crates/fleet-lab/src/world/clients.rs
@@ -6,7 +6,7 @@
 use super::datagrams::Temporary;
 use super::request_size::draw_units;
 use super::{time_to_next_event, Rng, TimeSpan};
-use crate::time::{draw_duration, DurationExt};
+use crate::time::{draw_duration, DurationExt, MICROSECOND};
 use gateway_core::{ClassId, GatewayId, Idempotency, PlanId, Settings, Timestamp};
 use rand::Rng as _;
 use std::ops::Range;
@@ -20,8 +20,6 @@
 const MISESTIMATED_FRACTION: f64 = 0.2;
 /// Pause of a client before its retry, if it was not advised another one.
 const RETRY_PAUSE: Range<Duration> = Duration::from_millis(10)..Duration::from_millis(200);
-/// The unit of all times.
-const MICROSECOND: Duration = Duration::from_micros(1);
 /// Customers that take part in a flood.
 const FLOODING_CUSTOMERS: usize = 2;
 
--- a/crates/fleet-lab/src/world/cold_start.rs
+++ b/crates/fleet-lab/src/world/cold_start.rs
@@ -17,9 +17,9 @@
     pub allowed: f64,
     /// Calls that make it crash: the allowed ones, twice their root, and two.
     pub budget: f64,
-    /// Share of the calls that came from gateways which knew of the start.
+    /// Fraction of the calls that came from gateways which knew of the start.
     #[serde(rename = "told")]
-    pub start_known_share: f64,
+    pub start_known_fraction: f64,
     /// Time since the server's start, in whole µs where it is reported.
     #[serde(serialize_with = "serialize_whole_micros")]
     pub age: Duration,
@@ -121,7 +121,7 @@
             calls,
             allowed,
             budget: allowed + 2.0 * allowed.sqrt() + 2.0,
-            start_known_share: start_known_calls / calls,
+            start_known_fraction: start_known_calls / calls,
             age,
         }
     }
--- a/crates/fleet-lab/src/world/customer_account.rs
+++ b/crates/fleet-lab/src/world/customer_account.rs
@@ -5,10 +5,10 @@
 use super::START;
 use gateway_core::{CustomerId, PlanId, Settings, Timestamp};
 
-/// Tolerance of a hard limit, as a share of its capacity; the largest request if that is more.
-const HARD_LIMIT_TOLERANCE: f64 = 0.1;
+/// Tolerance of a hard limit, as a fraction of its capacity; the largest request if that is more.
+const HARD_LIMIT_TOLERANCE_FRACTION: f64 = 0.1;
 /// From this fraction of its tokens on, a quota is half unused.
-const HALF_UNUSED: f64 = 0.5;
+const HALF_UNUSED_FRACTION: f64 = 0.5;
 
 /// A customer and its plan.
 #[derive(Clone, Copy, Debug)]
@@ -46,8 +46,9 @@
         let CustomerPlan { customer: id, plan } = customer;
         let limits = &settings.plans[plan.0];
         let hard_limit = limits.hard_limit.as_ref();
-        let tolerance =
-            |capacity: f64| (capacity * HARD_LIMIT_TOLERANCE).max(settings.max_request_units);
+        let tolerance = |capacity: f64| {
+            (capacity * HARD_LIMIT_TOLERANCE_FRACTION).max(settings.max_request_units)
+        };
         let has_quota = limits.rate > 0.0;
         CustomerAccount {
             id,
@@ -89,7 +90,7 @@
         let Some(quota) = &mut self.quota else {
             return false;
         };
-        quota.fill_fraction(now) >= HALF_UNUSED && quota.tokens(now) >= units
+        quota.fill_fraction(now) >= HALF_UNUSED_FRACTION && quota.tokens(now) >= units
     }
 
     /// An attempt is in flight from now on.
--- a/crates/fleet-lab/src/world/customers.rs
+++ b/crates/fleet-lab/src/world/customers.rs
@@ -15,7 +15,7 @@
 const PREFERENCE_SECONDS: Range<f64> = 7.8..22.0;
 /// Customer ids have 33 bits, by the protocol.
 const CUSTOMER_IDS: Range<u64> = 1..1 << 33;
-/// One of so many gateways of the fleet serves a customer, within [`MIN_GATEWAY_LIMIT`] and [`MAX_GATEWAY_LIMIT`].
+/// A customer uses one gateway out of this number of the fleet's, within [`MIN_GATEWAY_LIMIT`] and [`MAX_GATEWAY_LIMIT`].
 const FLEET_PER_CUSTOMER_GATEWAY: u32 = 20;
 /// Minimum of the limit on a customer's gateways.
 const MIN_GATEWAY_LIMIT: u32 = 4;
@@ -24,7 +24,7 @@
 /// Minimum number of a customer's gateways, in a fleet that has as many.
 const MIN_GATEWAYS: u32 = 2;
 
-/// Which of its gateways a customer uses most, counted from the first, and until when.
+/// Which of its gateways a customer prefers, counted from the first, and until when.
 #[derive(Clone, Copy, Debug)]
 struct PreferredGateway {
     offset: u32,
@@ -63,12 +63,12 @@
         if now >= self.phase.until {
             self.phase = self.pattern.next_phase(rng, now, self.phase);
         }
-        let share = self.pattern.share(self.phase.is_peak);
+        let quota_ratio = self.pattern.quota_ratio(self.phase.is_peak);
         let flood_rate = if is_flooding { self.flood_rate } else { 0.0 };
-        self.quota_rate * share * surge + flood_rate
+        self.quota_rate * quota_ratio * surge + flood_rate
     }
 
-    /// Lets the customer take part in a flood, with so many requests a second.
+    /// Lets the customer take part in a flood, with `rate` requests a second.
     pub(super) fn join_flood(&mut self, rate: f64) {
         self.flood_rate += rate;
     }
@@ -127,7 +127,7 @@
     let mut rate_within_quota = 0.0;
     while rate_within_quota < target_rate {
         let customer = draw_customer(rng, now, settings, plan);
-        rate_within_quota += customer.quota_rate * customer.pattern.mean_share_within_quota();
+        rate_within_quota += customer.quota_rate * customer.pattern.mean_ratio_within_quota();
         customers.push(customer);
     }
     // The last customer brings the sum above the target, so all ask for a little less.
--- a/crates/fleet-lab/src/world/datagrams.rs
+++ b/crates/fleet-lab/src/world/datagrams.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// A value that holds for a while: a multiple or a share, as the field that holds it says.
+/// A value that applies for a while: a ratio or a fraction, as the field that holds it says.
 #[derive(Clone, Copy, Debug)]
 pub struct Temporary {
     /// When.
@@ -57,9 +57,9 @@
 pub struct NetworkConditions {
     /// Delay one way.
     pub delay: Range<Duration>,
-    /// Share of messages lost at any time.
+    /// Fraction of messages lost at any time.
     pub loss: f64,
-    /// Share of messages lost within some span, if that is more.
+    /// Fraction of messages lost within some span, if that is more.
     pub temporary_loss: Option<Temporary>,
     /// Messages a second that a gateway accepts; further ones are dropped.
     pub accepted_per_second: f64,
@@ -75,7 +75,7 @@
 }
 
 impl MessageCounts {
-    /// Counts a message of so many bytes.
+    /// Counts a message by its length in bytes.
     pub fn add(&mut self, bytes: usize) {
         self.messages += 1;
         self.bytes += bytes as u64;
@@ -106,7 +106,7 @@
 }
 
 impl Datagrams {
-    /// A network of so many gateways.
+    /// A network of a number of gateways.
     pub fn new(
         rng: Rng,
         now: Timestamp,
--- a/crates/fleet-lab/src/world/demand_pattern.rs
+++ b/crates/fleet-lab/src/world/demand_pattern.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 /// What a customer uses of its quota between two bursts.
-const BETWEEN_BURSTS_SHARE: f64 = 0.4;
+const BETWEEN_BURSTS_RATIO: f64 = 0.4;
 /// Mean of what a customer with long phases uses of its quota within it.
-const MEAN_SUSTAINED_SHARE: f64 = 0.7;
+const MEAN_SUSTAINED_RATIO: f64 = 0.7;
 /// Mean of what a customer with short bursts uses of its quota within it.
-const MEAN_BURSTY_SHARE: f64 = 0.5;
+const MEAN_BURSTY_RATIO: f64 = 0.5;
 /// Customers are drawn by a random number from 0 to 1: below this one, they steadily use nearly their quota.
 const NEAR_QUOTA_BELOW: f64 = 0.17;
 /// Those from there to below this number have long phases beyond their quota.
@@ -19,10 +19,10 @@
 /// Those from there to below this number have short bursts; all others steadily use a part of their quota.
 const BURSTY_BELOW: f64 = 0.42;
 
-/// How a customer uses its quota; shares are of the quota.
+/// How a customer uses its quota. Ratios are those of what it asks for to its quota.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum DemandPattern {
-    /// Always this share.
+    /// Always this ratio.
     Steady(f64),
     /// Long phases of up to four times the quota.
     Sustained(f64),
@@ -70,28 +70,28 @@
         }
     }
 
-    /// Share of the quota that is asked for now.
-    pub(super) fn share(self, is_peak: bool) -> f64 {
+    /// Ratio of what is asked for now to the quota.
+    pub(super) fn quota_ratio(self, is_peak: bool) -> f64 {
         match self {
-            DemandPattern::Steady(share) => share,
-            DemandPattern::Sustained(share) | DemandPattern::Bursty(share) if is_peak => share,
-            DemandPattern::Sustained(_) | DemandPattern::Bursty(_) => BETWEEN_BURSTS_SHARE,
+            DemandPattern::Steady(ratio) => ratio,
+            DemandPattern::Sustained(ratio) | DemandPattern::Bursty(ratio) if is_peak => ratio,
+            DemandPattern::Sustained(_) | DemandPattern::Bursty(_) => BETWEEN_BURSTS_RATIO,
         }
     }
 
-    /// Mean share of the quota that is asked for within it.
-    pub(super) fn mean_share_within_quota(self) -> f64 {
+    /// Mean ratio of what is asked for within the quota to the quota.
+    pub(super) fn mean_ratio_within_quota(self) -> f64 {
         match self {
-            DemandPattern::Steady(share) => share,
-            DemandPattern::Sustained(_) => MEAN_SUSTAINED_SHARE,
-            DemandPattern::Bursty(_) => MEAN_BURSTY_SHARE,
+            DemandPattern::Steady(ratio) => ratio,
+            DemandPattern::Sustained(_) => MEAN_SUSTAINED_RATIO,
+            DemandPattern::Bursty(_) => MEAN_BURSTY_RATIO,
         }
     }
 
-    /// The pattern with its steady share multiplied.
+    /// The pattern with its steady ratio multiplied.
     pub(super) fn scaled(self, factor: f64) -> DemandPattern {
         match self {
-            DemandPattern::Steady(share) => DemandPattern::Steady(share * factor),
+            DemandPattern::Steady(ratio) => DemandPattern::Steady(ratio * factor),
             other => other,
         }
     }
--- a/crates/fleet-lab/src/world/discovery.rs
+++ b/crates/fleet-lab/src/world/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: the list of servers, and how much of it each gateway has received. Changes reach each gateway after a
 //! delay of its own. During an outage of discovery, or while a partition separates a gateway from it, nothing
-//! arrives; afterwards all changes arrive at once.
+//! arrives; afterwards all changes arrive together.
 
 use super::draining::DrainingServers;
 use super::{Rng, TimeSpan};
--- a/crates/fleet-lab/src/world/invariant_checker/answers.rs
+++ b/crates/fleet-lab/src/world/invariant_checker/answers.rs
@@ -76,7 +76,7 @@
         true
     }
 
-    /// The gateway that held the request was killed.
+    /// The gateway at which the request was open was killed.
     pub fn gateway_killed(&mut self, now: Timestamp, number: RequestNumber) {
         if let Some(request) = self.close(number) {
             self.count(now, &request, |counts| counts.gateway_killed += 1);
--- a/crates/fleet-lab/src/world/invariant_checker/mod.rs
+++ b/crates/fleet-lab/src/world/invariant_checker/mod.rs
@@ -119,7 +119,7 @@
 
     /// A cold server was overloaded until it crashed.
     pub fn server_crashed(&mut self, now: Timestamp, server: ServerId, load: ColdStartLoad) {
-        if load.start_known_share > MAX_START_KNOWN_FRACTION {
+        if load.start_known_fraction > MAX_START_KNOWN_FRACTION {
             let ColdStartLoad { calls, budget, .. } = load;
             let age = load.age.as_seconds();
             let problem = format!(
--- a/crates/fleet-lab/src/world/servers.rs
+++ b/crates/fleet-lab/src/world/servers.rs
@@ -103,9 +103,9 @@
     fn end_process(&mut self, state: ProcessState, events: &mut Vec<ServerEvent>) {
         self.process = state;
         let running = std::mem::take(&mut self.running).into_values();
-        let held = running.chain(self.queue.drain(..));
+        let lost = running.chain(self.queue.drain(..));
         let outcome = AttemptOutcome::ConnectionLost;
-        events.extend(held.map(|job| ServerEvent::Finished {
+        events.extend(lost.map(|job| ServerEvent::Finished {
             job,
             outcome,
             reported_load: None,
--- a/crates/fleet-lab/src/world/token_bucket.rs
+++ b/crates/fleet-lab/src/world/token_bucket.rs
@@ -32,14 +32,14 @@
         self.tokens
     }
 
-    /// Removes tokens even if that overdraws the bucket, or adds them if `count` is negative. Returns what is left.
+    /// Removes tokens even if that overdraws the bucket, or adds them if `count` is negative. Returns the remaining tokens.
     pub fn take(&mut self, now: Timestamp, count: f64) -> f64 {
         self.tokens(now);
         self.tokens = (self.tokens - count).min(self.capacity);
         self.tokens
     }
 
-    /// Removes tokens if the bucket holds as many; returns whether it did.
+    /// Removes tokens if there are as many in the bucket; returns whether there were.
     pub fn try_take(&mut self, now: Timestamp, count: f64) -> bool {
         let available = self.tokens(now) >= count;
         if available {
--- a/crates/fleet-lab/src/world/usage_limit.rs
+++ b/crates/fleet-lab/src/world/usage_limit.rs
@@ -28,12 +28,12 @@
 #[derive(Clone, Debug)]
 pub struct UsageLimit {
     bucket: TokenBucket,
-    /// The greatest excess relative to its tolerance.
+    /// The maximum excess relative to its tolerance.
     peak: Option<Excess>,
 }
 
 impl UsageLimit {
-    /// A limit of which nothing has been used: so many units a second, and so many at once.
+    /// A limit of which nothing has been used: `rate` in units a second, and `capacity` in units that may be used in one moment.
     pub fn unused(now: Timestamp, rate: f64, capacity: f64) -> UsageLimit {
         UsageLimit {
             bucket: TokenBucket::full(now, rate, capacity),
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Uses units, whether or not that exceeds the limit. Returns how far the use is beyond it, if so many units are
-    /// tolerated.
+    /// Uses units, whether or not that exceeds the limit. Returns how far the use is beyond it, and the units
+    /// that are tolerated.
     pub fn consume(&mut self, now: Timestamp, units: f64, tolerated: f64) -> Excess {
         let remaining = self.bucket.take(now, units);
         let excess = Excess {
@@ -58,7 +58,7 @@
         excess
     }
 
-    /// The greatest excess relative to its tolerance; `None` before the first use.
+    /// The maximum excess relative to its tolerance; `None` before the first use.
     pub fn peak(&self) -> Option<Excess> {
         self.peak
     }
--- a/crates/fleet-lab/tests/world.rs
+++ b/crates/fleet-lab/tests/world.rs
@@ -244,7 +244,7 @@
         "{load:?}"
     );
     assert!(
-        (load.start_known_share - 25.0 / 31.0).abs() < 1e-9,
+        (load.start_known_fraction - 25.0 / 31.0).abs() < 1e-9,
         "{load:?}"
     );
     // The connections of all attempts that it held are lost, and it accepts no further ones.
@@ -326,7 +326,7 @@
     let mut checker = new_checker();
     let load = |share| ColdStartLoad {
         calls: 9.0,
-        start_known_share: share,
+        start_known_fraction: share,
         ..ColdStartLoad::default()
     };
     checker.server_crashed(START, ServerId(1), load(0.6));
