--- /dev/null
+++ b/crates/fleet-lab/tests/hybrid/runs.rs
@@ -0,0 +1,195 @@
+//! Short runs with the edge node's real program.
+
+use std::path::PathBuf;
+use std::process::{Command, Output};
+
+/// The edge node's program, as it was last built for release.
+fn program() -> PathBuf {
+    let test = std::env::current_exe().expect("this test's own path");
+    let target = test.ancestors().nth(3).expect("a target folder");
+    let program = target.join("release/edge-node");
+    assert!(
+        program.is_file(),
+        "{} is missing: `cargo build --release` builds it",
+        program.display()
+    );
+    program
+}
+
+fn run_command(arguments: &[&str]) -> Output {
+    let program = program();
+    let program = program.to_str().expect("a plain path");
+    let mut command = Command::new(env!("CARGO_BIN_EXE_fleet-lab"));
+    command
+        .args(["hybrid", "--program", program])
+        .args(arguments)
+        .output()
+        .expect("it runs")
+}
+
+/// Makes a short run. Returns its figures, with which its exit status has to agree.
+fn run(arguments: &[&str]) -> serde_json::Value {
+    let file = tempfile::NamedTempFile::new().expect("a file");
+    let path = file.path().to_str().expect("a plain path");
+    let size = [
+        "--real",
+        "2",
+        "--hollow",
+        "4",
+        "--seconds",
+        "3",
+        "--within",
+        "3",
+        "--json",
+        path,
+    ];
+    let output = run_command(&[&size[..], arguments].concat());
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    let text = std::fs::read_to_string(path).expect("figures");
+    let report: serde_json::Value =
+        serde_json::from_str(&text).unwrap_or_else(|_| panic!("no figures: {stderr}"));
+    let differs = report["rows"]
+        .as_array()
+        .expect("rows")
+        .iter()
+        .any(|row| row["agrees"] == false);
+    let is_violated = invariants(&report)
+        .iter()
+        .any(|invariant| invariant["broken"] != 0);
+    assert_eq!(
+        output.status.code(),
+        Some(i32::from(differs || is_violated)),
+        "{stderr}"
+    );
+    report
+}
+
+fn invariants(report: &serde_json::Value) -> &[serde_json::Value] {
+    report["rules"].as_array().expect("rules")
+}
+
+fn assert_no_violation(report: &serde_json::Value) {
+    for invariant in invariants(report) {
+        assert_eq!(invariant["broken"], 0, "{invariant}");
+    }
+    assert!(report["requests"]
+        .as_array()
+        .expect("both")
+        .iter()
+        .all(|count| count.as_u64() > Some(0)));
+}
+
+/// The counts agree. Waits are not compared, as they depend on the machine that the test runs on.
+fn assert_counts_agree(report: &serde_json::Value) {
+    let rows = report["rows"].as_array().expect("rows").iter();
+    let counted = rows.filter(|row| {
+        row["what"]
+            .as_str()
+            .is_some_and(|what| !what.starts_with("wait"))
+    });
+    let mut compared = 0;
+    for row in counted {
+        assert_ne!(row["agrees"], false, "{row}");
+        compared += usize::from(row["agrees"] == true);
+    }
+    assert_eq!(compared, 5, "messages, bytes, served, refused and failed");
+}
+
+#[test]
+fn real_and_hollow_nodes_keep_the_invariants_together_and_agree() {
+    let report = run(&["--seed", "7"]);
+    assert_no_violation(&report);
+    assert_counts_agree(&report);
+    assert!(
+        invariants(&report)
+            .iter()
+            .all(|invariant| invariant["looked_at"].as_u64() > Some(0)),
+        "each invariant was checked: {report}"
+    );
+}
+
+#[test]
+fn quota_owners_of_a_large_fleet_are_nodes_of_either_kind() {
+    let report = run(&["--seed", "8", "--fleet-size", "40"]);
+    assert_no_violation(&report);
+    assert_counts_agree(&report);
+}
+
+#[test]
+fn an_unresponsive_server_leaves_no_request_without_an_answer() {
+    let report = run(&["--seed", "9", "--trouble", "mute"]);
+    assert_no_violation(&report);
+    let is_on_idempotency = |result: &&serde_json::Value| {
+        result["rule"]
+            .as_str()
+            .is_some_and(|name| name.contains("runs once"))
+    };
+    let idempotency = invariants(&report).iter().find(is_on_idempotency);
+    let repeated = idempotency
+        .and_then(|result| result["seen"].as_str())
+        .expect("what ran again");
+    let failed = report["rows"]
+        .as_array()
+        .expect("rows")
+        .iter()
+        .find(|row| row["what"] == "failed share");
+    let failed = failed.expect("a share that failed");
+    let some_failed = failed["real"]["value"] != 0.0 || failed["hollow"]["value"] != 0.0;
+    assert!(
+        some_failed || !repeated.starts_with("0 "),
+        "the unresponsive server got requests: {report}"
+    );
+}
+
+#[test]
+fn invalid_arguments_end_with_status_2() {
+    for arguments in [
+        &["--real", "0"][..],
+        &["--real", "5"],
+        &["--hollow", "0"],
+        &["--hollow", "101"],
+        &["--seconds", "0"],
+        &["--seconds", "121"],
+        &["--fleet-size", "11"],
+        &["--fleet-size", "1001"],
+        &["--rate", "0"],
+        &["--rate", "NaN"],
+        &["--rate", "1000"],
+        &["--within", "0.9"],
+        &["--within", "inf"],
+        &["--doubt", "-0.1"],
+        &["--doubt=NaN"],
+        &["--quota-tolerance", "-0.1"],
+    ] {
+        let output = run_command(arguments);
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {stderr}");
+        assert!(output.stdout.is_empty(), "{arguments:?}");
+    }
+    let missing = Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
+        .args(["hybrid", "--program", "/nowhere/edge-node"])
+        .output()
+        .expect("it runs");
+    let stderr = String::from_utf8_lossy(&missing.stderr);
+    assert_eq!(
+        (missing.status.code(), stderr.lines().count()),
+        (Some(2), 1),
+        "{stderr}"
+    );
+}
+
+#[test]
+fn a_program_that_does_not_serve_fails_the_run() {
+    let other = env!("CARGO_BIN_EXE_fleet-lab");
+    let output = Command::new(other)
+        .args(["hybrid", "--program", other, "--seconds", "1"])
+        .output()
+        .expect("it runs");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(
+        (output.status.code(), stderr.lines().count()),
+        (Some(1), 1),
+        "{stderr}"
+    );
+    assert!(stderr.contains("does not listen"), "{stderr}");
+}
--- a/crates/fleet-lab/tests/scaling.rs
+++ b/crates/fleet-lab/tests/scaling.rs
@@ -5,6 +5,11 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
+/// Arguments that are written as one line.
+fn words(line: &str) -> Vec<&str> {
+    line.split_whitespace().collect()
+}
+
 fn lab(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
         .arg("scaling")
@@ -19,10 +24,10 @@
 }
 
 /// Runs the lab and reads what it wrote.
-fn report(name: &str, args: &[&str]) -> Report {
+fn report(name: &str, args: &str) -> Report {
     let file = file(name);
     let json = file.to_str().expect("a plain path");
-    let run = lab(&[args, &["--json", json]].concat());
+    let run = lab(&[&words(args)[..], &["--json", json]].concat());
     assert!(
         run.status.success(),
         "{}",
@@ -52,41 +57,23 @@
 
 #[test]
 fn a_request_in_a_large_fleet_costs_at_most_one_lease_request_and_one_grant_at_any_size() {
-    let what = [
-        "--only",
-        "request",
-        "--only",
-        "datagram",
-        "--repeats",
-        "2",
-        "--most",
-        "1000",
-    ];
-    let over = [
-        "--over",
-        "servers",
-        "--over",
-        "gateways",
-        "--customers",
-        "100",
-        "--spread",
-        "12",
-    ];
-    let report = report("large.json", &[what, over].concat());
-    for (name, least) in [("request", 19.0), ("datagram", 7.0)] {
+    let measurements = "--only request --only datagram --repeats 2 --most 1000";
+    let sizes = "--over servers --over gateways --customers 100 --spread 12";
+    let report = report("large.json", &format!("{measurements} {sizes}"));
+    for (name, min_bytes) in [("request", 19.0), ("datagram", 7.0)] {
         let curve = curve(&report, name, Dimension::Servers);
         assert_eq!(curve.points.len(), 4, "14, 60, 200 and 1,000 servers");
         for point in &curve.points {
             let messages = point.figures["messages"];
             // Units on lease need no lease request; a lease request is always answered.
-            let fewest = if name == "request" { 0.1 } else { 1.0 };
+            let min_messages = if name == "request" { 0.1 } else { 1.0 };
             assert!(
-                messages.min >= fewest && messages.max <= 1.0,
+                messages.min >= min_messages && messages.max <= 1.0,
                 "{name}, {} servers: {messages:?}",
                 point.size
             );
             assert!(
-                point.figures["sent_bytes"].min >= least * messages.min,
+                point.figures["sent_bytes"].min >= min_bytes * messages.min,
                 "{name}, {} servers",
                 point.size
             );
@@ -126,23 +113,9 @@
 /// listed.
 #[test]
 fn a_request_and_a_changed_entry_visit_no_more_servers_if_more_are_listed() {
-    let what = [
-        "--only", "request", "--only", "datagram", "--only", "entry", "--only", "tick", "--over",
-        "servers",
-    ];
-    let sizes = [
-        "--gateways",
-        "4200",
-        "--repeats",
-        "1",
-        "--most",
-        "5000",
-        "--customers",
-        "100",
-        "--spread",
-        "12",
-    ];
-    let report = report("visited.json", &[&what[..], &sizes].concat());
+    let measurements = "--only request --only datagram --only entry --only tick --over servers";
+    let sizes = "--gateways 4200 --repeats 1 --most 5000 --customers 100 --spread 12";
+    let report = report("visited.json", &format!("{measurements} {sizes}"));
     for (name, bound) in [
         ("request", 100.0),
         ("datagram", 50.0),
@@ -170,17 +143,8 @@
 
 #[test]
 fn memory_grows_linearly_and_its_statistics_can_be_read_back() {
-    let args = [
-        "--only",
-        "memory-customers",
-        "--only",
-        "memory-servers",
-        "--repeats",
-        "3",
-        "--most",
-        "1000",
-    ];
-    let report = report("memory.json", &args);
+    let args = "--only memory-customers --only memory-servers --repeats 3 --most 1000";
+    let report = report("memory.json", args);
     assert_eq!((report.seed, report.repeats), (1, 3));
     assert_eq!(report.curves.len(), 2);
     for curve in &report.curves {
@@ -199,19 +163,16 @@
 
 #[test]
 fn a_list_as_text_grows_linearly() {
-    let report = report(
-        "feed.json",
-        &["--only", "feed", "--repeats", "1", "--most", "1000"],
-    );
+    let report = report("feed.json", "--only feed --repeats 1 --most 1000");
     for point in &curve(&report, "feed", Dimension::Servers).points {
         let (list, entry) = (
             point.figures["list_bytes"].median,
             point.figures["entry_bytes"].median,
         );
         // The frame around the entries is part of both, but only once in the list.
-        let (least, most) = (0.7 * entry * point.size as f64, entry * point.size as f64);
+        let (minimum, maximum) = (0.7 * entry * point.size as f64, entry * point.size as f64);
         assert!(
-            (least..most).contains(&list),
+            (minimum..maximum).contains(&list),
             "{list} bytes of {} servers",
             point.size
         );
@@ -223,17 +184,10 @@
     let file = file("plot.svg");
     let path = file.to_str().expect("a plain path");
     let run = lab(&[
-        "--only",
-        "entry",
-        "--only",
-        "list",
-        "--repeats",
-        "1",
-        "--most",
-        "200",
-        "--plot",
-        path,
-    ]);
+        &words("--only entry --only list --repeats 1 --most 200")[..],
+        &["--plot", path],
+    ]
+    .concat());
     assert!(
         run.status.success(),
         "{}",
@@ -248,24 +202,13 @@
 
 #[test]
 fn the_same_seed_gives_the_same_counts() {
-    let args = [
-        "--only",
-        "request",
-        "--repeats",
-        "1",
-        "--most",
-        "60",
-        "--seed",
-        "7",
-        "--customers",
-        "100",
-    ];
+    let args = "--only request --repeats 1 --most 60 --seed 7 --customers 100";
     let counted = |report: Report| -> Vec<_> {
         let points = report.curves.into_iter().flat_map(|curve| curve.points);
         let figures = points.flat_map(|point| point.figures);
         figures.filter(|(name, _)| name != "time_us").collect()
     };
-    let (one, two) = (report("one.json", &args), report("two.json", &args));
+    let (one, two) = (report("one.json", args), report("two.json", args));
     assert_eq!(counted(one), counted(two));
 }
 
@@ -286,11 +229,11 @@
     ];
     for args in invalid {
         let run = lab(args);
-        let said = String::from_utf8_lossy(&run.stderr);
-        assert_eq!(run.status.code(), Some(2), "{args:?}: {said}");
+        let stderr = String::from_utf8_lossy(&run.stderr);
+        assert_eq!(run.status.code(), Some(2), "{args:?}: {stderr}");
         assert!(
-            said.starts_with("fleet-lab: ") && said.lines().count() == 1,
-            "{args:?}: {said}"
+            stderr.starts_with("fleet-lab: ") && stderr.lines().count() == 1,
+            "{args:?}: {stderr}"
         );
         assert!(run.stdout.is_empty(), "{args:?}");
     }
@@ -301,15 +244,10 @@
     let file = file("none.svg");
     let path = file.to_str().expect("a plain path");
     let run = lab(&[
-        "--only",
-        "memory-gateways",
-        "--repeats",
-        "1",
-        "--most",
-        "60",
-        "--plot",
-        path,
-    ]);
+        &words("--only memory-gateways --repeats 1 --most 60")[..],
+        &["--plot", path],
+    ]
+    .concat());
     assert_eq!(
         run.status.code(),
         Some(1),
--- a/crates/fleet-lab/tests/simulate.rs
+++ b/crates/fleet-lab/tests/simulate.rs
@@ -1,15 +1,15 @@
 //! `fleet-lab simulate`: the same seed gives the same bytes, a fleet without faults violates no invariant, and the
 //! invariant checker catches a gateway that violates one on purpose.
 
-use fleet_lab::simulate::{
-    simulate, ColdServer, DecisionModule, Experiment, ExperimentConfig, NewModule, Report,
-};
+#[path = "simulate/defective_module.rs"]
+mod defective_module;
+
+use defective_module::{Defect, DefectiveModule};
+use fleet_lab::simulate::{simulate, ColdServer, Experiment, ExperimentConfig, NewModule, Report};
 use fleet_lab::world::invariant::Invariant;
 use fleet_lab::Failure;
-use gateway_core::*;
-use std::collections::{BTreeMap, BTreeSet};
+use gateway_core::{Gateway, Settings};
 use std::process::Command;
-use std::time::Duration;
 
 fn config(faults: &[&str]) -> ExperimentConfig {
     let faults = faults.iter().map(|name| (*name).to_owned()).collect();
@@ -42,196 +42,6 @@
         .map_or(0, |violations| violations.count)
 }
 
-// ---- A gateway that violates an invariant on purpose ----
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Defect {
-    None,
-    /// Sends to draining servers, once it has known of the drain for long enough.
-    SendToDrained,
-    /// Sends the requests that the module rejects.
-    ExceedQuotas,
-    /// Sends all requests to the server that started last.
-    OverloadColdServer,
-    /// Answers each rejected request twice.
-    AnswerTwice,
-    /// Sends non-idempotent requests to two servers.
-    RunTwice,
-    /// Suppresses the module's rejections and failures.
-    NeverAnswer,
-    /// Sends an attempt after the rejection.
-    SendLate,
-}
-
-/// An entry of the list of servers, and when it was received.
-#[derive(Clone, Copy)]
-struct KnownEndpoint {
-    endpoint: Endpoint,
-    received_at: Timestamp,
-}
-
-/// The decision module, with some of its actions replaced.
-struct DefectiveModule {
-    inner: Gateway,
-    settings: Settings,
-    defect: Defect,
-    known: BTreeMap<ServerId, KnownEndpoint>,
-    classes: BTreeMap<RequestId, ClassId>,
-    /// Requests that were sent although the module rejected them: it does not know them any more.
-    sent_after_rejection: BTreeSet<RequestId>,
-}
-
-impl DefectiveModule {
-    fn new(inner: Gateway, settings: Settings, defect: Defect) -> DefectiveModule {
-        DefectiveModule {
-            inner,
-            settings,
-            defect,
-            known: BTreeMap::new(),
-            classes: BTreeMap::new(),
-            sent_after_rejection: BTreeSet::new(),
-        }
-    }
-
-    fn observe(&mut self, now: Timestamp, event: &Event) {
-        match event {
-            Event::EndpointsUpdated { endpoints, .. } => {
-                for endpoint in endpoints {
-                    let known = KnownEndpoint {
-                        endpoint: *endpoint,
-                        received_at: now,
-                    };
-                    self.known.insert(endpoint.server, known);
-                }
-            }
-            Event::RequestReceived { id, class, .. } => {
-                self.classes.insert(id.clone(), *class);
-            }
-            _ => {}
-        }
-    }
-
-    fn in_state(&self, state: EndpointState) -> impl Iterator<Item = &KnownEndpoint> {
-        self.known
-            .values()
-            .filter(move |known| known.endpoint.state == state)
-    }
-
-    fn ready_servers(&self) -> impl Iterator<Item = ServerId> + '_ {
-        self.in_state(EndpointState::Ready)
-            .map(|known| known.endpoint.server)
-    }
-
-    /// The server of an attempt in place of the module's choice.
-    fn misrouted(&self, now: Timestamp) -> Option<ServerId> {
-        let known = match self.defect {
-            Defect::SendToDrained => {
-                let mut draining = self.in_state(EndpointState::Draining);
-                draining.find(|known| known.received_at + Duration::from_millis(600) < now)
-            }
-            Defect::OverloadColdServer => {
-                let newest = self
-                    .in_state(EndpointState::Ready)
-                    .max_by_key(|known| known.endpoint.started_at);
-                newest.filter(|known| known.endpoint.started_at.is_some())
-            }
-            _ => None,
-        };
-        known.map(|known| known.endpoint.server)
-    }
-
-    fn replace_action(&mut self, now: Timestamp, action: Action, out: &mut Vec<Action>) {
-        let class = |id| {
-            self.classes
-                .get(id)
-                .map(|class| self.settings.classes[class.0].idempotency)
-        };
-        match (self.defect, action) {
-            (
-                Defect::SendToDrained | Defect::OverloadColdServer,
-                Action::SendAttempt {
-                    id,
-                    server,
-                    timeout,
-                },
-            ) => {
-                let server = self.misrouted(now).unwrap_or(server);
-                out.push(Action::SendAttempt {
-                    id,
-                    server,
-                    timeout,
-                });
-            }
-            (Defect::ExceedQuotas, Action::Reject { id, .. }) => {
-                let ready: Vec<_> = self.ready_servers().collect();
-                let server = ready[now.as_micros() as usize % ready.len()];
-                self.sent_after_rejection.insert(id.clone());
-                out.push(Action::SendAttempt {
-                    id,
-                    server,
-                    timeout: None,
-                });
-            }
-            (Defect::AnswerTwice, reject @ Action::Reject { .. }) => {
-                out.extend([reject.clone(), reject]);
-            }
-            (
-                Defect::RunTwice,
-                Action::SendAttempt {
-                    id,
-                    server,
-                    timeout,
-                },
-            ) => {
-                let is_sent_twice = class(&id) == Some(Idempotency::NonIdempotent);
-                out.push(Action::SendAttempt {
-                    id: id.clone(),
-                    server,
-                    timeout,
-                });
-                let other = self.ready_servers().find(|other| *other != server);
-                if let Some(server) = other.filter(|_| is_sent_twice) {
-                    out.push(Action::SendAttempt {
-                        id,
-                        server,
-                        timeout,
-                    });
-                }
-            }
-            (Defect::NeverAnswer, Action::Reject { .. } | Action::Fail { .. }) => {}
-            (Defect::SendLate, Action::Reject { id, retry_after }) => {
-                out.push(Action::Reject {
-                    id: id.clone(),
-                    retry_after,
-                });
-                let ready = self.ready_servers().next();
-                out.extend(ready.map(|server| Action::SendAttempt {
-                    id,
-                    server,
-                    timeout: None,
-                }));
-            }
-            (_, action) => out.push(action),
-        }
-    }
-}
-
-impl DecisionModule for DefectiveModule {
-    fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
-        self.observe(now, &event);
-        if let Event::AttemptFinished { id, closed, .. } = &event {
-            if self.sent_after_rejection.remove(id) && !closed {
-                out.push(Action::Fail { id: id.clone() });
-            }
-        }
-        let mut actions = Vec::new();
-        self.inner.handle(now, event, &mut actions);
-        for action in actions {
-            self.replace_action(now, action, out);
-        }
-    }
-}
-
 // ---- Simulations ----
 
 #[test]
@@ -421,11 +231,11 @@
             .args(invalid)
             .output()
             .expect("it starts");
-        let said = String::from_utf8(ran.stderr).expect("text");
+        let stderr = String::from_utf8(ran.stderr).expect("text");
         assert_eq!(
-            (ran.status.code(), said.lines().count()),
+            (ran.status.code(), stderr.lines().count()),
             (Some(2), 1),
-            "{invalid:?}: {said}"
+            "{invalid:?}: {stderr}"
         );
         assert!(ran.stdout.is_empty());
     }
--- /dev/null
+++ b/crates/fleet-lab/tests/world/discovery.rs
@@ -0,0 +1,102 @@
+//! Discovery, and what gateways know of draining servers.
+
+use crate::common::{endpoint, MICROSECOND, SECOND};
+use fleet_lab::world::discovery::{Discovery, PollKind, PollResult};
+use fleet_lab::world::draining::{DrainGrace, DrainingServers};
+use fleet_lab::world::{random_stream, TimeSpan, START};
+use gateway_core::{Endpoint, EndpointState, EndpointUpdate, Event, GatewayId, ServerId};
+use std::time::Duration;
+
+#[test]
+fn a_gateway_receives_all_missed_changes_after_an_outage_of_discovery() {
+    let outage = TimeSpan {
+        start: START + SECOND,
+        end: START + 9 * SECOND,
+    };
+    let list = vec![endpoint(1, None), endpoint(2, None)];
+    let mut discovery = Discovery::new(
+        random_stream(1, 2),
+        list,
+        2,
+        Duration::ZERO..4 * MICROSECOND,
+        vec![outage],
+    );
+    let (me, other) = (GatewayId(0), GatewayId(1));
+    discovery.publish(Endpoint {
+        state: EndpointState::Draining,
+        ..endpoint(1, None)
+    });
+    discovery.publish(endpoint(3, Some(START)));
+    assert!(
+        !discovery.knows_server(me, ServerId(3))
+            && discovery.draining_since(me, ServerId(1)).is_none()
+    );
+    let PollResult::RetryAt(until) =
+        discovery.poll(START + 2 * SECOND, me, None, PollKind::Scheduled)
+    else {
+        panic!("an outage")
+    };
+    assert!((outage.end..outage.end + 4 * MICROSECOND).contains(&until));
+    assert!(matches!(
+        discovery.poll(START + 2 * SECOND, me, None, PollKind::Requested),
+        PollResult::CallFailed
+    ));
+    let PollResult::Update(Event::EndpointsUpdated { kind, endpoints }) =
+        discovery.poll(until, me, None, PollKind::Scheduled)
+    else {
+        panic!("an update")
+    };
+    assert_eq!((kind, endpoints.len()), (EndpointUpdate::Delta, 2));
+    assert_eq!(discovery.draining_since(me, ServerId(1)), Some(until));
+    assert!(discovery.knows_server(me, ServerId(3)) && !discovery.knows_server(other, ServerId(3)));
+    assert!(matches!(
+        discovery.poll(until, me, None, PollKind::Scheduled),
+        PollResult::NoChange
+    ));
+    let isolated = discovery.poll(until, other, Some(until + SECOND), PollKind::Scheduled);
+    assert!(matches!(isolated, PollResult::RetryAt(at) if at >= until + SECOND));
+    // A server that comes back drains no more, and its new start is not known yet.
+    assert!(discovery.knows_latest_start(me, ServerId(1)));
+    discovery.publish(endpoint(1, Some(until)));
+    assert!(
+        discovery.knows_server(me, ServerId(1)) && !discovery.knows_latest_start(me, ServerId(1))
+    );
+    discovery.poll(until, me, None, PollKind::Scheduled);
+    assert!(
+        discovery.knows_latest_start(me, ServerId(1))
+            && discovery.draining_since(me, ServerId(1)).is_none()
+    );
+    // A gateway that restarts has the list that it had last.
+    let Event::EndpointsUpdated {
+        kind: EndpointUpdate::Snapshot,
+        endpoints,
+    } = discovery.last_snapshot(other)
+    else {
+        panic!("a list")
+    };
+    assert_eq!(endpoints.len(), 2);
+}
+
+#[test]
+fn a_gateway_knows_of_a_drain_from_the_first_notification_until_the_server_is_ready_again() {
+    let mut draining = DrainingServers::default();
+    let server = ServerId(1);
+    assert!(!draining.state_received(START, server, EndpointState::Ready));
+    assert!(draining.state_received(START + MICROSECOND, server, EndpointState::Draining));
+    assert!(
+        !draining.state_received(START + 2 * MICROSECOND, server, EndpointState::Gone),
+        "it was draining already"
+    );
+    assert_eq!(
+        (draining.since(server), draining.since(ServerId(2))),
+        (Some(START + MICROSECOND), None)
+    );
+    assert!(!draining.state_received(START + 3 * MICROSECOND, server, EndpointState::Ready));
+    assert_eq!(draining.since(server), None);
+    assert!(draining.state_received(START + 4 * MICROSECOND, server, EndpointState::Gone));
+    let grace = DrainGrace(100 * MICROSECOND);
+    assert!(
+        !grace.is_over(START + 100 * MICROSECOND, START)
+            && grace.is_over(START + 101 * MICROSECOND, START)
+    );
+}
--- /dev/null
+++ b/crates/fleet-lab/tests/world/servers.rs
@@ -0,0 +1,225 @@
+//! Servers: cores, queue, hangs, slowness, and the crash of a cold server.
+
+use crate::common::{endpoint, MICROSECOND, MILLISECOND, SECOND};
+use fleet_lab::world::machine::Machine;
+use fleet_lab::world::server_events::{Job, ServerEvent};
+use fleet_lab::world::servers::Server;
+use fleet_lab::world::{random_stream, RequestNumber, START};
+use gateway_core::{AttemptNumber, AttemptOutcome, GatewayId, Rules, Timestamp};
+use std::time::Duration;
+
+const RULES: Rules = Rules {
+    warm_up_from: 0.25,
+    warm_up_period: Duration::from_secs(10),
+    overload_multiple: 2.0,
+    overload_window: Duration::from_secs(2),
+};
+
+/// Every request takes 100 ms on one of two cores.
+fn machine() -> Machine {
+    Machine {
+        cores: 2,
+        slots: 10,
+        work: 100 * MILLISECOND..100 * MILLISECOND,
+        report_interval: MICROSECOND..2 * MICROSECOND,
+    }
+}
+
+fn job(request: u64, start_known: bool) -> Job {
+    Job {
+        request: RequestNumber(request),
+        attempt: AttemptNumber(0),
+        gateway: GatewayId(0),
+        expires_at: Timestamp::MAX,
+        work: 100 * MILLISECOND,
+        start_known,
+    }
+}
+
+fn server(started: Option<Timestamp>) -> Server {
+    Server::new(
+        &mut random_stream(1, 1),
+        endpoint(1, started),
+        machine(),
+        RULES,
+    )
+}
+
+/// An attempt that finished.
+#[derive(Debug, PartialEq)]
+struct FinishedAttempt {
+    request: RequestNumber,
+    outcome: AttemptOutcome,
+    reported_load: Option<f64>,
+}
+
+impl FinishedAttempt {
+    fn new(request: u64, outcome: AttemptOutcome, reported_load: Option<f64>) -> FinishedAttempt {
+        FinishedAttempt {
+            request: RequestNumber(request),
+            outcome,
+            reported_load,
+        }
+    }
+}
+
+/// The attempts that finished.
+fn finished(events: &[ServerEvent]) -> Vec<FinishedAttempt> {
+    let finished = |event: &ServerEvent| match event {
+        ServerEvent::Finished {
+            job,
+            outcome,
+            reported_load,
+        } => Some(FinishedAttempt::new(
+            job.request.0,
+            *outcome,
+            *reported_load,
+        )),
+        _ => None,
+    };
+    events.iter().filter_map(finished).collect()
+}
+
+/// A run that was started or delayed, and when it is due.
+#[derive(Debug, PartialEq)]
+struct DueRun {
+    run: u64,
+    done_at: Timestamp,
+}
+
+impl DueRun {
+    fn new(run: u64, done_at: Timestamp) -> DueRun {
+        DueRun { run, done_at }
+    }
+}
+
+/// The runs that were started or delayed.
+fn due(events: &[ServerEvent]) -> Vec<DueRun> {
+    let due = |event: &ServerEvent| match event {
+        ServerEvent::Started { run, done_at, .. } | ServerEvent::Delayed { run, done_at } => {
+            Some(DueRun::new(*run, *done_at))
+        }
+        _ => None,
+    };
+    events.iter().filter_map(due).collect()
+}
+
+#[test]
+fn a_server_runs_one_request_on_each_core_and_rejects_what_it_cannot_hold() {
+    let (mut server, mut events) = (server(None), Vec::new());
+    for number in 0..11 {
+        server.arrive(START, job(number, true), &mut events);
+    }
+    assert_eq!(
+        due(&events),
+        [
+            DueRun::new(1, START + 100 * MILLISECOND),
+            DueRun::new(2, START + 100 * MILLISECOND)
+        ]
+    );
+    assert_eq!(
+        finished(&events),
+        [FinishedAttempt::new(
+            10,
+            AttemptOutcome::Overloaded,
+            Some(10.0)
+        )]
+    );
+    events.clear();
+    server.complete(START + 100 * MILLISECOND, 1, &mut events);
+    assert_eq!(
+        finished(&events),
+        [FinishedAttempt::new(0, AttemptOutcome::Success, Some(9.0))]
+    );
+    assert_eq!(due(&events), [DueRun::new(3, START + 200 * MILLISECOND)]);
+    server.cancel(RequestNumber(3), AttemptNumber(0));
+    events.clear();
+    server.complete(START + 100 * MILLISECOND, 2, &mut events);
+    assert!(
+        matches!(&events[1], ServerEvent::Started { job, .. } if job.request == RequestNumber(4)),
+        "{events:?}"
+    );
+}
+
+#[test]
+fn a_hanging_server_answers_later_and_a_slow_one_takes_longer() {
+    let (mut server, mut events) = (server(None), Vec::new());
+    server.arrive(START, job(0, true), &mut events);
+    server.hang(START + 40 * MILLISECOND, START + 5 * SECOND);
+    events.clear();
+    server.complete(START + 100 * MILLISECOND, 1, &mut events);
+    // 40 ms of its work were done before the hang, 60 are left.
+    assert_eq!(
+        due(&events),
+        [DueRun::new(1, START + 5 * SECOND + 60 * MILLISECOND)]
+    );
+    events.clear();
+    server.complete(START + 5 * SECOND + 60 * MILLISECOND, 1, &mut events);
+    assert_eq!(finished(&events).len(), 1);
+    server.set_slowdown(6.0);
+    events.clear();
+    server.arrive(START + 6 * SECOND, job(1, true), &mut events);
+    assert_eq!(
+        due(&events),
+        [DueRun::new(2, START + 6 * SECOND + 600 * MILLISECOND)]
+    );
+}
+
+#[test]
+fn a_cold_server_is_slower_and_crashes_one_call_beyond_its_budget() {
+    // 20 a second when warm; cold 5; twice that for 2 s is 20, and 2 x root of 20, and 2: 30.9.
+    let (mut server, mut events) = (server(Some(START)), Vec::new());
+    server.arrive(START, job(0, false), &mut events);
+    assert_eq!(due(&events), [DueRun::new(1, START + 400 * MILLISECOND)]);
+    for number in 1..30 {
+        server.arrive(START, job(number, number > 5), &mut events);
+    }
+    assert!(server.is_up(), "30 calls are within it");
+    server.arrive(START, job(30, true), &mut events);
+    assert!(!server.is_up() && server.has_crashed());
+    let Some(ServerEvent::Crashed(load)) = events.last() else {
+        panic!("it crashed: {events:?}")
+    };
+    assert!(
+        (load.budget - 30.94).abs() < 0.01 && load.calls == 31.0,
+        "{load:?}"
+    );
+    assert!(
+        (load.start_known_fraction - 25.0 / 31.0).abs() < 1e-9,
+        "{load:?}"
+    );
+    // The connections of all attempts that it held are lost, and it accepts no further ones.
+    assert_eq!(
+        finished(&events)
+            .iter()
+            .filter(|attempt| attempt.outcome == AttemptOutcome::ConnectionLost)
+            .count(),
+        11
+    );
+    events.clear();
+    server.arrive(START + SECOND, job(31, true), &mut events);
+    assert_eq!(
+        finished(&events),
+        [FinishedAttempt::new(31, AttemptOutcome::Unreachable, None)]
+    );
+}
+
+#[test]
+fn calls_older_than_the_window_do_not_count_and_a_warm_server_never_crashes() {
+    let (mut cold, mut warm, mut events) = (server(Some(START)), server(None), Vec::new());
+    for step in 0..3 {
+        for number in 0..30 {
+            cold.arrive(START + step * 2 * SECOND, job(number, true), &mut events);
+        }
+    }
+    for number in 0..500 {
+        warm.arrive(START, job(number, true), &mut events);
+    }
+    assert!(cold.is_up() && warm.is_up() && warm.highest_cold_load().is_none());
+    let load = cold.highest_cold_load().expect("cold");
+    assert_eq!(
+        (load.calls, load.age),
+        (30.0, Duration::ZERO),
+        "the highest load was at the start"
+    );
+}
