--- a/crates/fleet-lab/src/hybrid/node_totals.rs
+++ b/crates/fleet-lab/src/hybrid/node_totals.rs
@@ -9,7 +9,6 @@
 
 /// Standard errors by which a figure may be off by chance.
 const STANDARD_ERRORS: f64 = 3.0;
-
 /// Longest wait that the histogram holds, µs.
 const MAX_WAIT_US: u64 = 60_000_000;
 
--- a/crates/fleet-lab/src/hybrid/quotas.rs
+++ b/crates/fleet-lab/src/hybrid/quotas.rs
@@ -48,6 +48,7 @@
         let tolerated = self.quota.tolerance + self.quota.tolerance_per_second * elapsed;
         self.limit.consume(now, units, tolerated);
     }
+
     /// The maximum excess relative to its tolerance; `None` before the first use.
     pub(super) fn peak(&self) -> Option<Excess> {
         self.limit.peak()
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -94,7 +94,9 @@
 /// A customer, and the first of the gateways that its requests arrive through.
 #[derive(Clone, Copy)]
 pub(super) struct Customer {
+    /// The customer.
     pub(super) id: CustomerId,
+    /// The first of its gateways.
     pub(super) first_gateway: GatewayId,
 }
 
--- a/crates/fleet-lab/src/scaling/measure/figures.rs
+++ b/crates/fleet-lab/src/scaling/measure/figures.rs
@@ -3,6 +3,7 @@
 use crate::scaling::cost::{counts_allocations, Cost};
 use crate::scaling::report::Figure;
 
+/// A total divided by a number of units.
 pub(super) fn per_unit(total: u64, count: u64) -> f64 {
     total as f64 / count.max(1) as f64
 }
@@ -46,6 +47,7 @@
     figures
 }
 
+/// Figures of memory, in all and for each of `count` units.
 pub(super) fn memory_figures(bytes: u64, count: u64) -> Vec<Figure> {
     vec![
         Figure {
--- a/crates/fleet-lab/src/scaling/measure/memory.rs
+++ b/crates/fleet-lab/src/scaling/measure/memory.rs
@@ -34,6 +34,7 @@
     Ok(FreshGateway { gateway, bytes })
 }
 
+/// Memory that a list of servers takes.
 pub(super) fn measure_server_memory(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let mut gateway = fresh_gateway(seed, sizes.gateways)?.gateway;
     let endpoints = draw_endpoints(&mut ChaCha8Rng::seed_from_u64(seed), sizes.servers);
@@ -54,6 +55,7 @@
     ))
 }
 
+/// Memory that customers take, each with one request that is rejected.
 pub(super) fn measure_customer_memory(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let mut gateway = fresh_gateway(seed, sizes.gateways)?.gateway;
     let before = live_bytes();
@@ -78,6 +80,7 @@
     ))
 }
 
+/// Memory of a gateway without servers and customers.
 pub(super) fn measure_gateway_memory(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let bytes = fresh_gateway(seed, sizes.gateways)?.bytes;
     Ok(memory_figures(bytes, u64::from(sizes.gateways)))
--- a/crates/fleet-lab/src/scaling/measure/work.rs
+++ b/crates/fleet-lab/src/scaling/measure/work.rs
@@ -12,7 +12,6 @@
 /// Requests in a run. They take less than half of the latency objective in all: servers of requests that stay open
 /// for longer would look hung, which costs more than what is measured.
 const REQUESTS: u64 = 80;
-
 /// Timers, control ticks, changes and lists in a run.
 const REPETITIONS: u64 = 10;
 
--- a/crates/fleet-lab/src/scaling/plan.rs
+++ b/crates/fleet-lab/src/scaling/plan.rs
@@ -9,7 +9,6 @@
 
 /// Largest size with `--quick`.
 const QUICK_MAX_SIZE: u64 = 1_000;
-
 /// Repeats with `--quick`.
 const QUICK_REPEATS: u64 = 2;
 
--- a/crates/fleet-lab/src/simulate/engine/faults.rs
+++ b/crates/fleet-lab/src/simulate/engine/faults.rs
@@ -13,6 +13,10 @@
 const DOWN_UNNOTICED: Range<Duration> = Duration::from_millis(850)..Duration::from_millis(3_200);
 
 impl Engine<'_> {
+    /// Carries out one action of the fault schedule.
+    ///
+    /// # Errors
+    /// Settings that a restarted gateway refuses.
     pub(super) fn inject(&mut self, action: FaultAction) -> Result<(), Failure> {
         match action {
             FaultAction::HangServer { server, until } => {
--- a/crates/fleet-lab/src/simulate/engine/gateways.rs
+++ b/crates/fleet-lab/src/simulate/engine/gateways.rs
@@ -147,24 +147,28 @@
         }
     }
 
+    /// A message arrives at a gateway, which may drop it.
     pub(super) fn on_datagram(&mut self, from: GatewayId, to: GatewayId, bytes: Vec<u8>) {
         if self.gateway(to).is_up() && self.datagrams.accept(self.now, to, bytes.len()) {
             self.post(to, Event::PeerMessage { from, bytes });
         }
     }
 
+    /// A timer fires, unless its gateway was killed meanwhile.
     pub(super) fn on_timer(&mut self, run: GatewayRun, token: u64) {
         if self.is_current(run) {
             self.post(run.gateway, Event::TimerFired { token });
         }
     }
 
+    /// A gateway's call to discovery fails, unless the gateway was killed meanwhile.
     pub(super) fn on_discovery_failure(&mut self, run: GatewayRun) {
         if self.is_current(run) {
             self.post(run.gateway, Event::WatchFailed);
         }
     }
 
+    /// Brings a gateway's list of servers up to date, as far as discovery can be reached.
     pub(super) fn poll_discovery(&mut self, id: GatewayId, kind: PollKind) {
         let gateway = self.gateway(id);
         if !gateway.is_up() {
--- a/crates/fleet-lab/src/simulate/engine/queue.rs
+++ b/crates/fleet-lab/src/simulate/engine/queue.rs
@@ -12,6 +12,7 @@
 /// A gateway between a start and the next kill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct GatewayRun {
+    /// The gateway.
     pub(super) gateway: GatewayId,
     /// Counts its starts and kills.
     pub(super) incarnation: u32,
@@ -20,7 +21,9 @@
 /// One attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptKey {
+    /// The request.
     pub(super) request: RequestNumber,
+    /// Which attempt of it.
     pub(super) number: AttemptNumber,
 }
 
@@ -37,7 +40,9 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptResult {
+    /// How it ended.
     pub(super) outcome: AttemptOutcome,
+    /// The load report, if the server answered.
     pub(super) reported_load: Option<f64>,
 }
 
@@ -94,6 +99,7 @@
     pub(super) at: Timestamp,
     /// Events of the same time happen in the order in which they were scheduled.
     sequence: u64,
+    /// What happens.
     pub(super) event: SimulationEvent,
 }
 
--- a/crates/fleet-lab/src/simulate/engine/requests.rs
+++ b/crates/fleet-lab/src/simulate/engine/requests.rs
@@ -11,6 +11,7 @@
 use std::time::Duration;
 
 impl Engine<'_> {
+    /// Schedules the next request of a customer, unless it would arrive after the end of the simulation.
     pub(super) fn schedule_next_arrival(&mut self, customer: usize) {
         let end = START + self.experiment.duration;
         let next = self.clients.next_arrival(self.now, customer);
@@ -19,6 +20,7 @@
         }
     }
 
+    /// A customer sends a new request.
     pub(super) fn on_arrival(&mut self, customer: usize) {
         let request = self.clients.new_request(self.now, customer);
         self.submit(request);
@@ -90,6 +92,7 @@
         }
     }
 
+    /// Schedules the retry of a client that got an error, if it makes one.
     pub(super) fn schedule_retry(&mut self, request: &ClientRequest, error: ClientError) {
         if let Some(retry) = self.clients.retry(self.now, request, error) {
             self.schedule(retry.at, SimulationEvent::Retry(Box::new(retry.request)));
@@ -111,12 +114,14 @@
         self.schedule_retry(&request, error);
     }
 
+    /// A client disconnects, unless it has its answer.
     pub(super) fn on_client_disconnect(&mut self, number: RequestNumber) {
         if self.checker.client_disconnected(self.now, number) {
             self.abandon(number);
         }
     }
 
+    /// The time for a final answer is over.
     pub(super) fn on_answer_overdue(&mut self, number: RequestNumber) {
         if self.checker.answer_overdue(self.now, number) {
             self.abandon(number);
--- a/crates/fleet-lab/src/simulate/engine/setup.rs
+++ b/crates/fleet-lab/src/simulate/engine/setup.rs
@@ -25,7 +25,6 @@
 const MESSAGE_DELAY: Range<Duration> = Duration::from_micros(1_500)..Duration::from_millis(10);
 /// Fraction of messages between gateways that is lost at any time.
 const MESSAGE_LOSS_FRACTION: f64 = 0.03;
-
 /// Random stream of the engine itself.
 const ENGINE_STREAM: u64 = 0;
 /// Random stream of the clients.
--- a/crates/fleet-lab/src/simulate/fault_scheduler.rs
+++ b/crates/fleet-lab/src/simulate/fault_scheduler.rs
@@ -3,6 +3,12 @@
 
 use super::fault::Fault;
 use super::fault_schedule::{FaultAction, FaultSchedule, ScheduledAction};
+use super::fault_timing::{
+    FaultWindow, COLD_START_FRACTION, DISCOVERY_OUTAGE, DRAIN_TO_STOP, FIRST_REPLACEMENT_FRACTION,
+    FLOOD, FLOOD_FRACTION, GATEWAY_DOWN_SECONDS, HANG, KILL_FRACTION, LAST_REPLACEMENT_FRACTION,
+    LATEST_END_FRACTION, OUTAGE_TO_DRAIN, PARTITION, PARTITION_LOSS_FRACTION, SERVER_DOWN_SECONDS,
+    SERVER_STOP_FRACTION, SLOWNESS, SURGE, SURGE_RATIO,
+};
 use crate::time::{draw_timestamp, DurationExt};
 use crate::world::datagrams::{Partition, Temporary};
 use crate::world::{Rng, TimeSpan, START};
@@ -12,12 +18,6 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time from a server's drain to the end of its process: all lists have arrived long before.
-const DRAIN_TO_STOP: Duration = Duration::from_secs(8);
-/// Time from the start of an outage of discovery to the drains that no gateway knows of.
-const OUTAGE_TO_DRAIN: Duration = Duration::from_millis(100);
-/// Fraction of the simulation by which each fault has ended.
-const LATEST_END_FRACTION: f64 = 0.8;
 /// A fault of single servers affects one server out of this number.
 const AFFECTED_ONE_OF: usize = 8;
 /// A rolling replacement replaces one server out of this number.
@@ -89,17 +89,17 @@
 
     fn schedule_burst(&mut self) {
         self.schedule.surges.push(Temporary {
-            span: self.span(0.25, 10.0),
-            value: 1.5,
+            span: self.span(SURGE),
+            value: SURGE_RATIO,
         });
         self.schedule.flood = Some(Temporary {
-            span: self.span(0.35, 12.0),
-            value: 0.3,
+            span: self.span(FLOOD),
+            value: FLOOD_FRACTION,
         });
     }
 
     fn schedule_hang(&mut self) {
-        let hang = self.span(0.25, 12.0);
+        let hang = self.span(HANG);
         for endpoint in self.take_servers(AFFECTED_ONE_OF) {
             let action = FaultAction::HangServer {
                 server: endpoint.server,
@@ -110,7 +110,7 @@
     }
 
     fn schedule_slowness(&mut self) {
-        let slowness = self.span(0.25, 16.0);
+        let slowness = self.span(SLOWNESS);
         for endpoint in self.take_servers(AFFECTED_ONE_OF) {
             let server = endpoint.server;
             self.add(
@@ -132,7 +132,10 @@
 
     fn schedule_replacement(&mut self) {
         for endpoint in self.take_servers(REPLACED_ONE_OF) {
-            let at = draw_timestamp(self.rng, self.at(0.2)..self.at(0.6));
+            let at = draw_timestamp(
+                self.rng,
+                self.at(FIRST_REPLACEMENT_FRACTION)..self.at(LAST_REPLACEMENT_FRACTION),
+            );
             let replacement = (self.new_endpoint)(endpoint.zone.0, Some(at));
             self.add(at, FaultAction::StartServer(replacement));
             self.add_drain(at, endpoint.server);
@@ -143,23 +146,27 @@
         let mut gateways: Vec<u32> = (0..self.gateways).collect();
         gateways.shuffle(self.rng);
         gateways.truncate(self.gateways as usize * KILLED_OF_TEN / 10);
-        let killed_at = self.at(0.3);
+        let killed_at = self.at(KILL_FRACTION);
         for gateway in gateways.into_iter().map(GatewayId) {
-            let restarted_at = killed_at + Duration::from_seconds(self.rng.random_range(1.7..7.5));
+            let restarted_at =
+                killed_at + Duration::from_seconds(self.rng.random_range(GATEWAY_DOWN_SECONDS));
             self.add(killed_at, FaultAction::KillGateway(gateway));
             self.add(restarted_at, FaultAction::RestartGateway(gateway));
         }
     }
 
     fn schedule_partition(&mut self) {
-        let span = self.span(0.3, 6.0);
+        let span = self.span(PARTITION);
         let zone = ZoneId(self.rng.random_range(0..self.zones));
         self.schedule.partitions.0.push(Partition { zone, span });
-        self.schedule.message_loss = Some(Temporary { span, value: 0.1 });
+        self.schedule.message_loss = Some(Temporary {
+            span,
+            value: PARTITION_LOSS_FRACTION,
+        });
     }
 
     fn schedule_discovery_outage(&mut self) {
-        let outage = self.span(0.25, 8.0);
+        let outage = self.span(DISCOVERY_OUTAGE);
         self.schedule.discovery_outages.push(outage);
         let drained_at = outage.start + OUTAGE_TO_DRAIN;
         for endpoint in self.take_servers(AFFECTED_ONE_OF) {
@@ -168,16 +175,17 @@
     }
 
     fn schedule_cold_start(&mut self) {
-        let at = self.at(0.2);
+        let at = self.at(COLD_START_FRACTION);
         let endpoint = (self.new_endpoint)(0, Some(at));
         self.add(at, FaultAction::StartServer(endpoint));
     }
 
     fn schedule_server_restarts(&mut self) {
-        let stopped_at = self.at(0.25);
+        let stopped_at = self.at(SERVER_STOP_FRACTION);
         for endpoint in self.take_servers(AFFECTED_ONE_OF) {
             self.add(stopped_at, FaultAction::StopServer(endpoint.server));
-            let restarted_at = stopped_at + Duration::from_seconds(self.rng.random_range(1.0..4.0));
+            let restarted_at =
+                stopped_at + Duration::from_seconds(self.rng.random_range(SERVER_DOWN_SECONDS));
             self.add(restarted_at, FaultAction::RestartServer(endpoint.server));
         }
     }
@@ -187,12 +195,12 @@
         START + Duration::from_micros_f64(self.duration.as_micros_f64() * fraction)
     }
 
-    /// A span that starts at a fraction of the simulation. It is shortened if it would last too long.
-    fn span(&self, from_fraction: f64, seconds: f64) -> TimeSpan {
-        let start = self.at(from_fraction);
+    /// When a fault happens. It is shortened if it would last too long.
+    fn span(&self, window: FaultWindow) -> TimeSpan {
+        let start = self.at(window.start_fraction);
         TimeSpan {
             start,
-            end: (start + Duration::from_seconds(seconds)).min(self.at(LATEST_END_FRACTION)),
+            end: (start + window.duration).min(self.at(LATEST_END_FRACTION)),
         }
     }
 
--- a/crates/fleet-lab/src/simulate/mod.rs
+++ b/crates/fleet-lab/src/simulate/mod.rs
@@ -6,6 +6,7 @@
 mod fault;
 mod fault_schedule;
 mod fault_scheduler;
+mod fault_timing;
 mod host;
 mod plot;
 mod report;
--- a/crates/fleet-lab/src/simulate/plot.rs
+++ b/crates/fleet-lab/src/simulate/plot.rs
@@ -9,7 +9,6 @@
 const SIZE: (u32, u32) = (960, 720);
 /// Height of the upper plot, pixels.
 const UPPER_HEIGHT: i32 = 400;
-
 /// Height of a plot as a multiple of its greatest value.
 const HEADROOM_RATIO: f64 = 1.1;
 
--- a/crates/fleet-lab/src/world/customer_account.rs
+++ b/crates/fleet-lab/src/world/customer_account.rs
@@ -29,7 +29,9 @@
 
 /// The limits of one customer.
 pub(super) struct CustomerAccount {
+    /// The customer.
     pub(super) id: CustomerId,
+    /// Its plan.
     pub(super) plan: PlanId,
     /// `None` if its plan has no quota.
     quota: Option<TokenBucket>,
--- a/crates/fleet-lab/src/world/request_record.rs
+++ b/crates/fleet-lab/src/world/request_record.rs
@@ -78,8 +78,11 @@
 
 /// The record of a simulated attempt.
 pub(super) struct AttemptRecord {
+    /// The server, as the list had it when the attempt was sent.
     pub(super) server: Endpoint,
+    /// When it was sent.
     pub(super) sent_at: Timestamp,
+    /// Its gateway does not know how it ended.
     pub(super) is_in_flight: bool,
     /// It certainly never ran.
     pub(super) is_proved_unexecuted: bool,
