--- a/crates/fleet-lab/src/hybrid/environment.rs
+++ b/crates/fleet-lab/src/hybrid/environment.rs
@@ -2,7 +2,7 @@
 
 use super::datagrams::Datagrams;
 use super::endpoint_registry::EndpointRegistry;
-use super::ledger::Ledger;
+use super::invariant_checker::SocketInvariantChecker;
 use super::nodes::{bind_listener, ReservedPorts};
 use super::scenario::{Scenario, DRAIN_GRACE};
 use super::server_http;
@@ -47,7 +47,7 @@
     /// What the clients ask for.
     pub(super) scenario: Scenario,
     /// The record of all requests.
-    pub(super) ledger: RefCell<Ledger>,
+    pub(super) checker: RefCell<SocketInvariantChecker>,
     /// The servers.
     pub(super) servers: Vec<Server>,
     /// The list of servers as discovery has it.
@@ -72,11 +72,12 @@
         let listeners = register_servers(&servers, &registry).await?;
         let fleet_size = scenario.size().fleet_size as usize;
         let datagrams = Datagrams::bind(&ports.addresses()?, fleet_size).await?;
-        let ledger = Ledger::new(clock.now(), DRAIN_GRACE, scenario.customer_quotas());
+        let checker =
+            SocketInvariantChecker::new(clock.now(), DRAIN_GRACE, scenario.customer_quotas());
         let environment = Rc::new(Environment {
             clock,
             scenario,
-            ledger: RefCell::new(ledger),
+            checker: RefCell::new(checker),
             servers,
             registry,
             datagrams,
@@ -97,9 +98,9 @@
     /// Records that a node has received these entries of the list now.
     pub(super) fn record_update(&self, node: GatewayId, endpoints: &[Endpoint]) {
         let now = self.clock.now();
-        let mut ledger = self.ledger.borrow_mut();
+        let mut checker = self.checker.borrow_mut();
         for endpoint in endpoints {
-            ledger.endpoint_received(now, node, endpoint.server, endpoint.state);
+            checker.endpoint_received(now, node, endpoint.server, endpoint.state);
         }
     }
 }
--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -145,7 +145,7 @@
     fn answer(&self, id: &RequestId, answer: FinalAnswer) {
         let now = self.environment.clock.now();
         self.environment
-            .ledger
+            .checker
             .borrow_mut()
             .answered(now, &id.0, ReceivedAnswer::Genuine(answer));
         if let Some(open) = self.open_requests.borrow_mut().remove(id) {
@@ -221,12 +221,12 @@
             .servers
             .iter()
             .find(|other| other.id == server)?;
-        environment.ledger.borrow_mut().attempt_arrived(
+        environment.checker.borrow_mut().attempt_arrived(
             environment.clock.now(),
             &id.0,
             server.id,
         )?;
-        Some(server.handle_attempt(&environment.ledger, &id.0).await)
+        Some(server.handle_attempt(&environment.checker, &id.0).await)
     }
 
     fn finish_attempt(
--- a/crates/fleet-lab/src/hybrid/ledger.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_checker.rs
@@ -1,7 +1,10 @@
-//! The record of all requests of a run, and the check of the invariants. No input, no output, no clock.
+//! The invariant checker of runs over sockets: the record of all requests, and the check of the invariants over it. It
+//! has no input, no output and no clock.
 //!
-//! The records and checks of single requests, quotas and drains are those of the simulation. What differs is what can be
-//! observed: here attempts are seen only where they arrive and run, and a request stays open when its client gives up.
+//! Records of requests, usage limits and drains are the types of `world`, as in the simulation. The checks differ from
+//! those of [`crate::world::invariant_checker`] in what can be observed over sockets: attempts are seen only where they
+//! arrive and run, a request stays open when its client gives up, and neither what gateways learn of attempts nor the
+//! load of starting servers is seen.
 
 use super::invariant_result::InvariantResult;
 use super::observed_request::{ObservedRequest, ReceivedAnswer, SentRequest};
@@ -20,9 +23,9 @@
 /// By this every time limit is longer on sockets.
 pub const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// The record of all requests of one run.
+/// The record of all requests of one run, and the checks.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct SocketInvariantChecker {
     started_at: Timestamp,
     drain_grace: DrainGrace,
     quotas: HashMap<CustomerId, QuotaUsage>,
@@ -36,15 +39,15 @@
     forged_answers: u64,
 }
 
-impl Ledger {
-    /// An empty record.
+impl SocketInvariantChecker {
+    /// A checker without records.
     pub fn new(
         now: Timestamp,
         drain_grace: Duration,
         quotas: impl IntoIterator<Item = CustomerQuota>,
-    ) -> Ledger {
+    ) -> SocketInvariantChecker {
         let usage = |CustomerQuota { customer, quota }| (customer, QuotaUsage::new(quota, now));
-        Ledger {
+        SocketInvariantChecker {
             started_at: now,
             drain_grace: DrainGrace(drain_grace + SOCKET_TOLERANCE),
             quotas: quotas.into_iter().map(usage).collect(),
--- a/crates/fleet-lab/src/hybrid/load.rs
+++ b/crates/fleet-lab/src/hybrid/load.rs
@@ -2,7 +2,7 @@
 
 use super::customers::PlannedRequest;
 use super::environment::Environment;
-use super::ledger::ANSWER_GRACE;
+use super::invariant_checker::ANSWER_GRACE;
 use super::node_totals::NodeTotals;
 use super::nodes::{usage_of, Node, NodeUsage};
 use super::observed_request::{ReceivedAnswer, SentRequest};
@@ -77,7 +77,7 @@
     let before = usage_of(nodes, environment)?;
     let started = Instant::now();
     environment
-        .ledger
+        .checker
         .borrow_mut()
         .start(environment.clock.now());
     tokio::task::spawn_local(inject_faults(Rc::clone(environment), config, started));
@@ -139,7 +139,7 @@
             timeout: CLIENT_TIMEOUT,
         };
         environment
-            .ledger
+            .checker
             .borrow_mut()
             .request_sent(sent_at, id.0.clone(), sent);
         let node = &self.nodes[request.node.0 as usize];
--- a/crates/fleet-lab/src/hybrid/mod.rs
+++ b/crates/fleet-lab/src/hybrid/mod.rs
@@ -3,8 +3,8 @@
 //! alike.
 
 pub mod figure;
+pub mod invariant_checker;
 pub mod invariant_result;
-pub mod ledger;
 pub mod node_totals;
 pub mod observed_request;
 pub mod quotas;
@@ -83,7 +83,7 @@
     let nodes = nodes::start_all(&environment, &program, folder.path(), ports, &mut rng).await?;
     let nodes = Rc::new(nodes);
     let totals = load::generate(&environment, &nodes, args.load(), rng).await?;
-    let invariants = environment.ledger.borrow().check();
+    let invariants = environment.checker.borrow().check();
     nodes::shut_down_all(Rc::into_inner(nodes).context("a client still holds the nodes")?).await?;
     Ok(Report::new(
         &totals.real,
--- a/crates/fleet-lab/src/hybrid/node_totals.rs
+++ b/crates/fleet-lab/src/hybrid/node_totals.rs
@@ -61,7 +61,7 @@
             }
             Some(ReceivedAnswer::Genuine(FinalAnswer::Rejected)) => self.rejected += 1,
             Some(ReceivedAnswer::Genuine(FinalAnswer::Failed)) => self.failed += 1,
-            // The ledger counts these as violations.
+            // The invariant checker counts these as violations.
             Some(ReceivedAnswer::Forged) | None => {}
         }
     }
--- a/crates/fleet-lab/src/hybrid/real_node.rs
+++ b/crates/fleet-lab/src/hybrid/real_node.rs
@@ -146,7 +146,7 @@
         let exchange = self.exchange(id, request);
         let answer = tokio::time::timeout(time_left, exchange).await.ok()?.ok()?;
         environment
-            .ledger
+            .checker
             .borrow_mut()
             .answered(environment.clock.now(), &id.0, answer);
         Some(answer)
--- a/crates/fleet-lab/src/hybrid/server_http.rs
+++ b/crates/fleet-lab/src/hybrid/server_http.rs
@@ -44,13 +44,13 @@
     let server = &environment.servers[server];
     let now = environment.clock.now();
     let units = environment
-        .ledger
+        .checker
         .borrow_mut()
         .attempt_arrived(now, &id, server.id);
     let Some(units) = units else {
         return empty_response(StatusCode::BAD_REQUEST);
     };
-    let reply = server.handle_attempt(&environment.ledger, &id).await;
+    let reply = server.handle_attempt(&environment.checker, &id).await;
     response_to_attempt(id, units, reply)
 }
 
--- a/crates/fleet-lab/src/hybrid/servers.rs
+++ b/crates/fleet-lab/src/hybrid/servers.rs
@@ -4,7 +4,7 @@
 //! `world` are state machines that announce when they are done, and they have a warm-up and crashes, which `hybrid` does
 //! not have.
 
-use super::ledger::Ledger;
+use super::invariant_checker::SocketInvariantChecker;
 use super::scenario::{MEAN_WORK_US, SERVER_COUNT, WORK_DEVIATION_FRACTION};
 use super::server_faults::ServerMode;
 use crate::world::Rng;
@@ -101,14 +101,14 @@
     /// attempt.
     pub(super) async fn handle_attempt(
         &self,
-        ledger: &RefCell<Ledger>,
+        checker: &RefCell<SocketInvariantChecker>,
         request: &str,
     ) -> AttemptReply {
         let mode = self.mode.get();
         if mode == ServerMode::Reject || self.held.get() >= self.max_held {
             return self.reply(AttemptStatus::Rejected);
         }
-        ledger.borrow_mut().execution_started(request);
+        checker.borrow_mut().execution_started(request);
         let _held = HeldGuard::new(&self.held);
         if mode == ServerMode::Hang {
             std::future::pending::<()>().await;
