--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -250,7 +250,7 @@
             self.answer(&id, FinalAnswer::Served);
         }
         let closed = !self.open_requests.borrow().contains_key(&id);
-        let reported_load = reply.map(|reply| reply.held as f64);
+        let reported_load = reply.map(|reply| reply.in_flight as f64);
         self.post(Event::AttemptFinished {
             id,
             attempt,
--- a/crates/fleet-lab/src/hybrid/server_faults.rs
+++ b/crates/fleet-lab/src/hybrid/server_faults.rs
@@ -16,7 +16,7 @@
 /// A change of a server's state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListedState {
-    /// It finishes what it holds.
+    /// It finishes the requests in flight.
     Draining,
     /// It was removed.
     Gone,
--- a/crates/fleet-lab/src/hybrid/server_http.rs
+++ b/crates/fleet-lab/src/hybrid/server_http.rs
@@ -61,8 +61,8 @@
 
 /// A served attempt's response names its request, so that a node that mixes responses up is found out.
 fn response_to_attempt(id: String, units: f64, reply: AttemptReply) -> HttpResponse {
-    let AttemptReply { status, held } = reply;
-    let response = Response::builder().header("x-load", format!("concurrent={held}"));
+    let AttemptReply { status, in_flight } = reply;
+    let response = Response::builder().header("x-load", format!("concurrent={in_flight}"));
     match status {
         AttemptStatus::Served => response
             .header("x-cost-units", units.to_string())
--- a/crates/fleet-lab/src/hybrid/servers.rs
+++ b/crates/fleet-lab/src/hybrid/servers.rs
@@ -23,8 +23,8 @@
 pub(super) struct AttemptReply {
     /// How the attempt went.
     pub(super) status: AttemptStatus,
-    /// How many requests the server holds.
-    pub(super) held: usize,
+    /// Requests in flight at the server, running or queued.
+    pub(super) in_flight: usize,
 }
 
 /// How an attempt went at its server.
@@ -46,22 +46,22 @@
     pub(super) id: ServerId,
     mode: Cell<ServerMode>,
     execution_slots: Semaphore,
-    held: Cell<usize>,
-    max_held: usize,
+    in_flight: Cell<usize>,
+    max_in_flight: usize,
     rng: RefCell<Rng>,
 }
 
-/// Counts a request at a server for as long as it is held.
-struct HeldGuard<'a>(&'a Cell<usize>);
+/// Counts a request as in flight at a server for as long as the guard lives.
+struct InFlightGuard<'a>(&'a Cell<usize>);
 
-impl HeldGuard<'_> {
-    fn new(held: &Cell<usize>) -> HeldGuard<'_> {
-        held.set(held.get() + 1);
-        HeldGuard(held)
+impl InFlightGuard<'_> {
+    fn new(in_flight: &Cell<usize>) -> InFlightGuard<'_> {
+        in_flight.set(in_flight.get() + 1);
+        InFlightGuard(in_flight)
     }
 }
 
-impl Drop for HeldGuard<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -79,8 +79,8 @@
             name,
             mode: Cell::new(ServerMode::Serve),
             execution_slots: Semaphore::new(slots),
-            held: Cell::new(0),
-            max_held: slots * (1 + QUEUED_PER_RUNNING),
+            in_flight: Cell::new(0),
+            max_in_flight: slots * (1 + QUEUED_PER_RUNNING),
             rng: RefCell::new(Rng::seed_from_u64(seed ^ (index as u64 + 1))),
         }
     }
@@ -105,11 +105,11 @@
         request: &str,
     ) -> AttemptReply {
         let mode = self.mode.get();
-        if mode == ServerMode::Reject || self.held.get() >= self.max_held {
+        if mode == ServerMode::Reject || self.in_flight.get() >= self.max_in_flight {
             return self.reply(AttemptStatus::Rejected);
         }
         checker.borrow_mut().execution_started(request);
-        let _held = HeldGuard::new(&self.held);
+        let _guard = InFlightGuard::new(&self.in_flight);
         if mode == ServerMode::Hang {
             std::future::pending::<()>().await;
         }
@@ -134,7 +134,7 @@
     fn reply(&self, status: AttemptStatus) -> AttemptReply {
         AttemptReply {
             status,
-            held: self.held.get(),
+            in_flight: self.in_flight.get(),
         }
     }
 }
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -2,7 +2,11 @@
 
 use super::sizes::FleetSizes;
 use anyhow::{Context, Result};
-use gateway_core::*;
+use gateway_core::{
+    Action, CellId, Class, ClassId, CustomerId, Endpoint, EndpointDiscovery, EndpointState, Event,
+    Gateway, GatewayId, GatewaySet, Idempotency, Permissions, Plan, PlanId, RequestId, Rules,
+    ServerId, Settings, Timestamp, ZoneId,
+};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
--- a/crates/fleet-lab/src/world/load_report.rs
+++ b/crates/fleet-lab/src/world/load_report.rs
@@ -26,12 +26,12 @@
         self.load = 0.0;
     }
 
-    /// The load to report now. It is measured anew, as the number of requests that the server holds, if the last
+    /// The load to report now. It is measured anew, as the number of requests in flight, if the last
     /// measurement has expired.
-    pub(super) fn current(&mut self, now: Timestamp, held_requests: usize) -> f64 {
+    pub(super) fn current(&mut self, now: Timestamp, in_flight_requests: usize) -> f64 {
         if now >= self.expires_at {
             self.expires_at = now + self.interval;
-            self.load = held_requests as f64;
+            self.load = in_flight_requests as f64;
         }
         self.load
     }
--- a/crates/fleet-lab/src/world/machine.rs
+++ b/crates/fleet-lab/src/world/machine.rs
@@ -9,7 +9,7 @@
 pub struct Machine {
     /// Requests that run concurrently.
     pub cores: u32,
-    /// Maximum number of requests that it holds, running or queued; further ones are rejected without running.
+    /// Maximum number of requests in flight, running or queued; further ones are rejected without running.
     pub slots: usize,
     /// Work of a request on a warm core, uniformly distributed.
     pub work: Range<Duration>,
--- a/crates/fleet-lab/src/world/mod.rs
+++ b/crates/fleet-lab/src/world/mod.rs
@@ -27,14 +27,14 @@
 pub mod token_bucket;
 pub mod usage_limit;
 
-use crate::time::{seconds_between, DurationExt};
+use crate::time::{seconds_between, DurationExt, MICROSECOND};
 use gateway_core::{RequestId, Timestamp};
 use rand::Rng as _;
 use rand::SeedableRng;
 use std::time::Duration;
 
 /// Events of a Poisson process do not coincide.
-const MIN_TIME_TO_NEXT_EVENT: Duration = Duration::from_micros(1);
+const MIN_TIME_TO_NEXT_EVENT: Duration = MICROSECOND;
 
 /// The random source of all parts of a simulation.
 pub type Rng = rand_chacha::ChaCha8Rng;
--- a/crates/fleet-lab/src/world/servers.rs
+++ b/crates/fleet-lab/src/world/servers.rs
@@ -93,7 +93,7 @@
         self.cold_start.restart();
     }
 
-    /// Its process ends: the connections of all attempts that it holds are lost.
+    /// Its process ends: the connections of all attempts in flight are lost.
     pub fn stop(&mut self, events: &mut Vec<ServerEvent>) {
         if self.is_up() {
             self.end_process(ProcessState::Stopped, events);
@@ -113,13 +113,13 @@
     }
 
     /// Requests that run or are queued.
-    fn held_requests(&self) -> usize {
+    fn in_flight_requests(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
     fn reported_load(&mut self, now: Timestamp) -> Option<f64> {
-        let held_requests = self.held_requests();
-        Some(self.load_report.current(now, held_requests))
+        let in_flight_requests = self.in_flight_requests();
+        Some(self.load_report.current(now, in_flight_requests))
     }
 
     /// An attempt arrives.
@@ -134,7 +134,7 @@
             self.queue.push_back(job);
             self.end_process(ProcessState::Crashed, events);
             events.push(ServerEvent::Crashed(self.cold_start.highest_load()));
-        } else if self.held_requests() >= self.machine.slots {
+        } else if self.in_flight_requests() >= self.machine.slots {
             let reported_load = self.reported_load(now);
             events.push(ServerEvent::Finished {
                 job,
