--- a/crates/gateway-core/src/policy/deadlines.rs
+++ b/crates/gateway-core/src/policy/deadlines.rs
@@ -67,7 +67,7 @@
         return false;
     }
     let objective_at = deployment.objective_deadline(request);
-    let answer_latency_us = context.fleet.mean_latency * EXPECTED_ANSWER_LATENCY_FRACTION;
+    let answer_latency_us = context.fleet.mean_latency_us() * EXPECTED_ANSWER_LATENCY_FRACTION;
     let answered_at_us = context.now.as_micros_f64() + answer_latency_us;
     context.now < objective_at && answered_at_us > objective_at.as_micros_f64()
 }
