--- a/crates/gateway-core/src/gateway/servers/selection.rs
+++ b/crates/gateway-core/src/gateway/servers/selection.rs
@@ -46,7 +46,7 @@
             return selector.all_with_capacity();
         };
         let sample = subset.sample(&selector, None, random);
-        self.track_sample(now, &sample)
+        self.track_sample(now, sample)
     }
 
     /// The server for a request, of the selectable ones. A request that has to stay in its scope is
@@ -80,15 +80,18 @@
             return None;
         }
         let sample = subset.sample(&selector, Some(request), random);
-        Some(self.track_sample(now, &sample))
+        Some(self.track_sample(now, sample))
     }
 
     /// Tracks the servers of a sample from now on.
-    fn track_sample(&mut self, now: Timestamp, sample: &[Candidate]) -> Vec<ServerId> {
+    fn track_sample(&mut self, now: Timestamp, sample: Vec<Candidate>) -> Vec<ServerId> {
         for candidate in sample.iter().filter(|candidate| !candidate.is_tracked) {
             self.table.track(now, &candidate.server);
         }
-        sample.iter().map(|candidate| candidate.server).collect()
+        sample
+            .into_iter()
+            .map(|candidate| candidate.server)
+            .collect()
     }
 
     /// Records that an attempt was sent to a server. Returns the number of attempts in flight
