--- a/crates/fleet-lab/src/hybrid/load.rs
+++ b/crates/fleet-lab/src/hybrid/load.rs
@@ -2,12 +2,13 @@
 
 use super::customers::PlannedRequest;
 use super::environment::Environment;
-use super::ledger::ANSWER_GRACE;
+use super::invariant_checker::ANSWER_GRACE;
+use super::node_totals::NodeTotals;
 use super::nodes::{usage_of, Node, NodeUsage};
 use super::observed_request::{ReceivedAnswer, SentRequest};
-use super::report::NodeTotals;
 use super::scenario::CLIENT_TIMEOUT;
 use super::server_faults::FaultProfile;
+use crate::time::MICROS_PER_SECOND;
 use crate::world::{seconds_to_next_event, Rng};
 use anyhow::{Context, Result};
 use gateway_core::RequestId;
@@ -58,7 +59,7 @@
     /// Adds what a node has used between two measurements.
     fn add_usage(&mut self, node: &Node, before: &NodeUsage, after: &NodeUsage) {
         let totals = self.of(node);
-        totals.cost += after.cost.saturating_sub(before.cost).as_secs_f64() * 1e6;
+        totals.cost_us += after.cost.saturating_sub(before.cost).as_secs_f64() * MICROS_PER_SECOND;
         totals.messages += after.sent.counts.messages - before.sent.counts.messages;
         totals.bytes += after.sent.counts.bytes - before.sent.counts.bytes;
         totals.too_long += after.sent.too_long;
@@ -76,7 +77,7 @@
     let before = usage_of(nodes, environment)?;
     let started = Instant::now();
     environment
-        .ledger
+        .checker
         .borrow_mut()
         .start(environment.clock.now());
     tokio::task::spawn_local(inject_faults(Rc::clone(environment), config, started));
@@ -138,7 +139,7 @@
             timeout: CLIENT_TIMEOUT,
         };
         environment
-            .ledger
+            .checker
             .borrow_mut()
             .request_sent(sent_at, id.0.clone(), sent);
         let node = &self.nodes[request.node.0 as usize];
--- a/crates/fleet-lab/src/hybrid/server_http.rs
+++ b/crates/fleet-lab/src/hybrid/server_http.rs
@@ -14,7 +14,7 @@
 
 type HttpResponse = http::Result<Response<Full<Bytes>>>;
 
-/// Serves a server, by index, for ever.
+/// Serves a server, by index, until the end of the run.
 pub(super) async fn serve(environment: Rc<Environment>, server: usize, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         // Without it a response in two segments would wait for an acknowledgement; it works all the same.
@@ -35,12 +35,7 @@
     server: usize,
     request: Request<Incoming>,
 ) -> HttpResponse {
-    let id = request
-        .headers()
-        .get("x-request-id")
-        .and_then(|id| id.to_str().ok())
-        .map(str::to_owned);
-    let Some(id) = id else {
+    let Some(id) = request_id(&request) else {
         return empty_response(StatusCode::NOT_FOUND);
     };
     if request.into_body().collect().await.is_err() {
@@ -49,14 +44,25 @@
     let server = &environment.servers[server];
     let now = environment.clock.now();
     let units = environment
-        .ledger
+        .checker
         .borrow_mut()
         .attempt_arrived(now, &id, server.id);
     let Some(units) = units else {
         return empty_response(StatusCode::BAD_REQUEST);
     };
-    let AttemptReply { status, held } = server.handle_attempt(&environment.ledger, &id).await;
-    let response = Response::builder().header("x-load", format!("concurrent={held}"));
+    let reply = server.handle_attempt(&environment.checker, &id).await;
+    response_to_attempt(id, units, reply)
+}
+
+fn request_id<B>(request: &Request<B>) -> Option<String> {
+    let id = request.headers().get("x-request-id")?;
+    id.to_str().ok().map(str::to_owned)
+}
+
+/// A served attempt's response names its request, so that a node that mixes responses up is found out.
+fn response_to_attempt(id: String, units: f64, reply: AttemptReply) -> HttpResponse {
+    let AttemptReply { status, in_flight } = reply;
+    let response = Response::builder().header("x-load", format!("concurrent={in_flight}"));
     match status {
         AttemptStatus::Served => response
             .header("x-cost-units", units.to_string())
--- a/crates/fleet-lab/src/simulate/engine/requests.rs
+++ b/crates/fleet-lab/src/simulate/engine/requests.rs
@@ -11,6 +11,7 @@
 use std::time::Duration;
 
 impl Engine<'_> {
+    /// Schedules the next request of a customer, unless it would arrive after the end of the simulation.
     pub(super) fn schedule_next_arrival(&mut self, customer: usize) {
         let end = START + self.experiment.duration;
         let next = self.clients.next_arrival(self.now, customer);
@@ -19,6 +20,7 @@
         }
     }
 
+    /// A customer sends a new request.
     pub(super) fn on_arrival(&mut self, customer: usize) {
         let request = self.clients.new_request(self.now, customer);
         self.submit(request);
@@ -56,7 +58,7 @@
         self.post(gateway, event);
     }
 
-    /// The gateway for a request; `None` if its client gets one that is down, which nobody has noticed yet.
+    /// The gateway for a request; `None` if the front end picks one that is down, which it has not noticed yet.
     fn pick_gateway(&mut self, request: &ClientRequest) -> Option<GatewayId> {
         let (now, gateways) = (self.now, &self.gateways);
         let is_known_down = |id: GatewayId| {
@@ -90,6 +92,7 @@
         }
     }
 
+    /// Schedules the retry of a client that got an error, if it makes one.
     pub(super) fn schedule_retry(&mut self, request: &ClientRequest, error: ClientError) {
         if let Some(retry) = self.clients.retry(self.now, request, error) {
             self.schedule(retry.at, SimulationEvent::Retry(Box::new(retry.request)));
@@ -111,12 +114,14 @@
         self.schedule_retry(&request, error);
     }
 
+    /// A client disconnects, unless it has its answer.
     pub(super) fn on_client_disconnect(&mut self, number: RequestNumber) {
         if self.checker.client_disconnected(self.now, number) {
             self.abandon(number);
         }
     }
 
+    /// The time for a final answer is over.
     pub(super) fn on_answer_overdue(&mut self, number: RequestNumber) {
         if self.checker.answer_overdue(self.now, number) {
             self.abandon(number);
@@ -136,11 +141,12 @@
         }
     }
 
-    /// A gateway was killed: all requests that it held fail.
+    /// A gateway was killed: all requests that are open at it fail.
     pub(super) fn fail_requests_of(&mut self, gateway: GatewayId) {
-        let is_held = |open: &OpenRequest| open.run.gateway == gateway && !open.is_answered;
-        let held = self.open_requests.iter().filter(|(_, open)| is_held(open));
-        let numbers: Vec<RequestNumber> = held.map(|(number, _)| *number).collect();
+        let is_open = |open: &OpenRequest| open.run.gateway == gateway && !open.is_answered;
+        let requests = self.open_requests.iter();
+        let requests = requests.filter(|(_, open)| is_open(open));
+        let numbers: Vec<RequestNumber> = requests.map(|(number, _)| *number).collect();
         for number in numbers {
             self.checker.gateway_killed(self.now, number);
             let Some(open) = self.open_requests.get_mut(&number) else {
