--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -1,212 +1,100 @@
-//! Attempts: sending queued requests, and what is learned from how attempts end.
+//! Attempts that have ended: what they show of servers, and what becomes of their requests.
 
 use super::Gateway;
-use crate::policy::dispatch::{self, DispatchDecision, DispatchPass};
 use crate::policy::retry::{self, RetryDecision};
 use crate::state::attempt::{Attempt, AttemptKey};
-use crate::state::deployment::Context;
 use crate::state::request::{PossibleExecution, Request};
-use crate::time::{DurationExt, Timestamp};
-use crate::types::{AttemptNumber, AttemptOutcome, RejectReason, RequestId, ServerId};
+use crate::time::Timestamp;
+use crate::types::{AttemptOutcome, RejectReason, RequestId};
 use crate::Action;
 
 /// How an attempt ended.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptResult {
+    /// Its outcome.
     pub(super) outcome: AttemptOutcome,
-    /// Whether its request is closed.
+    /// Whether its request is closed: the client has its final answer.
     pub(super) closed: bool,
-    /// Requests in flight at the server, if it said so.
+    /// Requests in flight at the server, if it reported them.
     pub(super) reported_load: Option<f64>,
 }
 
 impl Gateway {
-    /// Sends queued requests, the highest priority first, while servers have capacity.
-    pub(super) fn dispatch(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        if self.requests.is_queue_empty() {
-            return;
-        }
-        let mut selectable = self.selectable_servers(now);
-        if selectable.is_empty() {
-            return; // sorting the queue at each event during an overload would use up the processor
-        }
-        let lowest_class = self.deployment.lowest_class;
-        let mut pass = DispatchPass::new(lowest_class, self.attempts.count_of(lowest_class));
-        for id in self.queue_by_priority(now) {
-            if selectable.is_empty() {
-                break;
-            }
-            let Some(server) = self.server_for_queued(now, &id, &pass, &selectable) else {
-                continue;
-            };
-            if let Some(request) = self.requests.get(&id) {
-                pass.attempt_sent(request.class(), self.controller.limit());
-            }
-            self.send_attempt(now, id, server, actions);
-            selectable = if self.requests.is_queue_empty() {
-                Vec::new()
-            } else {
-                self.selectable_servers(now)
-            };
-        }
-    }
-
-    /// The server to which a queued request is sent now; `None` if it stays queued.
-    fn server_for_queued(
-        &mut self,
-        now: Timestamp,
-        id: &RequestId,
-        pass: &DispatchPass,
-        selectable: &[ServerId],
-    ) -> Option<ServerId> {
-        let context = Context {
-            now,
-            deployment: &self.deployment,
-            fleet: &self.fleet,
-        };
-        let request = self.requests.get_mut(id)?;
-        let limit = self.controller.limit();
-        match pass.decide(context, request, limit, &mut self.quotas) {
-            DispatchDecision::Send => self.pick_server(now, id, selectable),
-            DispatchDecision::SkipForQuota => {
-                request.delayed_by_quota_until(now);
-                None
-            }
-            DispatchDecision::SkipForInFlightLimit => None,
-        }
-    }
-
-    fn queue_by_priority(&self, now: Timestamp) -> Vec<RequestId> {
-        let context = self.context(now);
-        let queued = self.requests.queued();
-        let mut order: Vec<_> = queued
-            .map(|(id, request)| (dispatch::priority(context, request), id.clone()))
-            .collect();
-        order.sort_by(|a, b| b.0.total_cmp(&a.0));
-        order.into_iter().map(|(_, id)| id).collect()
-    }
-
-    fn send_attempt(
-        &mut self,
-        now: Timestamp,
-        id: RequestId,
-        server_id: ServerId,
-        actions: &mut Vec<Action>,
-    ) {
-        let next_probe_at = self.next_probe_at(now);
-        let Some(request) = self.requests.get_mut(&id) else {
-            return;
-        };
-        let Some(mut server) = self.servers.get_mut(now, &server_id) else {
-            return;
-        };
-        let first = !request.was_sent();
-        if let Some(bucket) = self.quotas.local.get_mut(&request.customer()) {
-            bucket.attempt_sent(now, request.units(), first);
-        }
-        if first {
-            self.retry_budget.first_attempt_sent();
-        }
-        server.in_flight += 1;
-        server.slow_start_credit -= 1.0;
-        if let Some(at) = &mut server.health[request.class().0].next_probe_at {
-            *at = next_probe_at;
-        }
-        let number = request.attempt_sent(server_id);
-        let attempt = request.attempt_record(server_id, now, f64::from(server.in_flight));
-        self.attempts.insert(
-            AttemptKey {
-                request: id.clone(),
-                number,
-            },
-            attempt,
-        );
-        self.requests.dequeue(&id);
-        actions.push(Action::SendAttempt {
-            id,
-            server: server_id,
-            timeout: None,
-        });
-    }
-
+    /// An attempt has ended: its result is observed, and its request is removed, retried or answered.
     pub(super) fn on_attempt_finished(
         &mut self,
         now: Timestamp,
-        id: RequestId,
-        number: AttemptNumber,
+        key: &AttemptKey,
         result: AttemptResult,
         actions: &mut Vec<Action>,
     ) {
-        let outcome = result.outcome;
-        let Some(attempt) = self.remove_attempt(&AttemptKey {
-            request: id.clone(),
-            number,
-        }) else {
+        let Some(attempt) = self.remove_attempt(key) else {
             return;
         };
-        let was_cancelled = self
-            .requests
-            .get(&id)
-            .is_some_and(Request::is_cancelled_or_streaming);
-        let was_stalled = was_cancelled && outcome == AttemptOutcome::Cancelled;
-        self.observe_attempt(now, &attempt, &result, was_stalled);
-        if outcome == AttemptOutcome::Success {
-            self.observe_success(now, &attempt);
-        }
-        let Some(request) = self.requests.get_mut(&id) else {
+        self.observe_result(now, key, &attempt, result);
+        let Some(request) = self.requests.get_mut(&key.request) else {
             return;
         };
-        request.attempt_finished(outcome);
+        request.attempt_finished(result.outcome);
         if result.closed {
-            return self.remove_request(&id, actions);
+            return self.remove_request(&key.request, actions);
         }
-        if outcome.may_have_executed() && request.possible_execution().is_none() {
+        if result.outcome.may_have_executed() && request.possible_execution().is_none() {
             let server = self.servers.get(&attempt.server);
             request.possibly_executed(server.map(|server| PossibleExecution {
                 endpoint: server.endpoint,
                 sent_at: attempt.sent_at,
             }));
         }
-        self.retry_or_answer(now, id, outcome, actions);
+        self.retry_or_answer(now, &key.request, result.outcome, actions);
+    }
+
+    fn remove_attempt(&mut self, key: &AttemptKey) -> Option<Attempt> {
+        let attempt = self.attempts.remove(key)?;
+        self.servers.attempt_finished(&attempt.server);
+        if let Some(bucket) = self.quotas.local.get_mut(&attempt.customer) {
+            bucket.attempt_finished();
+        }
+        Some(attempt)
+    }
+
+    fn observe_result(
+        &mut self,
+        now: Timestamp,
+        key: &AttemptKey,
+        attempt: &Attempt,
+        result: AttemptResult,
+    ) {
+        let request = self.requests.get(&key.request);
+        let was_cancelled = request.is_some_and(Request::is_cancelled_or_streaming);
+        let was_stalled = was_cancelled && result.outcome == AttemptOutcome::Cancelled;
+        self.observe_attempt(now, attempt, &result, was_stalled);
+        if result.outcome == AttemptOutcome::Success {
+            self.fleet.completed_since_tick += 1.0;
+            self.control_loop
+                .observe_success(now, &self.deployment, attempt);
+        }
     }
 
     fn retry_or_answer(
         &mut self,
         now: Timestamp,
-        id: RequestId,
+        id: &RequestId,
         outcome: AttemptOutcome,
         actions: &mut Vec<Action>,
     ) {
-        let Some(request) = self.requests.get(&id) else {
+        let Some(request) = self.requests.get(id) else {
             return;
         };
         match retry::decide(self.context(now), request, outcome, &self.retry_budget) {
             RetryDecision::Retry => {
                 self.retry_budget.charge(outcome);
-                self.requests.enqueue(id);
+                self.requests.enqueue(id.clone());
             }
             RetryDecision::GiveUp => {
-                self.reject_or_fail(now, &id, RejectReason::RetriesExhausted, actions);
+                self.reject_or_fail(now, id, RejectReason::RetriesExhausted, actions);
             }
             RetryDecision::AwaitDeadline => {}
         }
     }
-
-    fn remove_attempt(&mut self, key: &AttemptKey) -> Option<Attempt> {
-        let attempt = self.attempts.remove(key)?;
-        self.servers.attempt_finished(&attempt.server);
-        if let Some(bucket) = self.quotas.local.get_mut(&attempt.customer) {
-            bucket.attempt_finished();
-        }
-        Some(attempt)
-    }
-
-    fn observe_success(&mut self, now: Timestamp, attempt: &Attempt) {
-        self.fleet.completed_since_tick += 1.0;
-        let class = &self.deployment.settings.classes[attempt.class.0];
-        let latency = now.micros_since(attempt.eligible_since);
-        self.latencies
-            .of(attempt.class)
-            .add(latency / class.latency_objective.as_micros_f64().max(1.0));
-    }
 }
--- a/crates/gateway-core/src/gateway/control_tick.rs
+++ b/crates/gateway-core/src/gateway/control_tick.rs
@@ -1,5 +1,5 @@
-//! The control tick: the fuzzy controller moves the in-flight limit, and the estimates of the fleet are
-//! renewed.
+//! The control tick: the control loop moves the in-flight limit, the estimates of the fleet are updated, servers
+//! that are warming up get their credit, and what has been idle is evicted.
 
 use super::Gateway;
 use crate::policy::fuzzy_controller::TICK_PERIOD;
@@ -8,87 +8,31 @@
 use crate::policy::outlier_detection::MAX_SERVER_IDLE;
 use crate::policy::quota::PARTITIONED;
 use crate::policy::slow_start::SlowStart;
-use crate::state::latency_samples::LatencySamples;
 use crate::state::quota_state::silent_gateways;
 use crate::state::server::Server;
 use crate::statistics::{median, update_mean};
 use crate::time::{DurationExt, Timestamp};
-use crate::types::ClassId;
-use crate::warning::Warning;
 use crate::Action;
 
 impl Gateway {
+    /// Runs a control tick, if one is due.
     pub(super) fn on_control_tick(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        if now < self.timers.next_control_tick {
+        if !self.timers.start_control_tick(now) {
             return;
         }
-        self.timers.next_control_tick = now + TICK_PERIOD;
-        let mut samples = self.latencies.take();
-        self.add_open_requests(now, &mut samples);
-        self.update_latency_ratios(&samples);
-        self.update_in_flight();
-        self.move_in_flight_limit(actions);
+        let warning = self.control_loop.tick(
+            now,
+            &self.deployment,
+            &mut self.requests,
+            &self.attempts,
+            &mut self.fleet,
+        );
+        actions.extend(warning.map(Action::Warn));
         self.update_fleet_estimates(now);
         self.grant_slow_start_credit(now);
         self.evict_idle(now);
     }
 
-    fn add_open_requests(&mut self, now: Timestamp, samples: &mut LatencySamples) {
-        for request in self.requests.values_mut() {
-            let objective = self
-                .deployment
-                .class_of(request)
-                .latency_objective
-                .as_micros_f64()
-                .max(1.0);
-            let ratio = now.micros_since(request.eligible_since()) / objective;
-            let samples = samples.of(request.class());
-            let inputs = self.controller_inputs;
-            if inputs.counts_open_request(request, ratio, samples.mean()) {
-                samples.add(ratio);
-            }
-        }
-    }
-
-    fn update_latency_ratios(&mut self, samples: &LatencySamples) {
-        let weight = self.controller_inputs.latency_ratio_weight();
-        for (class, samples) in samples.iter().enumerate() {
-            if let Some(ratio) = samples.mean() {
-                self.fleet
-                    .merge_latency_ratio(ClassId(class), ratio, weight);
-            } else if self.controller_inputs.forgets_latency_ratios() {
-                self.fleet.forget_latency_ratio(ClassId(class));
-            }
-        }
-    }
-
-    fn update_in_flight(&mut self) {
-        let weight = self.controller_inputs.in_flight_weight();
-        let lowest = self.attempts.count_of(self.deployment.lowest_class);
-        update_mean(&mut self.fleet.lowest_in_flight, lowest, weight);
-        update_mean(
-            &mut self.fleet.total_in_flight,
-            self.attempts.count(),
-            weight,
-        );
-    }
-
-    fn move_in_flight_limit(&mut self, actions: &mut Vec<Action>) {
-        let was_limiting = self.controller.is_limiting();
-        let in_flight = self.fleet.lowest_in_flight;
-        let ratio = self.fleet.worst_latency_ratio(self.deployment.lowest_class);
-        let share = 1.0 / f64::from(self.deployment.settings.gateway_count);
-        self.controller.tick(ratio, &self.fleet, share);
-        let has_started = self.controller.is_limiting() && !was_limiting;
-        let warns = has_started && self.controller_inputs.warns_of_missed_objectives();
-        if let Some(latency_ratio) = ratio.filter(|_| warns) {
-            actions.push(Action::Warn(Warning::ObjectiveMissed {
-                latency_ratio,
-                in_flight,
-            }));
-        }
-    }
-
     fn update_fleet_estimates(&mut self, now: Timestamp) {
         let parameters = self.deployment.mode.parameters();
         let rate = self.fleet.completed_since_tick / TICK_PERIOD.as_seconds();
@@ -135,7 +79,7 @@
             .count()
     }
 
-    /// Drops what tells nothing any more: memory would grow with every customer and server ever seen.
+    /// Evicts idle customers and servers: otherwise memory would grow with every one ever seen.
     fn evict_idle(&mut self, now: Timestamp) {
         let plans = &self.deployment.settings.plans;
         let last_heard = &self.quotas.last_heard;
--- /dev/null
+++ b/crates/gateway-core/src/gateway/dispatch.rs
@@ -0,0 +1,121 @@
+//! Dispatch: sending queued requests to servers.
+
+use super::Gateway;
+use crate::policy::dispatch::{self, DispatchDecision, DispatchPass};
+use crate::state::attempt::AttemptKey;
+use crate::state::deployment::Context;
+use crate::time::Timestamp;
+use crate::types::{RequestId, ServerId};
+use crate::Action;
+
+impl Gateway {
+    /// Sends queued requests, the highest priority first, while servers have capacity.
+    pub(super) fn dispatch(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        if self.requests.is_queue_empty() {
+            return;
+        }
+        let mut selectable = self.selectable_servers(now);
+        if selectable.is_empty() {
+            return; // sorting the queue at each event would exhaust the processor in an overload
+        }
+        let lowest_class = self.deployment.lowest_class;
+        let mut pass = DispatchPass::new(lowest_class, self.attempts.count_of(lowest_class));
+        for id in self.queue_by_priority(now) {
+            if selectable.is_empty() {
+                break;
+            }
+            let Some(server) = self.server_for_queued(now, &id, &mut pass, &selectable) else {
+                continue;
+            };
+            self.send_attempt(now, id, server, actions);
+            selectable = if self.requests.is_queue_empty() {
+                Vec::new()
+            } else {
+                self.selectable_servers(now)
+            };
+        }
+    }
+
+    /// The server to which a queued request is sent now; `None` if it stays queued.
+    fn server_for_queued(
+        &mut self,
+        now: Timestamp,
+        id: &RequestId,
+        pass: &mut DispatchPass,
+        selectable: &[ServerId],
+    ) -> Option<ServerId> {
+        let context = Context {
+            now,
+            deployment: &self.deployment,
+            fleet: &self.fleet,
+        };
+        let request = self.requests.get_mut(id)?;
+        let class = request.class();
+        let limit = self.control_loop.in_flight_limit();
+        match pass.decide(context, request, limit, &mut self.quotas) {
+            DispatchDecision::Send => {
+                let server = self.pick_server(now, id, selectable)?;
+                pass.attempt_sent(class, self.control_loop.in_flight_limit());
+                Some(server)
+            }
+            DispatchDecision::SkipForQuota => {
+                request.delayed_by_quota_until(now);
+                None
+            }
+            DispatchDecision::SkipForInFlightLimit => None,
+        }
+    }
+
+    /// The queued requests, the highest priority first.
+    fn queue_by_priority(&self, now: Timestamp) -> Vec<RequestId> {
+        let context = self.context(now);
+        let queued = self.requests.queued();
+        let mut order: Vec<_> = queued
+            .map(|(id, request)| (dispatch::priority(context, request), id.clone()))
+            .collect();
+        order.sort_by(|a, b| b.0.total_cmp(&a.0));
+        order.into_iter().map(|(_, id)| id).collect()
+    }
+
+    /// Sends an attempt of a queued request to a server.
+    fn send_attempt(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        server_id: ServerId,
+        actions: &mut Vec<Action>,
+    ) {
+        let next_probe_at = self.next_probe_at(now);
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(mut server) = self.servers.get_mut(now, &server_id) else {
+            return;
+        };
+        let is_first_attempt = !request.was_sent();
+        if let Some(bucket) = self.quotas.local.get_mut(&request.customer()) {
+            bucket.attempt_sent(now, request.units(), is_first_attempt);
+        }
+        if is_first_attempt {
+            self.retry_budget.first_attempt_sent();
+        }
+        server.in_flight += 1;
+        server.slow_start_credit -= 1.0;
+        if let Some(at) = &mut server.health[request.class().0].next_probe_at {
+            *at = next_probe_at;
+        }
+        let number = request.attempt_sent(server_id);
+        let attempt = request.attempt_record(server_id, now, f64::from(server.in_flight));
+        let key = AttemptKey {
+            request: id.clone(),
+            number,
+        };
+        self.attempts.insert(key, attempt);
+        self.requests.dequeue(&id);
+        actions.push(Action::SendAttempt {
+            id,
+            server: server_id,
+            timeout: None,
+        });
+    }
+}
--- /dev/null
+++ b/crates/gateway-core/src/gateway/final_answer.rs
@@ -0,0 +1,63 @@
+//! Final answers that no server makes, and the end of a request.
+
+use super::Gateway;
+use crate::policy::{deadlines, retry};
+use crate::time::Timestamp;
+use crate::types::{RejectReason, RequestId};
+use crate::Action;
+
+impl Gateway {
+    /// Gives a request its final answer: rejected where a retry by the client is safe, otherwise failed.
+    pub(super) fn reject_or_fail(
+        &mut self,
+        now: Timestamp,
+        id: &RequestId,
+        reason: RejectReason,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        self.rejections.record(reason, request.plan());
+        if retry::may_reject(&self.deployment, request) {
+            let bucket = self.quotas.local.get(&request.customer());
+            let retry_after = deadlines::retry_after(self.context(now), bucket, request);
+            actions.push(Action::Reject {
+                id: id.clone(),
+                retry_after,
+            });
+        } else {
+            actions.push(Action::Fail { id: id.clone() });
+        }
+        self.remove_request(id, actions);
+    }
+
+    /// Removes a request that was answered, or whose client has disconnected. Quota of a request that was never
+    /// sent is returned, and an attempt in flight, for which nobody is waiting, is cancelled if that is
+    /// permitted.
+    pub(super) fn remove_request(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.remove(id) else {
+            return;
+        };
+        if !request.was_sent() {
+            if let Some(bucket) = self.quotas.local.get_mut(&request.customer()) {
+                bucket.tokens += request.units();
+            }
+        }
+        if let Some(pending) = request.quota.pending {
+            self.quotas.pending.remove(&pending.sequence);
+        }
+        if let Some(grant) = request.quota.grant {
+            self.release_permit(grant, request.customer(), actions);
+        }
+        if !self.deployment.settings.permissions.cancel_attempts {
+            return;
+        }
+        if let Some(attempt) = request.cancellable_attempt() {
+            actions.push(Action::CancelAttempt {
+                id: id.clone(),
+                attempt,
+            });
+        }
+    }
+}
--- a/crates/gateway-core/src/gateway/gossip.rs
+++ b/crates/gateway-core/src/gateway/gossip.rs
@@ -10,7 +10,6 @@
 use crate::policy::gossip as policy;
 use crate::policy::load_balancing::SAMPLE_SIZE;
 use crate::policy::quota::{observe_incarnation, PARTITIONED};
-use crate::state::deployment::FleetMode;
 use crate::state::permits::PermitHolder;
 use crate::state::quota_state::silent_gateways;
 use crate::statistics::update_mean;
@@ -91,13 +90,14 @@
     /// Tells the peers what was forwarded of late, also when that is nothing: they hear that this gateway
     /// lives.
     pub(super) fn broadcast_usage(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        if now < self.timers.next_broadcast || self.deployment.mode != FleetMode::Gossip {
+        if !self.timers.is_broadcast_due(now) {
             return;
         }
         let Some(interval) = broadcast_interval(&self.deployment.settings) else {
             return;
         };
-        self.timers.next_broadcast = now + policy::MIN_BROADCAST_INTERVAL.max(interval);
+        self.timers
+            .schedule_broadcast(now + policy::MIN_BROADCAST_INTERVAL.max(interval));
         let mut counts = self
             .quotas
             .usage_counts(now, policy::USAGE_LIFETIME, policy::USAGE_STEP);
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -1,25 +1,33 @@
-//! The gateway: takes in events, keeps the state and carries out what the [`policy`](crate::policy) decides.
-//! Nothing is decided here.
+//! The gateway: handles events, holds the state, and carries out what the [`policy`](crate::policy) decides.
+//!
+//! The files follow a request: `requests` (arrival and expiry), `leases` (the quota owners' decision), `dispatch`
+//! (sending queued requests) with `server_selection`, `attempts` (how attempts end) with `server_health`, and
+//! `final_answer`. Periodic work is in `timers`, `control_tick` with `control_loop`, and `gossip`.
 
 mod attempts;
+mod control_loop;
 mod control_tick;
+mod dispatch;
+mod final_answer;
 mod gossip;
 mod leases;
+mod rejections;
 mod requests;
 mod server_health;
 mod server_selection;
+mod timers;
 
-use crate::policy::controller_inputs::ControllerInputs;
-use crate::policy::deadlines::TIMER_PERIOD;
+use self::attempts::AttemptResult;
+use self::control_loop::ControlLoop;
+use self::rejections::RejectionCounts;
+use self::timers::Timers;
 use crate::policy::fleet_mode::mode_of;
-use crate::policy::fuzzy_controller::{FuzzyController, TICK_PERIOD};
 use crate::policy::load_balancing::INITIAL_WAIT_SHARE;
 use crate::policy::retry_budget::RetryBudget;
 use crate::settings::{EndpointDiscovery, Settings, SettingsError};
-use crate::state::attempt::AttemptTable;
-use crate::state::deployment::{Context, Deployment, FleetMode};
+use crate::state::attempt::{AttemptKey, AttemptTable};
+use crate::state::deployment::{Context, Deployment};
 use crate::state::fleet_estimates::FleetEstimates;
-use crate::state::latency_samples::LatencySamples;
 use crate::state::quota_state::QuotaState;
 use crate::state::request::{Request, RequestDetails, RequestTable};
 use crate::state::server_table::ServerTable;
@@ -27,17 +35,8 @@
 use crate::time::Timestamp;
 use crate::types::{PlanId, RejectReason};
 use crate::{Action, Event};
-use std::collections::BTreeMap;
 
-/// When the next timers are due.
-struct Timers {
-    /// When the timer that was set fires.
-    wake_at: Timestamp,
-    next_broadcast: Timestamp,
-    next_control_tick: Timestamp,
-}
-
-/// Decides for one gateway. It does no input or output, and reads no clock.
+/// The decisions of one gateway. It does no input or output, and reads no clock.
 pub struct Gateway {
     deployment: Deployment,
     random: fastrand::Rng,
@@ -50,22 +49,19 @@
     capacity: FleetCapacity,
     quotas: QuotaState,
     fleet: FleetEstimates,
-    controller: FuzzyController,
-    controller_inputs: &'static dyn ControllerInputs,
-    /// Latencies since the last control tick.
-    latencies: LatencySamples,
-    /// Final answers that no server made, by reason and plan.
-    rejections: BTreeMap<(RejectReason, PlanId), u64>,
+    control_loop: ControlLoop,
+    rejections: RejectionCounts,
 }
 
 impl Gateway {
-    /// A gateway that knows its settings and nothing else. `seed`: for random numbers; `now`: in µs.
+    /// A gateway that starts at `now` with its settings and without any other knowledge. `seed` initialises its
+    /// random numbers.
     ///
     /// # Errors
-    /// The settings make no sense.
+    /// Returns an error if the settings contradict each other or are out of range.
     pub fn new(seed: u64, settings: Settings, now: Timestamp) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let classes = settings.classes.len();
+        let class_count = settings.classes.len();
         let mode = mode_of(&settings);
         let servers = ServerTable::new(&settings, mode.parameters().max_walked_servers);
         let quotas = QuotaState::new(now, settings.gateway_id, settings.gateway_count);
@@ -74,11 +70,7 @@
         Ok(Gateway {
             deployment,
             random: fastrand::Rng::with_seed(seed),
-            timers: Timers {
-                wake_at: Timestamp::MAX,
-                next_broadcast: now,
-                next_control_tick: now + TICK_PERIOD,
-            },
+            timers: Timers::new(now, mode.broadcasts_usage()),
             watch_requested: false,
             requests: RequestTable::default(),
             attempts: AttemptTable::default(),
@@ -86,20 +78,22 @@
             servers,
             capacity: FleetCapacity::default(),
             quotas,
-            fleet: FleetEstimates::new(classes, initial_wait),
-            controller: FuzzyController::default(),
-            controller_inputs: mode.controller_inputs(),
-            latencies: LatencySamples::new(classes),
-            rejections: BTreeMap::new(),
+            fleet: FleetEstimates::new(class_count, initial_wait),
+            control_loop: ControlLoop::new(class_count, mode.controller_inputs()),
+            rejections: RejectionCounts::default(),
         })
     }
 
-    /// Takes in one event; what is to be done about it is added to `actions`. `now`: in µs, never less than
-    /// before.
+    /// Handles one event that happened at `now`, which must not be earlier than in the call before. The actions
+    /// that follow are appended to `actions`, to be carried out in this order.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
-        if !std::mem::replace(&mut self.watch_requested, true) {
-            self.watch_endpoints(actions);
-        }
+        self.watch_endpoints_at_first_event(actions);
+        self.handle_event(now, event, actions);
+        self.dispatch(now, actions);
+        self.rearm_timer(now, actions);
+    }
+
+    fn handle_event(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsUpdated { kind, endpoints } => {
                 self.servers.apply_update(now, kind, endpoints);
@@ -114,10 +108,6 @@
                 gateways,
                 client_timeout,
             } => {
-                let settings = &self.deployment.settings;
-                if settings.classes.len() <= class.0 || settings.plans.len() <= plan.0 {
-                    return actions.push(Action::Fail { id });
-                }
                 let details = RequestDetails {
                     class,
                     plan,
@@ -127,11 +117,7 @@
                 let request = Request::arriving(now, client_timeout, details);
                 self.on_request(now, id, request, gateways, actions);
             }
-            Event::StreamStarted { id } => {
-                if let Some(request) = self.requests.get_mut(&id) {
-                    request.stream_started();
-                }
-            }
+            Event::StreamStarted { id } => self.on_stream_started(&id),
             Event::AttemptFinished {
                 id,
                 attempt,
@@ -139,51 +125,46 @@
                 closed,
                 reported_load,
             } => {
-                let result = attempts::AttemptResult {
+                let key = AttemptKey {
+                    request: id,
+                    number: attempt,
+                };
+                let result = AttemptResult {
                     outcome,
                     closed,
                     reported_load,
                 };
-                self.on_attempt_finished(now, id, attempt, result, actions);
+                self.on_attempt_finished(now, &key, result, actions);
             }
             Event::ClientDisconnected { id } => self.remove_request(&id, actions),
-            Event::TimerFired { .. } if now < self.timers.wake_at => {} // a later timer has replaced it
             Event::TimerFired { .. } => self.on_timer(now, actions),
             Event::PeerMessage { from, bytes } => self.on_peer_message(now, from, &bytes, actions),
         }
-        self.dispatch(now, actions);
-        self.set_timer(now, actions);
     }
 
+    /// A timer has fired: what is due by now is done, in this order.
     fn on_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        if self.timers.is_replaced(now) {
+            return;
+        }
         self.detect_stalled_servers(now, actions);
-        self.timers.wake_at = Timestamp::MAX;
+        self.timers.timer_fired();
         self.expire_requests(now, actions);
         self.check_lease_requests(now, actions);
         self.on_control_tick(now, actions);
         self.broadcast_usage(now, actions);
     }
 
-    fn set_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        let periodic = match self.deployment.mode {
-            FleetMode::Gossip => self
-                .timers
-                .next_control_tick
-                .min(self.timers.next_broadcast),
-            FleetMode::Leases => self.timers.next_control_tick,
-        };
-        let soonest = now + TIMER_PERIOD;
-        let next = if self.requests.is_empty() {
-            periodic.max(soonest)
-        } else {
-            soonest
-        };
-        if next < self.timers.wake_at {
-            self.timers.wake_at = next;
-            actions.push(Action::SetTimer {
-                after: next.duration_since(now),
-                token: 0,
-            });
+    fn rearm_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let has_open_requests = !self.requests.is_empty();
+        if let Some(after) = self.timers.rearm(now, has_open_requests) {
+            actions.push(Action::SetTimer { after, token: 0 });
+        }
+    }
+
+    fn watch_endpoints_at_first_event(&mut self, actions: &mut Vec<Action>) {
+        if !std::mem::replace(&mut self.watch_requested, true) {
+            self.watch_endpoints(actions);
         }
     }
 
@@ -201,19 +182,17 @@
         }
     }
 
-    /// Final answers since the start that no server made, by reason and plan.
+    /// How many final answers since the start were made without a server, by reason and plan.
     pub fn rejections(&self) -> impl Iterator<Item = (RejectReason, PlanId, u64)> + '_ {
-        self.rejections
-            .iter()
-            .map(|((reason, plan), count)| (*reason, *plan, *count))
+        self.rejections.iter()
     }
 
-    /// How many servers and customers are kept in memory.
+    /// How many servers and customers are held in memory.
     pub fn tracked_entries(&self) -> usize {
         self.servers.tracked_entries() + self.quotas.local.len() + self.quotas.owned.len()
     }
 
-    /// How many servers were looked at since the start: work that tests can count.
+    /// How many entries of servers were visited since the start, as a measure of work.
     pub fn entries_visited(&self) -> u64 {
         self.servers.visited()
     }
--- a/crates/gateway-core/src/gateway/requests.rs
+++ b/crates/gateway-core/src/gateway/requests.rs
@@ -1,17 +1,23 @@
-//! Requests: their arrival, their time running out, and final answers that no server makes.
+//! Open requests: their arrival, and their expiry.
 
 use super::Gateway;
 use crate::policy::admission::{self, Admission};
 use crate::policy::deadlines::{self, Expiry};
-use crate::policy::{quota, retry};
+use crate::policy::quota;
 use crate::state::deployment::Context;
 use crate::state::quota_state::{silent_gateways, QuotaState};
 use crate::state::request::{QuotaGrant, Request};
 use crate::state::token_bucket::{BucketConfig, TokenBucket};
 use crate::time::Timestamp;
-use crate::types::{GatewaySet, RejectReason, RequestId};
+use crate::types::{AttemptNumber, GatewaySet, RequestId};
 use crate::Action;
 
+/// A request whose age requires something, and what that is.
+struct ExpiredRequest {
+    id: RequestId,
+    expiry: Expiry,
+}
+
 /// The bucket of a request's customer, refilled up to now.
 fn refilled_bucket<'a>(
     quotas: &'a mut QuotaState,
@@ -46,6 +52,7 @@
 }
 
 impl Gateway {
+    /// A client's request has arrived. One of an unknown class or plan fails.
     pub(super) fn on_request(
         &mut self,
         now: Timestamp,
@@ -54,6 +61,9 @@
         gateways: GatewaySet,
         actions: &mut Vec<Action>,
     ) {
+        if !self.deployment.is_known(&request) {
+            return actions.push(Action::Fail { id });
+        }
         let context = Context {
             now,
             deployment: &self.deployment,
@@ -81,81 +91,51 @@
         }
     }
 
-    /// Answers requests that have no time left, and cancels attempts whose answer would earn nothing.
+    /// The answer of a server has begun to stream to the client.
+    pub(super) fn on_stream_started(&mut self, id: &RequestId) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.stream_started();
+        }
+    }
+
+    /// Gives requests whose time is over their final answer, and cancels attempts whose answer would have no
+    /// value any more.
     pub(super) fn expire_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        let context = self.context(now);
-        let expiry = |(id, request): (&RequestId, &Request)| {
-            Some((id.clone(), deadlines::expiry(context, request)?))
-        };
-        let expired: Vec<_> = self.requests.iter().filter_map(expiry).collect();
-        for (id, expiry) in &expired {
-            let Expiry::CancelAttempt(attempt) = expiry else {
-                continue;
-            };
-            if let Some(request) = self.requests.get_mut(id) {
-                request.attempt_cancelled();
+        let expired = self.expired_requests(now);
+        for ExpiredRequest { id, expiry } in &expired {
+            if let Expiry::CancelAttempt(attempt) = expiry {
+                self.cancel_attempt(id.clone(), *attempt, actions);
             }
-            actions.push(Action::CancelAttempt {
-                id: id.clone(),
-                attempt: *attempt,
-            });
         }
-        for (id, expiry) in expired {
+        for ExpiredRequest { id, expiry } in expired {
             if let Expiry::FinalAnswer(reason) = expiry {
                 self.reject_or_fail(now, &id, reason, actions);
             }
         }
     }
 
-    /// Answers a request: rejected where that promise holds, else failed.
-    pub(super) fn reject_or_fail(
-        &mut self,
-        now: Timestamp,
-        id: &RequestId,
-        reason: RejectReason,
-        actions: &mut Vec<Action>,
-    ) {
-        let Some(request) = self.requests.get(id) else {
-            return;
-        };
-        *self.rejections.entry((reason, request.plan())).or_default() += 1;
-        if retry::may_reject(&self.deployment, request) {
-            let bucket = self.quotas.local.get(&request.customer());
-            let retry_after = deadlines::retry_after(self.context(now), bucket, request);
-            actions.push(Action::Reject {
+    fn expired_requests(&self, now: Timestamp) -> Vec<ExpiredRequest> {
+        let context = self.context(now);
+        let expired = self.requests.iter().filter_map(|(id, request)| {
+            let expiry = deadlines::expiry(context, request)?;
+            Some(ExpiredRequest {
                 id: id.clone(),
-                retry_after,
-            });
-        } else {
-            actions.push(Action::Fail { id: id.clone() });
-        }
-        self.remove_request(id, actions);
+                expiry,
+            })
+        });
+        expired.collect()
     }
 
-    /// Drops a request: it is answered, or its client has gone. What it took from the bucket here goes back
-    /// if it was never sent. Nobody waits for an attempt in flight, so it is cancelled where that is
-    /// permitted.
-    pub(super) fn remove_request(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.remove(id) else {
-            return;
-        };
-        if !request.was_sent() {
-            if let Some(bucket) = self.quotas.local.get_mut(&request.customer()) {
-                bucket.tokens += request.units();
-            }
-        }
-        if let Some(pending) = request.quota.pending {
-            self.quotas.pending.remove(&pending.sequence);
-        }
-        if let Some(grant) = request.quota.grant {
-            self.release_permit(grant, request.customer(), actions);
-        }
-        let may_cancel = self.deployment.settings.permissions.cancel_attempts;
-        if let Some(attempt) = request.cancellable_attempt().filter(|_| may_cancel) {
-            actions.push(Action::CancelAttempt {
-                id: id.clone(),
-                attempt,
-            });
+    /// Cancels the attempt of a request that is in flight; the request stays open.
+    pub(super) fn cancel_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNumber,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.attempt_cancelled();
         }
+        actions.push(Action::CancelAttempt { id, attempt });
     }
 }
--- a/crates/gateway-core/src/gateway/server_health.rs
+++ b/crates/gateway-core/src/gateway/server_health.rs
@@ -100,7 +100,7 @@
     /// Ejects servers that take work and answer none, and cancels attempts at them whose requests may be
     /// retried.
     pub(super) fn detect_stalled_servers(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        if outliers::is_late_timer(now, self.timers.wake_at) {
+        if outliers::is_late_timer(now, self.timers.fires_at()) {
             return;
         }
         for stalled in self.stalled_attempts(now) {
--- a/crates/gateway-core/src/gateway/server_selection.rs
+++ b/crates/gateway-core/src/gateway/server_selection.rs
@@ -16,7 +16,7 @@
             fleet: &self.fleet,
         };
         let balancer = Balancer::new(context, &self.servers);
-        let valid_until = self.timers.next_control_tick;
+        let valid_until = self.timers.next_control_tick();
         let capacity = &mut self.capacity;
         let fleet_capacity = || {
             // Where not all servers are walked it is summed anew once a control tick.
--- a/crates/gateway-core/src/policy/fleet_mode.rs
+++ b/crates/gateway-core/src/policy/fleet_mode.rs
@@ -95,6 +95,11 @@
         }
     }
 
+    /// Whether gateways broadcast their usage to each other.
+    pub(crate) fn broadcasts_usage(self) -> bool {
+        self == FleetMode::Gossip
+    }
+
     /// What the fuzzy controller observes in a fleet of this mode.
     pub(crate) fn controller_inputs(self) -> &'static dyn ControllerInputs {
         match self {
--- a/crates/gateway-core/src/state/deployment.rs
+++ b/crates/gateway-core/src/state/deployment.rs
@@ -25,6 +25,8 @@
     pub(crate) shortest_objective: f64,
     /// The class of the lowest priority weight, the first of several.
     pub(crate) lowest_class: ClassId,
+    /// Whether quota owners grant each request its units before it is first sent.
+    quota_owners_grant: bool,
 }
 
 impl Deployment {
@@ -35,12 +37,20 @@
         let lowest = (0..classes.len()).min_by(|a, b| weight(a).total_cmp(&weight(b)));
         Deployment {
             mode,
+            quota_owners_grant: mode == FleetMode::Leases,
             shortest_objective: shortest.unwrap_or_default().as_micros_f64().max(1.0),
             lowest_class: ClassId(lowest.unwrap_or(0)),
             settings,
         }
     }
 
+    /// Whether the class and the plan of a request are in the settings.
+    pub(crate) fn is_known(&self, request: &Request) -> bool {
+        request.class().0 < self.settings.classes.len()
+            && request.plan().0 < self.settings.plans.len()
+    }
+
+    /// The class of a request.
     pub(crate) fn class_of(&self, request: &Request) -> &Class {
         &self.settings.classes[request.class().0]
     }
@@ -66,6 +76,12 @@
         request.arrived_at() + self.class_of(request).latency_objective
     }
 
+    /// Time between two instants relative to the latency objective of a class.
+    pub(crate) fn objective_ratio(&self, class: ClassId, from: Timestamp, until: Timestamp) -> f64 {
+        let objective = self.settings.classes[class.0].latency_objective;
+        until.micros_since(from) / objective.as_micros_f64().max(1.0)
+    }
+
     /// Whether an answer to a request has any value after its latency objective.
     pub(crate) fn has_value_when_late(&self, request: &Request) -> bool {
         self.class_of(request).late_weight > 0.0
@@ -73,9 +89,10 @@
 
     /// Whether quota owners grant each request its units before it is first sent.
     pub(crate) fn quota_owners_grant(&self) -> bool {
-        self.mode == FleetMode::Leases
+        self.quota_owners_grant
     }
 
+    /// The plan that a request names.
     pub(crate) fn plan_of(&self, request: &Request) -> &Plan {
         &self.settings.plans[request.plan().0]
     }
