--- a/crates/gateway-core/src/gateway/control_loop.rs
+++ b/crates/gateway-core/src/gateway/control_loop.rs
@@ -8,7 +8,7 @@
 use crate::state::deployment::Deployment;
 use crate::state::fleet_estimates::FleetEstimates;
 use crate::state::latency_samples::LatencySamples;
-use crate::state::request::RequestTable;
+use crate::state::request_table::RequestTable;
 use crate::statistics::update_mean;
 use crate::time::Timestamp;
 use crate::types::ClassId;
@@ -37,7 +37,7 @@
         self.controller.limit()
     }
 
-    /// Takes in an attempt that was answered now.
+    /// Records the latency of an attempt that was answered now.
     pub(super) fn observe_success(
         &mut self,
         now: Timestamp,
@@ -48,8 +48,8 @@
         self.latencies.of(attempt.class).add(ratio);
     }
 
-    /// A control tick: the latency ratios and the means of attempts in flight take in what was observed, and
-    /// the in-flight limit is moved. Returns a warning if the limit starts and operators are to be warned.
+    /// Runs a control tick: updates the latency ratios and the means of attempts in flight with what was observed,
+    /// and moves the in-flight limit. Returns a warning if the limit starts and operators are to be warned.
     pub(super) fn tick(
         &mut self,
         now: Timestamp,
--- a/crates/gateway-core/src/gateway/dispatch.rs
+++ b/crates/gateway-core/src/gateway/dispatch.rs
@@ -44,11 +44,7 @@
         pass: &mut DispatchPass,
         selectable: &[ServerId],
     ) -> Option<ServerId> {
-        let context = Context {
-            now,
-            deployment: &self.deployment,
-            fleet: &self.fleet,
-        };
+        let context = Context::new(now, &self.deployment, &self.fleet);
         let request = self.requests.get_mut(id)?;
         let class = request.class();
         let limit = self.control_loop.in_flight_limit();
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -29,7 +29,8 @@
 use crate::state::deployment::{Context, Deployment};
 use crate::state::fleet_estimates::FleetEstimates;
 use crate::state::quota_state::QuotaState;
-use crate::state::request::{Request, RequestDetails, RequestTable};
+use crate::state::request::{Request, RequestDetails};
+use crate::state::request_table::RequestTable;
 use crate::state::server_table::ServerTable;
 use crate::state::server_view::FleetCapacity;
 use crate::time::Timestamp;
@@ -174,12 +175,9 @@
         }
     }
 
+    /// The context of decisions that need nothing of the gateway to be borrowed mutably at the same time.
     fn context(&self, now: Timestamp) -> Context<'_> {
-        Context {
-            now,
-            deployment: &self.deployment,
-            fleet: &self.fleet,
-        }
+        Context::new(now, &self.deployment, &self.fleet)
     }
 
     /// How many final answers since the start were made without a server, by reason and plan.
--- a/crates/gateway-core/src/gateway/requests.rs
+++ b/crates/gateway-core/src/gateway/requests.rs
@@ -64,11 +64,7 @@
         if !self.deployment.is_known(&request) {
             return actions.push(Action::Fail { id });
         }
-        let context = Context {
-            now,
-            deployment: &self.deployment,
-            fleet: &self.fleet,
-        };
+        let context = Context::new(now, &self.deployment, &self.fleet);
         let bucket = refilled_bucket(&mut self.quotas, context, &request, gateways);
         let admission = admission::decide(context, bucket, &request, &mut self.random);
         let lease_sequence = bucket.lease.sequence;
--- a/crates/gateway-core/src/gateway/server_health.rs
+++ b/crates/gateway-core/src/gateway/server_health.rs
@@ -62,11 +62,7 @@
         }
         server.health[attempt.class.0].observed_at = now;
         let latency = outliers::counted_latency(&self.deployment, latency, failed);
-        let context = Context {
-            now,
-            deployment: &self.deployment,
-            fleet: &self.fleet,
-        };
+        let context = Context::new(now, &self.deployment, &self.fleet);
         outliers::observe_wait(&mut server, context, latency / attempt.server_in_flight);
         // Cancelled attempts count: without them a slow fleet would look fast, and its servers would be
         // ejected.
--- a/crates/gateway-core/src/gateway/server_selection.rs
+++ b/crates/gateway-core/src/gateway/server_selection.rs
@@ -10,11 +10,7 @@
 impl Gateway {
     /// Servers that may be chosen from now: ready and with capacity. Of too many to be walked, a sample.
     pub(super) fn selectable_servers(&mut self, now: Timestamp) -> Vec<ServerId> {
-        let context = Context {
-            now,
-            deployment: &self.deployment,
-            fleet: &self.fleet,
-        };
+        let context = Context::new(now, &self.deployment, &self.fleet);
         let balancer = Balancer::new(context, &self.servers);
         let valid_until = self.timers.next_control_tick();
         let capacity = &mut self.capacity;
@@ -45,11 +41,7 @@
         only: Option<&RequestId>,
     ) -> Vec<ServerId> {
         let request = only.and_then(|id| self.requests.get(id));
-        let context = Context {
-            now,
-            deployment: &self.deployment,
-            fleet: &self.fleet,
-        };
+        let context = Context::new(now, &self.deployment, &self.fleet);
         let found = Balancer::new(context, &self.servers).sample(request, &mut self.random);
         for candidate in found.iter().filter(|candidate| !candidate.tracked) {
             self.servers.track(now, &candidate.server);
@@ -71,11 +63,7 @@
         let own_sample = needs_own_sample.then(|| self.sample_servers(now, Some(id)));
         let selectable = own_sample.as_deref().unwrap_or(selectable);
         let request = self.requests.get(id)?;
-        let context = Context {
-            now,
-            deployment: &self.deployment,
-            fleet: &self.fleet,
-        };
+        let context = Context::new(now, &self.deployment, &self.fleet);
         Balancer::new(context, &self.servers).pick(request, selectable, &mut self.random)
     }
 }
--- a/crates/gateway-core/src/policy/controller_inputs.rs
+++ b/crates/gateway-core/src/policy/controller_inputs.rs
@@ -4,10 +4,10 @@
 //! 1. Answered requests count with their latency. Open requests count with their age where the fleet's rule says
 //!    so: without them, servers that hang would look fast, because nothing is answered
 //!    ([`ControllerInputs::counts_open_request`]).
-//! 2. The latency ratio of each class takes in the mean of this gateway's samples
+//! 2. The latency ratio of each class includes the mean of this gateway's samples
 //!    ([`ControllerInputs::latency_ratio_weight`]), or is unknown where there are none
 //!    ([`ControllerInputs::forgets_latency_ratios`]).
-//! 3. The means of attempts in flight take in this gateway's counts
+//! 3. The means of attempts in flight include this gateway's counts
 //!    ([`ControllerInputs::in_flight_weight`]).
 
 use crate::state::request::Request;
@@ -76,7 +76,7 @@
 }
 
 /// The rules of a large fleet: a gateway sees few requests, and its latency ratios are means over the fleet,
-/// kept up by gossip.
+/// updated by gossip.
 pub(crate) struct LargeFleetInputs;
 
 impl ControllerInputs for LargeFleetInputs {
--- a/crates/gateway-core/src/policy/deadlines.rs
+++ b/crates/gateway-core/src/policy/deadlines.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// How long a rejected client is told to wait before it retries: until its customer's bucket is likely to hold
+/// The `Retry-After` of a rejected client: how long it should wait before it retries. That is until its customer's bucket is likely to hold
 /// the units of the request, within limits. `None` where the settings allow no `Retry-After`.
 pub(crate) fn retry_after(
     context: Context<'_>,
--- a/crates/gateway-core/src/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/src/policy/fuzzy_controller.rs
@@ -19,7 +19,7 @@
 //! | Δu | [`Inference::change`] |
 //! | α | [`Inference::alpha`] |
 //! | KΔu | `OUTPUT_GAIN` |
-//! | u(k) | the attempts in flight that the change is a fraction of |
+//! | the cap | the in-flight limit of the lowest class, `FuzzyController::limit` |
 
 use super::in_flight_limit::InFlightLimit;
 use crate::fuzzy_inference::infer;
@@ -99,7 +99,7 @@
     limit: InFlightLimit,
     /// e(k−1); `None` before the first tick with a known latency ratio.
     last_error: Option<f64>,
-    /// The most attempts of the lowest class in flight since the tick before the last.
+    /// Peak of the attempts of the lowest class in flight at this control tick and the one before.
     peak_in_flight: f64,
 }
 
@@ -114,7 +114,7 @@
         &mut self.limit
     }
 
-    /// Takes in one control tick. `latency_ratio` is the worst of the controlled classes; while it is unknown
+    /// Moves the limit at one control tick. `latency_ratio` is the worst of the controlled classes; while it is unknown
     /// the limit stays. `fleet_fraction` is the part of the fleet that this gateway makes up.
     pub(crate) fn tick(
         &mut self,
--- a/crates/gateway-core/src/policy/in_flight_limit.rs
+++ b/crates/gateway-core/src/policy/in_flight_limit.rs
@@ -3,14 +3,14 @@
 //! The rules:
 //! 1. There is no limit until the fuzzy controller sets one.
 //! 2. An attempt may be sent while it stays within the limit ([`InFlightLimit::allows`]).
-//! 3. A limit below one attempt is kept on average: tokens accumulate at the pace that the limit allows, and one
+//! 3. A limit below one attempt holds on average: tokens accumulate at the pace that the limit allows, and one
 //!    token allows one attempt.
 
 use crate::time::Timestamp;
 
-/// A limit below this many attempts is kept on average.
+/// A limit below this many attempts holds on average.
 const PACED_BELOW_ATTEMPTS: f64 = 1.0;
-/// Tokens that one attempt needs, and the most that accumulate.
+/// Tokens that one attempt needs; no more than these accumulate.
 const TOKENS_PER_ATTEMPT: f64 = 1.0;
 /// Shortest mean latency that pacing calculates with.
 const MIN_MEAN_LATENCY_US: f64 = 1.0;
--- a/crates/gateway-core/src/policy/retry_budget.rs
+++ b/crates/gateway-core/src/policy/retry_budget.rs
@@ -10,7 +10,7 @@
 
 /// Retries that each first attempt earns.
 const RETRIES_PER_FIRST_ATTEMPT: f64 = 0.2;
-/// Retries that the budget holds at most, and at the start.
+/// Maximum of the budget in retries, which it also starts with.
 const MAX_RETRIES: f64 = 20.0;
 /// Retries that one charged retry takes.
 const RETRY_COST: f64 = 1.0;
--- a/crates/gateway-core/src/state/deployment.rs
+++ b/crates/gateway-core/src/state/deployment.rs
@@ -97,3 +97,18 @@
     /// Estimates of the fleet.
     pub(crate) fleet: &'a FleetEstimates,
 }
+
+impl<'a> Context<'a> {
+    /// The context of an event at `now`.
+    pub(crate) fn new(
+        now: Timestamp,
+        deployment: &'a Deployment,
+        fleet: &'a FleetEstimates,
+    ) -> Self {
+        Context {
+            now,
+            deployment,
+            fleet,
+        }
+    }
+}
--- a/crates/gateway-core/src/state/mod.rs
+++ b/crates/gateway-core/src/state/mod.rs
@@ -14,6 +14,7 @@
 pub(crate) mod quota_state;
 pub(crate) mod ranked_set;
 pub(crate) mod request;
+pub(crate) mod request_table;
 pub(crate) mod server;
 pub(crate) mod server_index;
 pub(crate) mod server_table;
--- a/crates/gateway-core/tests/common/fleet.rs
+++ b/crates/gateway-core/tests/common/fleet.rs
@@ -1,12 +1,13 @@
-//! Many gateways on one clock, with lossy, late, repeated and reordered messages between them.
+//! Many gateways on one clock, whose messages are lost, delayed, duplicated and reordered.
 
 use super::{GatewayHarness, Micros, SettingsBuilder, CUSTOMER, IDEMPOTENT, MS, S};
 use gateway_core::*;
 use std::collections::BTreeMap;
 
-/// Of twenty messages so many arrive, and so many a second time.
+/// Of twenty messages, how many arrive.
 const DELIVERED_OF_TWENTY: u8 = 18;
-const REPEATED_OF_TWENTY: u8 = 1;
+/// Of twenty messages, how many are duplicated.
+const DUPLICATED_OF_TWENTY: u8 = 1;
 
 /// A message on its way.
 struct Delivery {
@@ -20,9 +21,9 @@
 pub(crate) struct Fleet {
     pub(crate) gateways: Vec<GatewayHarness>,
     pub(crate) random: fastrand::Rng,
-    /// Messages that gateways have sent, with those that are lost.
+    /// Messages that gateways have sent, including those that are lost.
     pub(crate) messages_sent: u64,
-    /// Messages that each gateway has taken in, by index.
+    /// Messages that each gateway has received, by index.
     pub(crate) messages_received: BTreeMap<usize, u64>,
     network: Vec<Delivery>,
     /// How many actions of each gateway have been looked through for messages.
@@ -54,7 +55,7 @@
         self.gateways[0].now
     }
 
-    /// The most messages that one gateway has taken in.
+    /// The largest number of messages that one gateway has received.
     pub(crate) fn most_received(&self) -> u64 {
         self.messages_received.values().max().copied().unwrap_or(0)
     }
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Puts what a gateway has sent on the network.
+    /// Puts the messages that a gateway has sent on the network.
     fn collect_messages(&mut self, from: usize) {
         let gateway = &self.gateways[from];
         for action in &gateway.actions[self.actions_collected[from]..] {
@@ -93,7 +94,7 @@
                 continue;
             };
             self.messages_sent += 1;
-            for copies_of_twenty in [DELIVERED_OF_TWENTY, REPEATED_OF_TWENTY] {
+            for copies_of_twenty in [DELIVERED_OF_TWENTY, DUPLICATED_OF_TWENTY] {
                 if self.random.u8(0..20) < copies_of_twenty {
                     let event = Event::PeerMessage {
                         from: GatewayId(from as u32),
@@ -111,7 +112,7 @@
         self.actions_collected[from] = gateway.actions.len();
     }
 
-    /// Ends with success what is in flight anywhere, and returns how many attempts that were.
+    /// Completes all attempts in flight at all gateways with success, and returns how many there were.
     pub(crate) fn complete_all(&mut self) -> usize {
         self.gateways
             .iter_mut()
@@ -146,14 +147,14 @@
         sent
     }
 
-    /// Starts a gateway from nothing; what is on its way to it still arrives.
+    /// Restarts a gateway without any state; messages in transit to it still arrive.
     pub(crate) fn restart(&mut self, index: usize, seed: u64, settings: Settings, servers: u64) {
         let now = self.gateways[index].now;
         self.gateways[index] = GatewayHarness::with_servers(seed, settings, now, servers);
         self.actions_collected[index] = 0;
     }
 
-    /// Starts every gateway from nothing.
+    /// Restarts every gateway without any state.
     pub(crate) fn restart_all(&mut self, seed: u64, servers: u64) {
         let count = self.gateways.len();
         for index in 0..count {
--- a/crates/gateway-core/tests/common/harness.rs
+++ b/crates/gateway-core/tests/common/harness.rs
@@ -1,5 +1,5 @@
 //! One gateway on a clock of its own. Every action that it takes is checked against the rules of the platform, by a
-//! [`RequestLog`] that knows nothing of the gateway's state.
+//! [`RequestLog`] that does not see the gateway's state.
 
 use super::request_log::RequestLog;
 use super::{Micros, CUSTOMER, IDEMPOTENT, MS, S, UNLIMITED};
@@ -23,7 +23,7 @@
     pub(crate) server: ServerId,
 }
 
-/// A gateway, the endpoints that it was notified of, and what it has done.
+/// A gateway, the endpoints that it was notified of, and the actions that it returned.
 pub(crate) struct GatewayHarness {
     pub(crate) now: Micros,
     pub(crate) gateway: Gateway,
@@ -31,9 +31,9 @@
     pub(crate) timers: Vec<PendingTimer>,
     pub(crate) endpoints: BTreeMap<ServerId, Endpoint>,
     pub(crate) in_flight: Vec<InFlightAttempt>,
-    /// Everything that the gateway has done so far.
+    /// All actions that the gateway has returned.
     pub(crate) actions: Vec<Action>,
-    /// The gateways that customers' requests come through.
+    /// The gateways that receive the customers' requests.
     pub(crate) customer_gateways: GatewaySet,
     /// Requests in flight that each server reports.
     pub(crate) reported_loads: BTreeMap<ServerId, f64>,
@@ -119,7 +119,7 @@
         id
     }
 
-    /// A request arrives, and succeeds if it is sent at once; returns whether it was.
+    /// A request arrives, and succeeds if it is sent immediately; returns whether it was.
     pub(crate) fn request_and_complete(
         &mut self,
         class: ClassId,
@@ -135,7 +135,7 @@
         sent
     }
 
-    /// Idempotent requests without a limit arrive one after the other, and succeed if they are sent at once; returns
+    /// Idempotent requests without a limit arrive one after the other, and succeed if they are sent immediately; returns
     /// the servers that they were sent to.
     pub(crate) fn request_in_turn(&mut self, count: usize, interval: Micros) -> Vec<ServerId> {
         let mut servers = Vec::new();
@@ -181,7 +181,7 @@
         })
     }
 
-    /// Ends with success what is in flight now, and returns how many attempts that were.
+    /// Completes all attempts in flight with success, and returns how many there were.
     pub(crate) fn complete_all(&mut self) -> usize {
         let in_flight = self.in_flight.clone();
         for attempt in &in_flight {
@@ -190,7 +190,7 @@
         in_flight.len()
     }
 
-    /// The client of a request goes away.
+    /// The client of a request disconnects.
     pub(crate) fn disconnect(&mut self, id: &RequestId) {
         self.requests.client_disconnected(id);
         self.handle(Event::ClientDisconnected { id: id.clone() });
@@ -264,10 +264,10 @@
         count_sent(&self.actions)
     }
 
-    /// How many requests have been rejected or have failed.
-    pub(crate) fn refused_count(&self) -> usize {
-        let refusals = self.actions.iter();
-        refusals
+    /// How many requests were rejected or have failed.
+    pub(crate) fn rejected_or_failed_count(&self) -> usize {
+        self.actions
+            .iter()
             .filter(|action| matches!(action, Action::Reject { .. } | Action::Fail { .. }))
             .count()
     }
@@ -281,7 +281,7 @@
         .count()
 }
 
-/// A ready server; even and odd numbers are zones and cells apart.
+/// A ready server; even and odd numbers are in different zones and cells.
 pub(crate) fn ready_endpoint(server: u64) -> Endpoint {
     Endpoint {
         server: ServerId(server),
--- a/crates/gateway-core/tests/common/request_log.rs
+++ b/crates/gateway-core/tests/common/request_log.rs
@@ -155,7 +155,7 @@
     }
 }
 
-/// Stated here once more, so that a fault in the library does not hide itself.
+/// Stated independently of the library, so that a fault there is found.
 fn possibly_executed(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
--- a/crates/gateway-core/tests/policy/deadlines.rs
+++ b/crates/gateway-core/tests/policy/deadlines.rs
@@ -15,7 +15,7 @@
     actions.iter().filter_map(retry_after).collect()
 }
 
-/// Held back until its token bucket covers it, a client would wait in vain; it is rejected with a `Retry-After` instead.
+/// A request is not delayed until its token bucket covers it, but rejected with a `Retry-After`.
 #[test]
 fn a_rejection_tells_when_the_token_bucket_will_cover_the_request() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 1), S, 8);
@@ -26,7 +26,7 @@
         retry_afters(&gateway.actions).into_iter().flatten().next()
     };
     for _ in 0..4 {
-        assert_eq!(retry_after(0), None, "the burst is sent on");
+        assert_eq!(retry_after(0), None, "the burst is sent");
     }
     assert_eq!(
         retry_after(0),
@@ -38,7 +38,7 @@
     assert_eq!(retry_after(50 * MS), None, "it is covered then");
 }
 
-/// A rejection has a `Retry-After` where the settings allow one, and none longer than they allow.
+/// A rejection has a `Retry-After` if the settings allow one, and no longer one than they allow.
 #[test]
 fn retry_after_keeps_to_the_settings() {
     for (longest, expected) in [
@@ -62,9 +62,9 @@
     }
 }
 
-/// By half of its timeout a client knows that nothing was sent, and when to retry.
+/// By half of its timeout a client is notified that nothing was sent, and when to retry.
 #[test]
-fn what_is_not_sent_by_half_of_its_time_is_rejected() {
+fn a_request_that_is_unsent_at_half_of_its_timeout_is_rejected() {
     let mut gateway = GatewayHarness::new(1, settings(0, 2), S);
     for (class, timeout) in [
         (IDEMPOTENT, 2 * S),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_client_with_a_short_timeout_is_rejected_at_once() {
+fn a_client_with_a_short_timeout_is_rejected_immediately() {
     for timeout in [0, 1, 5 * MS, 19 * MS] {
         let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 0);
         let id = gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, timeout);
--- a/crates/gateway-core/tests/policy/gateway.rs
+++ b/crates/gateway-core/tests/policy/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway as a whole: its rules on arbitrary events, determinism, what it keeps in memory, its settings.
+//! The gateway as a whole: its rules on arbitrary events, determinism, memory, settings.
 
 use crate::common::*;
 use gateway_core::*;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn invalid_settings_are_refused() {
+fn invalid_settings_are_errors() {
     let error_of = |change: fn(&mut Settings)| {
         let mut settings = settings(0, 1);
         change(&mut settings);
@@ -179,7 +179,7 @@
 #[test]
 fn rules_hold_on_arbitrary_days() {
     let mut sent = 0;
-    let mut refused = 0;
+    let mut unserved = 0;
     for seed in 0..40 {
         let mut day = ArbitraryDay::new(seed);
         for _ in 0..1500 {
@@ -187,10 +187,10 @@
         }
         day.gateway.advance(4 * S);
         sent += day.gateway.sent_count();
-        refused += day.gateway.refused_count();
+        unserved += day.gateway.rejected_or_failed_count();
     }
     assert!(
-        sent > 3000 && refused > 1000,
-        "too little happened: {sent} sent, {refused} refused"
+        sent > 3000 && unserved > 1000,
+        "too little happened: {sent} sent, {unserved} rejected or failed"
     );
 }
--- a/crates/gateway-core/tests/policy/quota_owner.rs
+++ b/crates/gateway-core/tests/policy/quota_owner.rs
@@ -120,10 +120,10 @@
     let mut gateway = GatewayHarness::sole_gateway(1, settings, S, 0);
     gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 4 * S); // the owner's part of the hard limit starts empty
     gateway.advance(2 * S);
-    let refused = gateway.refused_count();
+    let refused = gateway.rejected_or_failed_count();
     for _ in 0..2 {
         gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 4 * S);
     }
     gateway.advance(600 * MS); // a grant holds for 375 ms
-    assert_eq!(gateway.refused_count(), refused);
+    assert_eq!(gateway.rejected_or_failed_count(), refused);
 }
--- a/crates/gateway-core/tests/policy/retry.rs
+++ b/crates/gateway-core/tests/policy/retry.rs
@@ -6,7 +6,7 @@
     Cancelled, ConnectionLost, NotSent, Overloaded, ServerError, TimedOut, Unreachable,
 };
 
-/// Every outcome but success against every class: what may follow at once.
+/// Every outcome but success for every class: what follows immediately.
 #[test]
 fn retries_by_outcome_and_idempotency() {
     for class in [IDEMPOTENT, KEYED_BY_CELL, NON_IDEMPOTENT, KEYED] {
@@ -52,9 +52,9 @@
     assert!(later.contains(&Action::Fail { id }));
 }
 
-/// Where every attempt fails, retries must not multiply the load.
+/// If every attempt fails, retries must not multiply the load.
 #[test]
-fn retries_use_up_the_budget_that_first_attempts_earn() {
+fn retries_are_bounded_by_the_budget_that_first_attempts_earn() {
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
     for _ in 0..60 {
         let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
@@ -65,7 +65,7 @@
     let retries = gateway.sent_count() - 60;
     assert!(
         (20..=32).contains(&retries),
-        "20 saved up and a fifth of 60: {retries}"
+        "20 at the start and a fifth of 60: {retries}"
     );
 }
 
--- a/crates/gateway-core/tests/recovery.rs
+++ b/crates/gateway-core/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery from overload: servers that are fast again are used again.
+//! Recovery from overload: servers that have become fast again are used again.
 
 mod common;
 
@@ -7,25 +7,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const SERVERS: u64 = 8;
-/// Requests that a server works on at once.
+/// Requests that a server processes concurrently.
 const CORES: f64 = 4.0;
-/// Requests in flight beyond which a server gets less done.
+/// Requests in flight beyond which the throughput of a server falls.
 const THRASHING_FROM: f64 = 3.5 * CORES;
-/// What a request takes at a healthy server that has no other.
+/// Latency of a request that is alone at a healthy server.
 const HEALTHY: Micros = 100 * MS;
 
 /// What became of the requests of some seconds.
 struct DriveResult {
-    /// Share of the lowest class that was sent on.
+    /// Fraction of the requests of the lowest class that were sent.
     lowest_class_sent: f64,
-    /// Share of all attempts that went to server 0.
+    /// Fraction of all attempts that were sent to server 0.
     to_first_server: f64,
 }
 
-/// A gateway before servers that take longer where they hold more than they work on at once.
+/// A gateway and servers that slow down beyond the number of requests that they process concurrently.
 struct Simulation {
     gateway: GatewayHarness,
-    /// When each attempt's answer comes.
+    /// When each attempt is answered.
     answers_at: BTreeMap<RequestId, Micros>,
     requests: u64,
     next_request_at: Micros,
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Requests come at a steady rate, a third of them of the lowest class, while a server takes `service_time` for one
-    /// alone.
+    /// Requests arrive at a steady rate, a third of them of the lowest class, while a server takes `service_time` for a
+    /// request that is alone.
     fn drive(
         &mut self,
         seconds: u64,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Fixes when each attempt that has just been sent is answered.
+    /// Decides when each attempt that has just been sent is answered.
     fn schedule_answers(&mut self, service_time: impl Fn(ServerId) -> Micros) {
         let now = self.gateway.now;
         let mut in_flight = BTreeMap::<ServerId, f64>::new();
@@ -103,8 +103,9 @@
         }
         for attempt in &self.gateway.in_flight {
             let work = (0.3 - 0.7 * self.random.f64().max(1e-6).ln()).min(4.0);
-            let held = in_flight[&attempt.server];
-            let slowdown = (held / CORES).max(1.0) * (held / THRASHING_FROM).max(1.0);
+            let in_flight_at_server = in_flight[&attempt.server];
+            let slowdown = (in_flight_at_server / CORES).max(1.0)
+                * (in_flight_at_server / THRASHING_FROM).max(1.0);
             let latency = service_time(attempt.server) as f64 * work * slowdown;
             self.answers_at
                 .entry(attempt.request.clone())
@@ -166,12 +167,12 @@
         let after = simulation.drive(5, 250, healthy).lowest_class_sent;
         assert!(
             after > 0.95,
-            "seed {seed}: {after} of the lowest class sent on"
+            "seed {seed}: {after} of the lowest class sent"
         );
     }
 }
 
-/// A server was slow alone, and the others could do without it.
+/// Only one server was slow, and the others had enough capacity without it.
 #[test]
 fn a_server_that_was_slow_is_used_again_within_five_seconds() {
     for seed in 1..=3 {
--- a/crates/gateway-core/tests/unit/request.rs
+++ b/crates/gateway-core/tests/unit/request.rs
@@ -1,4 +1,4 @@
-//! What is known of an open request, and the queue.
+//! The state of an open request.
 
 use super::*;
 
@@ -36,19 +36,3 @@
         (Some(AttemptNumber(1)), Some(ServerId(2)))
     );
 }
-
-#[test]
-fn the_queue_keeps_its_order_and_loses_what_is_removed() {
-    let id = |name: &str| RequestId(name.into());
-    let mut table = RequestTable::default();
-    for name in ["b", "a", "c"] {
-        table.insert(id(name), Request::default());
-        table.enqueue(id(name));
-    }
-    assert!(table.remove(&id("a")).is_some());
-    assert!(table.remove(&id("a")).is_none());
-    assert!(table.queued().map(|(id, _)| id).eq([&id("b"), &id("c")]));
-    table.remove(&id("b"));
-    table.remove(&id("c"));
-    assert!(table.is_queue_empty());
-}
