--- a/crates/gateway-core/tests/policy.rs
+++ b/crates/gateway-core/tests/policy.rs
@@ -1,17 +1,23 @@
-//! The decisions of the library, by concern: each module is named as the one of `src/policy` that it tests, but for
-//! `gateway`, which tests them together.
+//! The decisions of the library, by concern. Each module is named after the one of `src/policy`
+//! that it tests, except `gateway`, which tests all of them together.
 
 #[path = "policy/admission.rs"]
 mod admission;
 mod common;
+#[path = "policy/controller_inputs.rs"]
+mod controller_inputs;
 #[path = "policy/deadlines.rs"]
 mod deadlines;
+#[path = "policy/dispatch.rs"]
+mod dispatch;
 #[path = "policy/fuzzy_controller.rs"]
 mod fuzzy_controller;
 #[path = "policy/gateway.rs"]
 mod gateway;
 #[path = "policy/gossip.rs"]
 mod gossip;
+#[path = "policy/in_flight_limit.rs"]
+mod in_flight_limit;
 #[path = "policy/lease.rs"]
 mod lease;
 #[path = "policy/load_balancing.rs"]
@@ -26,5 +32,7 @@
 mod quota_owner;
 #[path = "policy/retry.rs"]
 mod retry;
+#[path = "policy/retry_budget.rs"]
+mod retry_budget;
 #[path = "policy/slow_start.rs"]
 mod slow_start;
--- a/crates/gateway-core/tests/policy/admission.rs
+++ b/crates/gateway-core/tests/policy/admission.rs
@@ -20,13 +20,3 @@
     ];
     assert_eq!(counted, expected);
 }
-
-#[test]
-fn a_request_in_time_is_sent_before_a_late_one() {
-    let mut gateway = GatewayHarness::new(1, settings(0, 2), S);
-    gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, 4 * S);
-    gateway.advance(900 * MS); // past its latency objective
-    let in_time = gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, 4 * S);
-    gateway.update_endpoints(EndpointUpdate::Snapshot, vec![ready_endpoint(0)]);
-    assert_eq!(gateway.in_flight[0].request, in_time);
-}
--- a/crates/gateway-core/tests/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/tests/policy/fuzzy_controller.rs
@@ -1,8 +1,6 @@
-//! The rule bases of the fuzzy controller, and when the in-flight limit starts.
+//! The rule bases of the fuzzy controller.
 
-use crate::common::*;
 use gateway_core::policy::fuzzy_controller::infer_change;
-use gateway_core::*;
 
 fn change_of(error: f64, change: f64) -> f64 {
     infer_change(error, change).change
@@ -55,27 +53,3 @@
         }
     }
 }
-
-/// Whether the in-flight limit starts while requests of a plan come faster than they are served.
-fn limit_starts(plan: PlanId) -> bool {
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
-    for _ in 0..40 {
-        gateway.request(NON_IDEMPOTENT, plan, CUSTOMER, 5 * S);
-    }
-    for _ in 0..16 {
-        gateway.advance(150 * MS);
-        // With a concurrency limit, what is in flight is served soon; without one, all of it hangs.
-        if plan == TWO_CONCURRENT {
-            gateway.complete_all();
-        }
-    }
-    let is_missed =
-        |action: &Action| matches!(action, Action::Warn(Warning::ObjectiveMissed { .. }));
-    gateway.actions.iter().any(is_missed)
-}
-
-#[test]
-fn missed_objectives_start_the_in_flight_limit_and_a_concurrency_limit_does_not() {
-    assert!(limit_starts(UNLIMITED));
-    assert!(!limit_starts(TWO_CONCURRENT));
-}
--- a/crates/gateway-core/tests/policy/retry.rs
+++ b/crates/gateway-core/tests/policy/retry.rs
@@ -53,23 +53,6 @@
     assert!(later.contains(&Action::Fail { id }));
 }
 
-/// If every attempt fails, retries must not multiply the load.
-#[test]
-fn retries_are_bounded_by_the_budget_that_first_attempts_earn() {
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
-    for _ in 0..60 {
-        let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
-        while gateway.server_of(&id).is_some() {
-            gateway.finish(&id, NotSent);
-        }
-    }
-    let retries = gateway.sent_count() - 60;
-    assert!(
-        (20..=32).contains(&retries),
-        "20 at the start and a fifth of 60: {retries}"
-    );
-}
-
 /// A server forgets the key a window after it saw the request first.
 #[test]
 fn the_window_of_a_key_begins_with_the_first_attempt() {
