--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -41,9 +41,9 @@
             return self.remove_request(&key.request, actions);
         }
         if result.outcome.may_have_executed() && request.possible_execution().is_none() {
-            let server = self.servers.get(&attempt.server);
-            request.possibly_executed(server.map(|server| PossibleExecution {
-                endpoint: server.endpoint,
+            let endpoint = self.servers.endpoint(&attempt.server);
+            request.possibly_executed(endpoint.map(|endpoint| PossibleExecution {
+                endpoint,
                 sent_at: attempt.sent_at,
             }));
         }
@@ -52,7 +52,7 @@
 
     fn remove_attempt(&mut self, key: &AttemptKey) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
-        self.servers.attempt_finished(&attempt.server);
+        self.servers.record_attempt_finished(&attempt.server);
         if let Some(bucket) = self.quotas.local.get_mut(&attempt.customer) {
             bucket.attempt_finished();
         }
@@ -69,9 +69,16 @@
         let request = self.requests.get(&key.request);
         let was_cancelled = request.is_some_and(Request::is_cancelled_or_streaming);
         let was_stalled = was_cancelled && result.outcome == AttemptOutcome::Cancelled;
-        self.observe_attempt(now, attempt, &result, was_stalled);
+        self.servers.observe_attempt(
+            now,
+            &self.deployment,
+            attempt,
+            &result,
+            was_stalled,
+            &mut self.random,
+        );
         if result.outcome == AttemptOutcome::Success {
-            self.fleet.completed_since_tick += 1.0;
+            self.servers.estimates_mut().count_answer();
             self.control_loop
                 .observe_success(now, &self.deployment, attempt);
         }
--- a/crates/gateway-core/src/gateway/control_loop.rs
+++ b/crates/gateway-core/src/gateway/control_loop.rs
@@ -6,10 +6,9 @@
 use crate::policy::in_flight_limit::InFlightLimit;
 use crate::state::attempt::{Attempt, AttemptTable};
 use crate::state::deployment::Deployment;
-use crate::state::fleet_estimates::FleetEstimates;
 use crate::state::latency_samples::LatencySamples;
 use crate::state::request_table::RequestTable;
-use crate::statistics::update_mean;
+use crate::state::servers::FleetEstimates;
 use crate::time::Timestamp;
 use crate::types::ClassId;
 use crate::warning::Warning;
@@ -93,7 +92,7 @@
             if let Some(ratio) = samples.mean() {
                 fleet.merge_latency_ratio(class, ratio, weight);
             } else if self.inputs.forgets_latency_ratios() {
-                fleet.forget_latency_ratio(class);
+                fleet.reset_latency_ratio(class);
             }
         }
     }
@@ -106,8 +105,7 @@
     ) {
         let weight = self.inputs.in_flight_weight();
         let lowest = attempts.count_of(deployment.lowest_class);
-        update_mean(&mut fleet.lowest_in_flight, lowest, weight);
-        update_mean(&mut fleet.total_in_flight, attempts.count(), weight);
+        fleet.observe_in_flight(lowest, attempts.count(), weight);
     }
 
     fn move_in_flight_limit(
@@ -125,7 +123,7 @@
         }
         Some(Warning::ObjectiveMissed {
             latency_ratio: latency_ratio?,
-            in_flight: fleet.lowest_in_flight,
+            in_flight: fleet.lowest_in_flight(),
         })
     }
 }
--- a/crates/gateway-core/src/gateway/dispatch.rs
+++ b/crates/gateway-core/src/gateway/dispatch.rs
@@ -44,7 +44,7 @@
         pass: &mut DispatchPass,
         selectable: &[ServerId],
     ) -> Option<ServerId> {
-        let context = Context::new(now, &self.deployment, &self.fleet);
+        let context = Context::new(now, &self.deployment, self.servers.estimates());
         let request = self.requests.get_mut(id)?;
         let class = request.class();
         let limit = self.control_loop.in_flight_limit();
@@ -62,6 +62,29 @@
         }
     }
 
+    /// Servers that may be chosen from now.
+    fn selectable_servers(&mut self, now: Timestamp) -> Vec<ServerId> {
+        self.servers.selectable(
+            now,
+            &self.deployment,
+            self.attempts.count(),
+            self.timers.next_control_tick(),
+            &mut self.random,
+        )
+    }
+
+    /// The server for a request, of the selectable ones.
+    fn pick_server(
+        &mut self,
+        now: Timestamp,
+        id: &RequestId,
+        selectable: &[ServerId],
+    ) -> Option<ServerId> {
+        let request = self.requests.get(id)?;
+        self.servers
+            .choose(now, &self.deployment, request, selectable, &mut self.random)
+    }
+
     /// Sends an attempt of a queued request to a server.
     fn send_attempt(
         &mut self,
@@ -70,11 +93,15 @@
         server_id: ServerId,
         actions: &mut Vec<Action>,
     ) {
-        let next_probe_at = self.next_probe_at(now);
+        let next_probe_at = self.servers.next_probe_at(now, &mut self.random);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(mut server) = self.servers.get_mut(now, &server_id) else {
+        let class = request.class();
+        let Some(server_in_flight) =
+            self.servers
+                .record_attempt_sent(now, &server_id, class, next_probe_at)
+        else {
             return;
         };
         let is_first_attempt = !request.was_sent();
@@ -84,13 +111,8 @@
         if is_first_attempt {
             self.retry_budget.first_attempt_sent();
         }
-        server.in_flight += 1;
-        server.slow_start_credit -= 1.0;
-        if let Some(at) = &mut server.health[request.class().0].next_probe_at {
-            *at = next_probe_at;
-        }
         let number = request.attempt_sent(server_id);
-        let attempt = request.attempt_record(server_id, now, f64::from(server.in_flight));
+        let attempt = request.attempt_record(server_id, now, server_in_flight);
         let key = AttemptKey {
             request: id.clone(),
             number,
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -2,9 +2,9 @@
 //! decides.
 //!
 //! The files follow a request: `requests` (arrival and expiry), `leases` (the quota owners'
-//! decision), `dispatch` (sending queued requests) with `server_selection`, `attempts` (how
-//! attempts end) with `server_health`, and `final_answer`. Periodic work is in `timers`,
-//! `control_tick` with `control_loop`, and `gossip`.
+//! decision), `dispatch` (sending queued requests), `attempts` (how attempts end),
+//! `stalled_servers` and `final_answer`. Periodic work is in `timers`, `control_tick` with
+//! `control_loop`, and `gossip`. What the gateway knows of servers is in `servers`.
 
 mod attempts;
 mod control_loop;
@@ -15,26 +15,23 @@
 mod leases;
 mod rejections;
 mod requests;
-mod server_health;
-mod server_selection;
+mod servers;
+mod stalled_servers;
 mod timers;
 
 use self::attempts::AttemptResult;
 use self::control_loop::ControlLoop;
 use self::rejections::RejectionCounts;
+use self::servers::Servers;
 use self::timers::Timers;
 use crate::policy::fleet_mode::mode_of;
-use crate::policy::load_balancing::INITIAL_WAIT_SHARE;
 use crate::policy::retry_budget::RetryBudget;
 use crate::settings::{EndpointDiscovery, Settings, SettingsError};
 use crate::state::attempt::{AttemptKey, AttemptTable};
 use crate::state::deployment::{Context, Deployment};
-use crate::state::fleet_estimates::FleetEstimates;
 use crate::state::quota_state::QuotaState;
 use crate::state::request::{Request, RequestDetails};
 use crate::state::request_table::RequestTable;
-use crate::state::server_table::ServerTable;
-use crate::state::server_view::FleetCapacity;
 use crate::time::Timestamp;
 use crate::types::{PlanId, RejectReason};
 use crate::{Action, Event};
@@ -48,10 +45,8 @@
     requests: RequestTable,
     attempts: AttemptTable,
     retry_budget: RetryBudget,
-    servers: ServerTable,
-    capacity: FleetCapacity,
+    servers: Servers,
     quotas: QuotaState,
-    fleet: FleetEstimates,
     control_loop: ControlLoop,
     rejections: RejectionCounts,
 }
@@ -66,10 +61,9 @@
         settings.validate()?;
         let class_count = settings.classes.len();
         let mode = mode_of(&settings);
-        let servers = ServerTable::new(&settings, mode.parameters().max_walked_servers);
         let quotas = QuotaState::new(now, settings.gateway_id, settings.gateway_count);
         let deployment = Deployment::new(settings, mode);
-        let initial_wait = deployment.shortest_objective_us * INITIAL_WAIT_SHARE;
+        let servers = Servers::new(&deployment);
         Ok(Gateway {
             deployment,
             random: fastrand::Rng::with_seed(seed),
@@ -79,9 +73,7 @@
             attempts: AttemptTable::default(),
             retry_budget: mode.retry_budget(),
             servers,
-            capacity: FleetCapacity::default(),
             quotas,
-            fleet: FleetEstimates::new(class_count, initial_wait),
             control_loop: ControlLoop::new(class_count, mode.controller_inputs()),
             rejections: RejectionCounts::default(),
         })
@@ -180,7 +172,7 @@
     /// The context of decisions that need nothing of the gateway to be borrowed mutably at the same
     /// time.
     fn context(&self, now: Timestamp) -> Context<'_> {
-        Context::new(now, &self.deployment, &self.fleet)
+        Context::new(now, &self.deployment, self.servers.estimates())
     }
 
     /// How many final answers since the start were made without a server, by reason and plan.
--- /dev/null
+++ b/crates/gateway-core/src/gateway/stalled_servers.rs
@@ -0,0 +1,50 @@
+//! Stalled servers: their ejection, and the cancellation of attempts there.
+
+use super::servers::{StallEjection, StalledAttempt};
+use super::Gateway;
+use crate::policy::outlier_detection::is_timer_late;
+use crate::policy::retry;
+use crate::state::attempt::AttemptKey;
+use crate::time::Timestamp;
+use crate::warning::Warning;
+use crate::Action;
+
+impl Gateway {
+    /// Ejects servers that accept requests and answer none, and cancels attempts at them whose
+    /// requests may be retried.
+    pub(super) fn detect_stalled_servers(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        if is_timer_late(now, self.timers.fires_at()) {
+            return;
+        }
+        let stalled_attempts = self
+            .servers
+            .stalled_attempts(now, &self.deployment, &self.attempts);
+        for stalled in stalled_attempts {
+            match self.servers.eject_stalled(now, &stalled, &mut self.random) {
+                StallEjection::UnknownServer => continue,
+                StallEjection::AlreadyEjected | StallEjection::Ejected { is_reported: false } => {}
+                StallEjection::Ejected { is_reported: true } => {
+                    actions.push(Action::Warn(Warning::ServerStalled {
+                        server: stalled.server,
+                    }));
+                }
+            }
+            self.cancel_stalled(stalled, actions);
+        }
+    }
+
+    /// Cancels a stalled attempt, if its request may be retried.
+    fn cancel_stalled(&mut self, stalled: StalledAttempt, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&stalled.key.request) else {
+            return;
+        };
+        if retry::cancels_stalled(&self.deployment, request, &self.retry_budget) {
+            request.attempt_cancelled();
+            let AttemptKey {
+                request: id,
+                number: attempt,
+            } = stalled.key;
+            actions.push(Action::CancelAttempt { id, attempt });
+        }
+    }
+}
--- a/crates/gateway-core/src/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/src/policy/fuzzy_controller.rs
@@ -24,7 +24,7 @@
 
 use super::in_flight_limit::InFlightLimit;
 use crate::fuzzy_inference::infer;
-use crate::state::fleet_estimates::FleetEstimates;
+use crate::state::servers::FleetEstimates;
 use std::time::Duration;
 
 /// Interval between control ticks; the paper's 4 s is longer than bursts of load here.
@@ -127,11 +127,11 @@
         fleet: &FleetEstimates,
         fleet_fraction: f64,
     ) {
-        self.peak_in_flight = self.peak_in_flight.max(fleet.lowest_in_flight);
+        self.peak_in_flight = self.peak_in_flight.max(fleet.lowest_in_flight());
         if let Some(latency_ratio) = latency_ratio {
             self.adjust_limit(latency_ratio, fleet, fleet_fraction);
         }
-        self.peak_in_flight = fleet.lowest_in_flight;
+        self.peak_in_flight = fleet.lowest_in_flight();
     }
 
     fn adjust_limit(&mut self, latency_ratio: f64, fleet: &FleetEstimates, fleet_fraction: f64) {
@@ -141,13 +141,16 @@
         let minimum = MIN_FLEET_LIMIT_ATTEMPTS * fleet_fraction;
         let Some(limit) = self.limit.maximum() else {
             if latency_ratio > TARGET_LATENCY_RATIO {
-                self.limit.set_maximum(fleet.lowest_in_flight.max(minimum));
+                self.limit
+                    .set_maximum(fleet.lowest_in_flight().max(minimum));
             }
             return;
         };
         let inference = infer_change(error * ERROR_GAIN, error_change * ERROR_CHANGE_GAIN);
         let reduction = inference.alpha * OUTPUT_GAIN * inference.change;
-        let base = fleet.total_in_flight.max(minimum * MIN_BASE_LIMIT_FRACTION);
+        let base = fleet
+            .total_in_flight()
+            .max(minimum * MIN_BASE_LIMIT_FRACTION);
         let maximum = self.largest_limit(fleet, fleet_fraction).max(minimum);
         self.limit
             .set_maximum((limit - reduction * base).clamp(minimum, maximum));
@@ -157,8 +160,8 @@
     /// until it limits anything again (integral wind-up).
     fn largest_limit(&self, fleet: &FleetEstimates, fleet_fraction: f64) -> f64 {
         let lead = (MAX_FLEET_LEAD_ATTEMPTS * fleet_fraction)
-            .max(fleet.total_in_flight * MAX_LEAD_FRACTION);
-        self.peak_in_flight.max(fleet.lowest_in_flight) * MAX_LIMIT_PEAK_RATIO + lead
+            .max(fleet.total_in_flight() * MAX_LEAD_FRACTION);
+        self.peak_in_flight.max(fleet.lowest_in_flight()) * MAX_LIMIT_PEAK_RATIO + lead
     }
 }
 
--- a/crates/gateway-core/src/policy/load_shedding.rs
+++ b/crates/gateway-core/src/policy/load_shedding.rs
@@ -42,10 +42,10 @@
 /// reported its load, the worst latency ratio of the controlled classes stands in.
 fn overload_level(context: Context<'_>) -> f64 {
     let fleet = context.fleet;
-    let Some(load_factor) = fleet.load_factor else {
+    let Some(load_factor) = fleet.load_factor() else {
         let worst_ratio = fleet.worst_latency_ratio(context.deployment.lowest_class);
         return LATENCY_RATIO_RAMP.position(worst_ratio.unwrap_or(0.0));
     };
-    let expected_latency_us = fleet.service_time * load_factor.max(1.0);
+    let expected_latency_us = fleet.service_time_us() * load_factor.max(1.0);
     OBJECTIVE_FRACTION_RAMP.position(expected_latency_us / context.deployment.shortest_objective_us)
 }
--- a/crates/gateway-core/src/policy/mod.rs
+++ b/crates/gateway-core/src/policy/mod.rs
@@ -12,15 +12,18 @@
 //! 4. The choice of a server: `load_balancing`, with `slow_start` and `outlier_detection`.
 //! 5. After an attempt: `retry`, within the `retry_budget`.
 //! 6. As time passes: `deadlines`.
-//! 7. Between gateways: `gossip`.
+//! 7. Between gateways: `gossip` of usage, and `health_reports` on servers, which contribute to the
+//!    `fleet_estimates`.
 
 pub(crate) mod admission;
 pub(crate) mod controller_inputs;
 pub(crate) mod deadlines;
 pub(crate) mod dispatch;
+pub(crate) mod fleet_estimates;
 pub(crate) mod fleet_mode;
 pub mod fuzzy_controller;
 pub(crate) mod gossip;
+pub(crate) mod health_reports;
 pub(crate) mod in_flight_limit;
 pub(crate) mod lease;
 pub(crate) mod load_balancing;
--- a/crates/gateway-core/src/state/deployment.rs
+++ b/crates/gateway-core/src/state/deployment.rs
@@ -1,7 +1,7 @@
 //! The deployment: the settings of a gateway, and what is derived from them once, when it starts.
 
-use super::fleet_estimates::FleetEstimates;
 use super::request::Request;
+use super::servers::FleetEstimates;
 use crate::settings::{Class, Plan, Settings};
 use crate::time::{DurationExt, Timestamp};
 use crate::types::ClassId;
