--- a/crates/gateway-core/src/gateway/servers/mod.rs
+++ b/crates/gateway-core/src/gateway/servers/mod.rs
@@ -101,5 +101,5 @@
 
 /// Expected latency per concurrent request in µs before anything was observed.
 fn initial_latency_us(deployment: &Deployment) -> f64 {
-    deployment.shortest_objective * INITIAL_LATENCY_FRACTION
+    deployment.shortest_objective_us * INITIAL_LATENCY_FRACTION
 }
