--- a/crates/gateway-core/src/gateway/gossip.rs
+++ b/crates/gateway-core/src/gateway/gossip.rs
@@ -52,10 +52,10 @@
         let Some(broadcasts) = self.quota_sharing.usage_broadcasts() else {
             return;
         };
-        if now < self.timers.next_broadcast {
+        if !self.timers.is_broadcast_due(now) {
             return;
         }
-        self.timers.next_broadcast = broadcasts.next_after(now);
+        self.timers.schedule_broadcast(broadcasts.next_after(now));
         let mut counts = self.quotas.usage_counts(now, USAGE_LIFETIME);
         counts.truncate(MAX_USAGE_COUNTS);
         let usage = UsageCounts {
--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -132,11 +132,7 @@
         if response.decision == LeaseDecision::QuotaExceeded {
             request.quota.record_rejection();
         }
-        let context = Context {
-            now,
-            deployment: &self.deployment,
-            fleet: self.servers.estimates(),
-        };
+        let context = Context::new(now, &self.deployment, self.servers.estimates());
         match policy::on_response(context, request, &response, expires_at) {
             ResponseDecision::Send => {
                 let grant = RequestGrant {
--- a/crates/gateway-core/src/policy/fleet_mode.rs
+++ b/crates/gateway-core/src/policy/fleet_mode.rs
@@ -1,11 +1,12 @@
-//! The fleet mode: whether gateways share quotas by gossip, as a small fleet does, or by leases, as a large one
-//! does. It is chosen once, when a gateway starts, and with it the types and parameters that differ.
+//! The fleet mode: whether gateways share quotas by gossip, as a small fleet does, or by leases, as
+//! a large one does. It is chosen once, when a gateway starts, and with it the types and parameters
+//! that differ.
 //!
 //! The rules, in the order in which they apply:
 //! 1. The peers' intake of messages bounds how often each gateway may broadcast its usage
 //!    ([`broadcast_interval`]).
-//! 2. If that is often enough for the usage to be useful, or there is nobody to notify, the mode is gossip
-//!    ([`mode_of`]).
+//! 2. If that is often enough for the usage to be useful, or there is nobody to notify, the mode is
+//!    gossip ([`mode_of`]).
 
 use super::controller_inputs::{ControllerInputs, LargeFleetInputs, SmallFleetInputs};
 use super::retry_budget::RetryBudget;
@@ -21,8 +22,8 @@
 /// Interval between broadcasts from which on usage is known too late to share quotas by it.
 const MIN_LEASES_BROADCAST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The shortest interval between broadcasts of usage that the peers' intake allows; `None` if there are no
-/// peers, or no messages are exchanged.
+/// The shortest interval between broadcasts of usage that the peers' intake allows; `None` if there
+/// are no peers, or no messages are exchanged.
 pub(crate) fn broadcast_interval(settings: &Settings) -> Option<Duration> {
     let peers = f64::from(settings.gateway_count.saturating_sub(1));
     let intake_per_second = if settings.permissions.peer_messages {
@@ -44,6 +45,11 @@
 }
 
 impl FleetMode {
+    /// Whether gateways broadcast their usage to each other.
+    pub(crate) fn broadcasts_usage(self) -> bool {
+        self == FleetMode::Gossip
+    }
+
     /// What the fuzzy controller observes in a fleet of this mode.
     pub(crate) fn controller_inputs(self) -> &'static dyn ControllerInputs {
         match self {
--- a/crates/gateway-core/src/policy/load_balancing/capacity.rs
+++ b/crates/gateway-core/src/policy/load_balancing/capacity.rs
@@ -17,7 +17,7 @@
     /// objective.
     pub(crate) fn fleet_concurrency(&self) -> f64 {
         self.estimates
-            .fleet_concurrency(self.servers, self.context.deployment.shortest_objective)
+            .fleet_concurrency(self.servers, self.context.deployment.shortest_objective_us)
     }
 
     /// Whether this gateway has enough attempts in flight at all servers together.
@@ -56,6 +56,6 @@
     fn has_free_slot(&self, server: &Server) -> bool {
         let latency_us =
             self.estimates.expected_latency_us(server) * f64::from(server.in_flight() + 1);
-        latency_us <= MAX_SERVER_LATENCY_FRACTION * self.context.deployment.shortest_objective
+        latency_us <= MAX_SERVER_LATENCY_FRACTION * self.context.deployment.shortest_objective_us
     }
 }
--- a/crates/gateway-core/src/policy/outlier_detection/failures.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/failures.rs
@@ -56,7 +56,7 @@
     has_failed: bool,
 ) -> f64 {
     let minimum = if has_failed {
-        deployment.shortest_objective * MIN_FAILED_LATENCY_FRACTION
+        deployment.shortest_objective_us * MIN_FAILED_LATENCY_FRACTION
     } else {
         0.0
     };
--- a/crates/gateway-core/src/state/mod.rs
+++ b/crates/gateway-core/src/state/mod.rs
@@ -7,4 +7,5 @@
 pub(crate) mod latency_samples;
 pub(crate) mod quota;
 pub(crate) mod request;
+pub(crate) mod request_table;
 pub(crate) mod servers;
--- a/crates/gateway-core/src/state/request.rs
+++ b/crates/gateway-core/src/state/request.rs
@@ -1,13 +1,13 @@
-//! Open requests: the state of each, and the queue of those that are waiting to be sent.
+//! An open request: what arrived, what became of its attempts, and its progress with the quota
+//! owners.
 
 use super::attempt::Attempt;
 use super::quota::QuotaProgress;
 use crate::time::Timestamp;
 use crate::types::{
-    AttemptNumber, AttemptOutcome, ClassId, CustomerId, Endpoint, PlanId, RequestId, ServerId,
+    AttemptNumber, AttemptOutcome, ClassId, CustomerId, Endpoint, PlanId, ServerId,
 };
 use crate::units::Units;
-use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Where and when an attempt was sent that may have been executed.
@@ -40,15 +40,15 @@
     is_cancellable: bool,
 }
 
-/// A request without a final answer: what arrived, what became of its attempts, and its progress with the quota
-/// owners.
+/// A request without a final answer: what arrived, what became of its attempts, and its progress
+/// with the quota owners.
 #[derive(Default)]
 pub(crate) struct Request {
     details: RequestDetails,
     arrived_at: Timestamp,
     deadline: Timestamp,
-    /// Since when the request could have been sent if a server had been available: delays by its customer's own
-    /// quota do not count as latency.
+    /// Since when the request could have been sent if a server had been available: delays by its
+    /// customer's own quota do not count as latency.
     eligible_since: Timestamp,
     /// Attempts sent so far.
     attempt_count: u32,
@@ -184,8 +184,8 @@
         self.forbid_cancellation();
     }
 
-    /// Records that the answer streams to the client: there is no deadline any more, and the attempt must not
-    /// be cancelled.
+    /// Records that the answer streams to the client: there is no deadline any more, and the
+    /// attempt must not be cancelled.
     pub(crate) fn stream_started(&mut self) {
         self.deadline = Timestamp::MAX;
         self.forbid_cancellation();
@@ -203,12 +203,14 @@
         self.has_reached_server |= outcome.reached_server();
     }
 
-    /// Records where and when an attempt was sent that may have been executed; the first one counts.
+    /// Records where and when an attempt was sent that may have been executed; the first one
+    /// counts.
     pub(crate) fn possibly_executed(&mut self, execution: Option<PossibleExecution>) {
         self.possible_execution = self.possible_execution.or(execution);
     }
 
-    /// The record of the attempt that has just been sent to `server`, where so many are in flight with it.
+    /// The record of the attempt that has just been sent to `server`, where so many are in flight
+    /// with it.
     pub(crate) fn attempt_record(
         &self,
         server: ServerId,
@@ -226,75 +228,6 @@
     }
 }
 
-/// All open requests, and the queue of those that are waiting to be sent.
-#[derive(Default)]
-pub(crate) struct RequestTable {
-    open: BTreeMap<RequestId, Request>,
-    /// In the order in which they were queued.
-    queue: Vec<RequestId>,
-}
-
-impl RequestTable {
-    /// Whether no request is open.
-    pub(crate) fn is_empty(&self) -> bool {
-        self.open.is_empty()
-    }
-
-    /// Adds a request, which is not queued yet.
-    pub(crate) fn insert(&mut self, id: RequestId, request: Request) {
-        self.open.insert(id, request);
-    }
-
-    /// An open request.
-    pub(crate) fn get(&self, id: &RequestId) -> Option<&Request> {
-        self.open.get(id)
-    }
-
-    /// An open request, to be changed.
-    pub(crate) fn get_mut(&mut self, id: &RequestId) -> Option<&mut Request> {
-        self.open.get_mut(id)
-    }
-
-    /// Removes a request from the table and from the queue.
-    pub(crate) fn remove(&mut self, id: &RequestId) -> Option<Request> {
-        let request = self.open.remove(id)?;
-        self.dequeue(id);
-        Some(request)
-    }
-
-    /// All open requests, in the order of their ids.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (&RequestId, &Request)> {
-        self.open.iter()
-    }
-
-    /// All open requests in the order of their ids, to be changed.
-    pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Request> {
-        self.open.values_mut()
-    }
-
-    /// Appends a request to the queue.
-    pub(crate) fn enqueue(&mut self, id: RequestId) {
-        self.queue.push(id);
-    }
-
-    /// Removes a request from the queue; it stays open.
-    pub(crate) fn dequeue(&mut self, id: &RequestId) {
-        self.queue.retain(|other| other != id);
-    }
-
-    /// Whether no request is waiting to be sent.
-    pub(crate) fn is_queue_empty(&self) -> bool {
-        self.queue.is_empty()
-    }
-
-    /// The requests that are waiting to be sent, in the order in which they were queued.
-    pub(crate) fn queued(&self) -> impl Iterator<Item = (&RequestId, &Request)> {
-        self.queue
-            .iter()
-            .filter_map(|id| Some((id, self.open.get(id)?)))
-    }
-}
-
 #[cfg(test)]
 #[path = "../../tests/unit/request.rs"]
 mod tests;
