--- a/crates/gateway-core/src/gateway/gossip.rs
+++ b/crates/gateway-core/src/gateway/gossip.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Notifies the peers of what was forwarded recently, also when that is nothing: it shows that this gateway
-    /// is alive.
+    /// Notifies the peers of what was forwarded recently, also when that is nothing: it shows that
+    /// this gateway is alive.
     pub(super) fn broadcast_usage(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let Some(broadcasts) = self.quota_sharing.usage_broadcasts() else {
             return;
--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -1,5 +1,6 @@
-//! The lease protocol of a large fleet: lease requests to quota owners, their responses, and what is done while
-//! there is none. What is decided stands in [`quota_sharing`](crate::policy::quota_sharing).
+//! The lease protocol of a large fleet: lease requests to quota owners, their responses, and what
+//! is done while there is none. What is decided stands in
+//! [`quota_sharing`](crate::policy::quota_sharing).
 
 use super::Gateway;
 use crate::message::{self, LeaseDecision, LeaseRequest, LeaseResponse, Message, PermitRelease};
@@ -91,7 +92,8 @@
         });
     }
 
-    /// As an owner: the response to a lease request. `None` if this gateway is not the owner that is asked.
+    /// As an owner: the response to a lease request. `None` if this gateway is not the owner that
+    /// is asked.
     fn decide_lease_request(
         &mut self,
         now: Timestamp,
@@ -106,7 +108,8 @@
         Some(request.decide(settings, now, owned))
     }
 
-    /// Takes in an owner's response: it updates the customer's account, and decides what becomes of the request.
+    /// Takes in an owner's response: it updates the customer's account, and decides what becomes of
+    /// the request.
     pub(super) fn on_lease_response(
         &mut self,
         now: Timestamp,
@@ -150,8 +153,8 @@
         }
     }
 
-    /// Checks the requests that were never sent: whether their owner has failed to respond, or their grant has
-    /// expired.
+    /// Checks the requests that were never sent: whether their owner has failed to respond, or
+    /// their grant has expired.
     pub(super) fn check_unsent_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !self.quota_sharing.uses_leases() {
             return;
--- a/crates/gateway-core/src/message/decode.rs
+++ b/crates/gateway-core/src/message/decode.rs
@@ -4,7 +4,8 @@
 use super::*;
 use crate::types::GatewayId;
 
-/// Decodes a message; `None` for one that is empty, cut short, too long, of another version or malformed.
+/// Decodes a message; `None` for one that is empty, cut short, too long, of another version or
+/// malformed.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Message> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return None;
--- a/crates/gateway-core/src/message/mod.rs
+++ b/crates/gateway-core/src/message/mod.rs
@@ -1,7 +1,7 @@
 //! Messages between gateways: their types, and their layout in at most 256 bytes.
 //!
-//! The layout is written by hand: gateways of two releases exchange messages, so it must not follow the types as a
-//! serde codec's would.
+//! The layout is written by hand: gateways of two releases exchange messages, so it must not follow
+//! the types as a serde codec's would.
 
 mod decode;
 mod encode;
@@ -65,7 +65,8 @@
     Units::new(f64::from(steps) * USAGE_STEP.as_f64())
 }
 
-/// A customer's usage: the sender's running count of units, in steps on which sender and recipient agree.
+/// A customer's usage: the sender's running count of units, in steps on which sender and recipient
+/// agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct UsageCount {
     /// The customer.
@@ -91,7 +92,8 @@
     pub(crate) units: Units,
 }
 
-/// A request that asks one of its customer's quota owners for its units, and for a lease beyond them.
+/// A request that asks one of its customer's quota owners for its units, and for a lease beyond
+/// them.
 pub(crate) struct LeaseRequest {
     /// Sequence number, for the response.
     pub(crate) sequence: u16,
--- a/crates/gateway-core/src/policy/admission.rs
+++ b/crates/gateway-core/src/policy/admission.rs
@@ -23,8 +23,9 @@
     Reject(RejectReason),
 }
 
-/// Decides on a request that has just arrived, and charges its units to `account`, its customer's, which has
-/// been refilled up to now. The units are charged whatever is decided; a request that is never sent returns them.
+/// Decides on a request that has just arrived, and charges its units to `account`, its customer's,
+/// which has been refilled up to now. The units are charged whatever is decided; a request that is
+/// never sent returns them.
 pub(crate) fn decide(
     quota_sharing: QuotaSharing,
     context: Context<'_>,
--- a/crates/gateway-core/src/policy/quota_sharing/account.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/account.rs
@@ -3,8 +3,10 @@
 //! 1. [`account_on_arrival`] finds, reconfigures and refills the account of a request.
 //! 2. [`new_account`]: what the account of a customer holds that is seen for the first time.
 //! 3. [`follow_hints`]: when an account takes over another plan or gateway set that requests name.
-//! 4. [`PARTITIONED`]: when a silent gateway counts as partitioned, so that its part is not refilled here.
-//! 5. [`observe_incarnation`]: what the accounts lose once this gateway notices that it has restarted.
+//! 4. [`PARTITIONED`]: when a silent gateway counts as partitioned, so that its part is not
+//!    refilled here.
+//! 5. [`observe_incarnation`]: what the accounts lose once this gateway notices that it has
+//!    restarted.
 
 use crate::settings::Settings;
 use crate::state::deployment::Context;
@@ -18,17 +20,18 @@
 
 /// Time of silence during which a gateway counts as partitioned; after that it counts as dead.
 ///
-/// In a partition each side would grant the whole rate, so each reserves the even part of the silent gateways.
-/// While a gateway is down, its part is not used.
+/// In a partition each side would grant the whole rate, so each reserves the even part of the
+/// silent gateways. While a gateway is down, its part is not used.
 pub(crate) const PARTITIONED: Range<Duration> = Duration::from_millis(800)..Duration::from_secs(25);
-/// Difference in uptime to a peer from which on this gateway has restarted, and the uptime up to which that
-/// matters.
+/// Difference in uptime to a peer from which on this gateway has restarted, and the uptime up to
+/// which that matters.
 const RESTART_WINDOW: Duration = Duration::from_secs(4);
-/// Consecutive requests that name another plan or gateway set until the account follows. One alone, by mistake
-/// or malice, must not change it.
+/// Consecutive requests that name another plan or gateway set until the account follows. One alone,
+/// by mistake or malice, must not change it.
 const MAX_CONFLICTING_HINTS: u32 = 3;
 
-/// The account of a request's customer, refilled up to now. `gateways`: those that the request names.
+/// The account of a request's customer, refilled up to now. `gateways`: those that the request
+/// names.
 pub(crate) fn account_on_arrival<'a>(
     quotas: &'a mut QuotaState,
     context: Context<'_>,
@@ -55,10 +58,11 @@
     entry.into_refilled(now, &settings.plans, &PARTITIONED)
 }
 
-/// An account for a customer without one. Shortly after a restart it holds only the even part of the burst, as
-/// the rest may have been used before.
+/// An account for a customer without one. Shortly after a restart it holds only the even part of
+/// the burst, as the rest may have been used before.
 ///
-/// `uptime`: how long this gateway has been up; `has_restarted`: whether peers have been up for much longer.
+/// `uptime`: how long this gateway has been up; `has_restarted`: whether peers have been up for
+/// much longer.
 fn new_account(
     now: Timestamp,
     uptime: Duration,
@@ -95,9 +99,9 @@
     account.reconfigure(fresh, hard_limit_debt);
 }
 
-/// Takes in the incarnation of a peer, in ms. If the peer has been up for much longer than this gateway, this
-/// gateway has restarted, and its new accounts hold what may have been used before: each loses all but the even
-/// part of its burst, once.
+/// Takes in the incarnation of a peer, in ms. If the peer has been up for much longer than this
+/// gateway, this gateway has restarted, and its new accounts hold what may have been used before:
+/// each loses all but the even part of its burst, once.
 pub(super) fn observe_incarnation(
     quotas: &mut QuotaState,
     settings: &Settings,
--- a/crates/gateway-core/src/policy/quota_sharing/gossip.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/gossip.rs
@@ -1,8 +1,10 @@
-//! Quota sharing in a small fleet: each gateway broadcasts its usage, and its own token buckets decide.
+//! Quota sharing in a small fleet: each gateway broadcasts its usage, and its own token buckets
+//! decide.
 //!
 //! The rules, in the order in which a request meets them:
 //! 1. [`on_arrival`]: a request whose customer's account is short of units is rejected.
-//! 2. [`allows_first_attempt`]: a queued request waits while a hard limit or a concurrency limit is reached.
+//! 2. [`allows_first_attempt`]: a queued request waits while a hard limit or a concurrency limit is
+//!    reached.
 //! 3. [`UsageBroadcasts`]: on a timer, this gateway notifies its peers of what it has forwarded.
 //! 4. [`merge_usage`]: what a peer has forwarded is drained from the accounts of the customers.
 
@@ -20,11 +22,11 @@
 use crate::units::Units;
 use std::time::Duration;
 
-/// How many seconds of the peers' usage are reserved: so much they may have forwarded without this gateway
-/// having been notified yet.
+/// How many seconds of the peers' usage are reserved: so much they may have forwarded without this
+/// gateway having been notified yet.
 const USAGE_DELAY_SECONDS: f64 = 0.5;
-/// Largest probability, weighted with the cost of exceeding the limit, that a first attempt exceeds the
-/// customer's limit on attempts in flight.
+/// Largest probability, weighted with the cost of exceeding the limit, that a first attempt exceeds
+/// the customer's limit on attempts in flight.
 const MAX_CONCURRENCY_RISK: f64 = 0.2;
 /// Shortest time between two broadcasts of usage.
 const MIN_BROADCAST_INTERVAL: Duration = Duration::from_millis(200);
@@ -47,9 +49,9 @@
     }
 }
 
-/// Whether the account is short of a request's units, less what is reserved for usage of the peers that this
-/// gateway has not been notified of yet. Only the peers' part of the burst is reserved: the even part of this
-/// gateway is its own.
+/// Whether the account is short of a request's units, less what is reserved for usage of the peers
+/// that this gateway has not been notified of yet. Only the peers' part of the burst is reserved:
+/// the even part of this gateway is its own.
 fn is_quota_exceeded(
     context: Context<'_>,
     account: &mut CustomerAccount,
@@ -63,7 +65,8 @@
     plan.rate > 0.0 && account.quota_tokens() - reserved < request.units()
 }
 
-/// Whether the limits of its customer allow the first attempt of a queued request now; if not, it waits.
+/// Whether the limits of its customer allow the first attempt of a queued request now; if not, it
+/// waits.
 pub(super) fn allows_first_attempt(
     quotas: &mut QuotaState,
     context: Context<'_>,
@@ -83,8 +86,9 @@
 
 /// Whether one more attempt is likely to stay under the plan's limit on attempts in flight.
 ///
-/// This gateway stays under its even part of the limit. Peers' attempts in flight are unknown; their number is
-/// taken as a Poisson variable whose mean is the peers' usage in units a second times the mean latency.
+/// This gateway stays under its even part of the limit. Peers' attempts in flight are unknown;
+/// their number is taken as a Poisson variable whose mean is the peers' usage in units a second
+/// times the mean latency.
 fn is_below_concurrency_limit(
     context: Context<'_>,
     account: &mut CustomerAccount,
@@ -110,7 +114,8 @@
 /// When this gateway broadcasts its usage.
 #[derive(Clone, Copy)]
 pub(crate) struct UsageBroadcasts {
-    /// Time between two broadcasts; `None` without peers, or where messages between gateways are not allowed.
+    /// Time between two broadcasts; `None` without peers, or where messages between gateways are
+    /// not allowed.
     interval: Option<Duration>,
 }
 
@@ -134,8 +139,8 @@
     }
 }
 
-/// Takes in what a peer has forwarded since its last message: it is drained from the accounts of the customers
-/// that are known here.
+/// Takes in what a peer has forwarded since its last message: it is drained from the accounts of
+/// the customers that are known here.
 pub(crate) fn merge_usage(
     quotas: &mut QuotaState,
     settings: &Settings,
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -1,14 +1,16 @@
-//! Quota sharing in a large fleet, as seen by the gateway that asks for leases. What it asks the customer's
-//! quota owners for is decided there, in [`owner`](super::owner).
+//! Quota sharing in a large fleet, as seen by the gateway that asks for leases. What it asks the
+//! customer's quota owners for is decided there, in [`owner`](super::owner).
 //!
 //! The rules, in the order in which a request meets them:
-//! 1. [`on_arrival`]: it may be shed, sent on a lease that this gateway holds, rejected because too many of its
-//!    customer's requests ask, or sent to ask an owner.
+//! 1. [`on_arrival`]: it may be shed, sent on a lease that this gateway holds, rejected because too
+//!    many of its customer's requests ask, or sent to ask an owner.
 //! 2. [`next_owner`]: which owner it asks.
-//! 3. [`lease_request`]: which units beyond its own it asks for, so that later requests need not ask.
+//! 3. [`lease_request`]: which units beyond its own it asks for, so that later requests need not
+//!    ask.
 //! 4. [`on_response`]: what follows from the owner's response.
 //! 5. [`check_unsent`]: on a timer, what follows when a response is overdue or a grant has expired.
-//! 6. [`permit_release`]: which gateway is notified that a request no longer needs its concurrency permit.
+//! 6. [`permit_release`]: which gateway is notified that a request no longer needs its concurrency
+//!    permit.
 
 use super::owner::{owner_count, RESPONSE_TIMEOUT};
 use crate::message::{LeaseDecision, LeaseRequest, LeaseResponse, ReturnedLease};
@@ -25,18 +27,21 @@
 use crate::units::Units;
 use std::time::Duration;
 
-/// Time after which a gateway no longer limits the fraction of a customer's requests that may ask its owners.
+/// Time after which a gateway no longer limits the fraction of a customer's requests that may ask
+/// its owners.
 const REQUEST_PROBABILITY_LIFETIME: Duration = Duration::from_secs(2);
 /// Time for which an unresponsive owner is not asked.
 pub(crate) const OWNER_COOLDOWN: Duration = Duration::from_secs(1);
-/// Consecutive lease requests without a response that make an owner unresponsive. Fewer may be lost messages.
+/// Consecutive lease requests without a response that make an owner unresponsive. Fewer may be lost
+/// messages.
 const MISSES_UNTIL_UNRESPONSIVE: u32 = 3;
 /// How often the response timeout is doubled for one request.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// Decides on a request that has just arrived.
 ///
-/// Both random numbers are drawn for every request, so that their sequence doesn't depend on the outcome.
+/// Both random numbers are drawn for every request, so that their sequence doesn't depend on the
+/// outcome.
 pub(super) fn on_arrival(
     context: Context<'_>,
     account: &mut CustomerAccount,
@@ -65,8 +70,8 @@
     Admission::AskOwner
 }
 
-/// Probability with which a customer's request may ask an owner: what an owner last set, rising to 1 over
-/// [`REQUEST_PROBABILITY_LIFETIME`].
+/// Probability with which a customer's request may ask an owner: what an owner last set, rising to
+/// 1 over [`REQUEST_PROBABILITY_LIFETIME`].
 fn request_probability(account: &CustomerAccount, now: Timestamp) -> f64 {
     let probability = account.request_probability();
     let age_us = now.micros_since(probability.updated_at);
@@ -74,9 +79,9 @@
     probability.value + (1.0 - probability.value) * expired_fraction
 }
 
-/// The owner that a request asks next. The owners take turns, starting with the one that granted the held
-/// lease, else with a random one. The standby owner is asked only while all others are unresponsive: a customer
-/// over its quota must not get the standby's part on top.
+/// The owner that a request asks next. The owners take turns, starting with the one that granted
+/// the held lease, else with a random one. The standby owner is asked only while all others are
+/// unresponsive: a customer over its quota must not get the standby's part on top.
 pub(crate) fn next_owner(
     quotas: &QuotaState,
     now: Timestamp,
@@ -97,8 +102,8 @@
     }
 }
 
-/// Index of the owner whose turn it is: after the one asked last, or, for a first lease request, the one that
-/// granted the held lease.
+/// Index of the owner whose turn it is: after the one asked last, or, for a first lease request,
+/// the one that granted the held lease.
 fn first_owner_index(
     quotas: &QuotaState,
     owners: QuotaOwners,
@@ -128,9 +133,9 @@
 
 /// A request's lease request to an owner.
 ///
-/// Beyond the request's own units it asks for the customer's recent demand, so that later requests need not ask,
-/// and returns the rest of the held lease. It does neither while a response to the last such request may be on
-/// its way: a second response would replace the first one's lease.
+/// Beyond the request's own units it asks for the customer's recent demand, so that later requests
+/// need not ask, and returns the rest of the held lease. It does neither while a response to the
+/// last such request may be on its way: a second response would replace the first one's lease.
 pub(crate) fn lease_request(
     account: &mut CustomerAccount,
     now: Timestamp,
@@ -167,8 +172,8 @@
     Reject,
 }
 
-/// Decides what follows from an owner's response to a request. `expires_at`: until when a grant may be used;
-/// `request` counts the response already, if it is a rejection.
+/// Decides what follows from an owner's response to a request. `expires_at`: until when a grant may
+/// be used; `request` counts the response already, if it is a rejection.
 pub(crate) fn on_response(
     context: Context<'_>,
     request: &Request,
@@ -188,8 +193,8 @@
     }
 }
 
-/// Whether a request that one owner has rejected asks another one. A customer far over its quota has a request
-/// probability below 1, and its requests don't ask again.
+/// Whether a request that one owner has rejected asks another one. A customer far over its quota
+/// has a request probability below 1, and its requests don't ask again.
 fn asks_another_owner(context: Context<'_>, request: &Request, response: &LeaseResponse) -> bool {
     let settings = &context.deployment.settings;
     let plan = context.deployment.plan_of(request);
@@ -232,8 +237,8 @@
     Reject(RejectReason),
 }
 
-/// Decides what is done about a request that was never sent: whether its grant has expired, or its lease
-/// request has been pending for too long.
+/// Decides what is done about a request that was never sent: whether its grant has expired, or its
+/// lease request has been pending for too long.
 pub(crate) fn check_unsent(
     deployment: &Deployment,
     quotas: &QuotaState,
@@ -260,15 +265,16 @@
     }
 }
 
-/// How long a request with so many misses waits for a response. From the second miss on the time doubles: in a
-/// partition, or where an owner's message intake is full, repeated lease requests would cause more losses.
+/// How long a request with so many misses waits for a response. From the second miss on the time
+/// doubles: in a partition, or where an owner's message intake is full, repeated lease requests
+/// would cause more losses.
 fn response_timeout(misses: u32) -> Duration {
     let doublings = misses.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
     RESPONSE_TIMEOUT * (1 << doublings)
 }
 
-/// Decides what follows one more miss. After enough of them the customer's account here decides; under a hard
-/// limit it must not, so the request goes on asking.
+/// Decides what follows one more miss. After enough of them the customer's account here decides;
+/// under a hard limit it must not, so the request goes on asking.
 fn after_miss(hard_limit: Option<&HardLimit>, quotas: &QuotaState, request: &Request) -> AfterMiss {
     let misses = request.quota.misses() + 1;
     if misses < MISSES_UNTIL_UNRESPONSIVE || hard_limit.is_some() {
--- a/crates/gateway-core/src/policy/quota_sharing/mod.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/mod.rs
@@ -1,8 +1,10 @@
-//! How the gateways of a fleet share the quota of each customer. Which of the two ways applies is chosen once,
-//! at the start, by [`QuotaSharing::for_mode`].
+//! How the gateways of a fleet share the quota of each customer. Which of the two ways applies is
+//! chosen once, at the start, by [`QuotaSharing::for_mode`].
 //!
-//! - [`gossip`]: a small fleet. Each gateway broadcasts what it forwarded, and its own token buckets decide.
-//! - [`lease`]: a large fleet. A request asks one of its customer's quota owners, which grant leases.
+//! - [`gossip`]: a small fleet. Each gateway broadcasts what it forwarded, and its own token
+//!   buckets decide.
+//! - [`lease`]: a large fleet. A request asks one of its customer's quota owners, which grant
+//!   leases.
 //! - [`owner`]: what such an owner decides about a lease request.
 //! - [`account`]: rules for a customer's account at this gateway that are common to both.
 
@@ -50,8 +52,8 @@
         }
     }
 
-    /// Whether the limits of its customer allow the first attempt of a queued request now; if not, it stays in
-    /// the queue. A quota owner has already decided on the requests of a large fleet.
+    /// Whether the limits of its customer allow the first attempt of a queued request now; if not,
+    /// it stays in the queue. A quota owner has already decided on the requests of a large fleet.
     pub(crate) fn allows_first_attempt(
         self,
         quotas: &mut QuotaState,
--- a/crates/gateway-core/src/policy/quota_sharing/owner.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -1,12 +1,14 @@
-//! Quota owners of a large fleet, where every gateway on its own would grant a whole burst. One or two of a
-//! customer's gateways own its quota in equal parts; a standby owner has a small part, for the time while the
-//! others don't respond.
+//! Quota owners of a large fleet, where every gateway on its own would grant a whole burst. One or
+//! two of a customer's gateways own its quota in equal parts; a standby owner has a small part, for
+//! the time while the others don't respond.
 //!
 //! The rules, in the order in which they apply to a lease request:
 //! 1. [`owner_count`], [`owners_of`]: which gateways own the quota.
-//! 2. [`OwnerRequest::received`]: whether the gateway that received the request is the owner that is asked.
+//! 2. [`OwnerRequest::received`]: whether the gateway that received the request is the owner that
+//!    is asked.
 //! 3. [`OwnerRequest::new_part`]: the owner's part of the quota and of the hard limit.
-//! 4. [`OwnerRequest::decide`]: whether the request is granted, and which units go on lease beyond it.
+//! 4. [`OwnerRequest::decide`]: whether the request is granted, and which units go on lease beyond
+//!    it.
 //! 5. [`throttle_requests`]: with which probability further requests may ask.
 
 use crate::message::{LeaseDecision, LeaseRequest, LeaseResponse};
@@ -17,18 +19,19 @@
 use crate::units::Units;
 use std::time::Duration;
 
-/// Units a second that one owner can look after for each message a second that it takes in: the lease requests
-/// for them have to fit in.
+/// Units a second that one owner can look after for each message a second that it takes in: the
+/// lease requests for them have to fit in.
 const UNITS_PER_MESSAGE_RATIO: f64 = 0.6;
 /// Maximum number of owners: what remains in one part is of no use to a request that asks another.
 const MAX_OWNERS: u32 = 2;
-/// The standby owner's part. Of a quota it comes on top of the owners' parts; of a hard limit it is taken off
-/// theirs.
+/// The standby owner's part. Of a quota it comes on top of the owners' parts; of a hard limit it is
+/// taken off theirs.
 const STANDBY_FRACTION: f64 = 0.3;
-/// Lease requests of one customer that an owner accepts before it throttles them, as a fraction of the messages
-/// that it takes in.
+/// Lease requests of one customer that an owner accepts before it throttles them, as a fraction of
+/// the messages that it takes in.
 const ACCEPTED_INTAKE_FRACTION: f64 = 0.4;
-/// Factor by which each excess lease request lowers the request probability: a multiplicative decrease.
+/// Factor by which each excess lease request lowers the request probability: a multiplicative
+/// decrease.
 const PROBABILITY_DECREASE_RATIO: f64 = 0.97;
 /// What the request probability gains a second without excess lease requests: an additive increase.
 const PROBABILITY_INCREASE_PER_SECOND: f64 = 0.5;
@@ -38,11 +41,12 @@
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(90);
 /// The longest lifetime of a lease or grant.
 pub(in crate::policy) const MAX_LEASE_LIFETIME: Duration = Duration::from_secs(3);
-/// The longest lifetime under a hard limit, as a fraction of the time that the limit takes to refill.
+/// The longest lifetime under a hard limit, as a fraction of the time that the limit takes to
+/// refill.
 const MAX_LIFETIME_REFILL_FRACTION: f64 = 0.25;
 
-/// How long a lease or grant may be used. Under a hard limit that is short, because the owner has to reserve
-/// what is refilled in the meantime.
+/// How long a lease or grant may be used. Under a hard limit that is short, because the owner has
+/// to reserve what is refilled in the meantime.
 pub(crate) fn lease_lifetime(hard_limit: Option<&HardLimit>) -> Duration {
     let Some(limit) = hard_limit else {
         return MAX_LEASE_LIFETIME;
@@ -52,8 +56,8 @@
     Duration::from_micros_f64(lifetime_us).clamp(RESPONSE_TIMEOUT, MAX_LEASE_LIFETIME)
 }
 
-/// How many owners, without the standby owner, a customer of a plan has: as many as its rate needs, for the
-/// lease requests to fit into their message intake.
+/// How many owners, without the standby owner, a customer of a plan has: as many as its rate needs,
+/// for the lease requests to fit into their message intake.
 pub(super) fn owner_count(settings: &Settings, plan: &Plan, gateway_count: u32) -> u32 {
     let units_per_second_of_one = UNITS_PER_MESSAGE_RATIO * settings.peer_messages_per_second;
     ((plan.rate / units_per_second_of_one).ceil() as u32)
@@ -85,8 +89,8 @@
 }
 
 impl<'a> OwnerRequest<'a> {
-    /// A lease request that this gateway has received; `None` if it names an unknown plan, or this gateway is
-    /// not the owner that is asked.
+    /// A lease request that this gateway has received; `None` if it names an unknown plan, or this
+    /// gateway is not the owner that is asked.
     pub(crate) fn received(
         settings: &'a Settings,
         from: GatewayId,
@@ -129,9 +133,9 @@
 
     /// What fraction of the quota and of the hard limit this owner has.
     ///
-    /// The sum of the parts must not exceed the hard limit, so the standby owner's part is taken off the others'.
-    /// Its part of the quota is on top: that is the most that a customer gains where lost messages make owners
-    /// look unresponsive.
+    /// The sum of the parts must not exceed the hard limit, so the standby owner's part is taken
+    /// off the others'. Its part of the quota is on top: that is the most that a customer gains
+    /// where lost messages make owners look unresponsive.
     fn fractions(&self) -> OwnedFractions {
         let even_fraction = 1.0 / f64::from(self.owners.count());
         let has_standby = self.request.gateways.count > self.owners.count();
@@ -152,8 +156,8 @@
         }
     }
 
-    /// Decides whether the request fits this part of its customer's limits, and which units go on lease beyond
-    /// it. What the sender returns of its last lease is taken in first.
+    /// Decides whether the request fits this part of its customer's limits, and which units go on
+    /// lease beyond it. What the sender returns of its last lease is taken in first.
     pub(crate) fn decide(
         &self,
         settings: &Settings,
@@ -214,7 +218,8 @@
         ))
     }
 
-    /// Grants a permit for the longest latency objective, in case the message that releases it is lost.
+    /// Grants a permit for the longest latency objective, in case the message that releases it is
+    /// lost.
     fn acquire_permit(&self, settings: &Settings, now: Timestamp, owned: &mut OwnedQuota) {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let holder = PermitHolder {
@@ -225,8 +230,8 @@
         owned.acquire_permit(holder, expires_at);
     }
 
-    /// Units that go on lease: as many as requested, up to a fraction of what remains in this part. Without a
-    /// limit by rate there is nothing to lease.
+    /// Units that go on lease: as many as requested, up to a fraction of what remains in this part.
+    /// Without a limit by rate there is nothing to lease.
     fn lease_units(&self, owned: &OwnedQuota) -> Units {
         let remaining_quota = if self.plan.rate > 0.0 {
             owned.quota_tokens()
@@ -249,8 +254,8 @@
     hard_limit: f64,
 }
 
-/// Updates the rate of a customer's lease requests, and the probability with which its requests may ask: a
-/// customer far over its quota would otherwise exceed its owners' message intake.
+/// Updates the rate of a customer's lease requests, and the probability with which its requests may
+/// ask: a customer far over its quota would otherwise exceed its owners' message intake.
 fn throttle_requests(
     owned: &mut OwnedQuota,
     settings: &Settings,
--- a/crates/gateway-core/src/state/quota/account.rs
+++ b/crates/gateway-core/src/state/quota/account.rs
@@ -26,7 +26,8 @@
     pub(crate) max_request_units: Units,
 }
 
-/// The probability with which a customer's requests may ask its quota owners, as an owner last set it.
+/// The probability with which a customer's requests may ask its quota owners, as an owner last set
+/// it.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestProbability {
     /// The probability, 0 to 1.
@@ -70,9 +71,10 @@
 impl CustomerAccount {
     /// An account that has not been used for `unused`.
     ///
-    /// Its bucket holds the whole burst: with only the even part at first, the rest would stay missing for a
-    /// customer that uses nearly all of its quota, and peers' usage is received soon enough. Its part of the
-    /// hard limit holds only what has come in over `unused`, as it may have been used up before.
+    /// Its bucket holds the whole burst: with only the even part at first, the rest would stay
+    /// missing for a customer that uses nearly all of its quota, and peers' usage is received soon
+    /// enough. Its part of the hard limit holds only what has come in over `unused`, as it may have
+    /// been used up before.
     pub(crate) fn new(now: Timestamp, unused: Duration, config: AccountConfig<'_>) -> Self {
         let gateways = GatewaySet {
             count: config.gateways.count.max(1),
@@ -118,8 +120,8 @@
         self.gateways
     }
 
-    /// Notes which plan and gateways a request names. Returns how many consecutive requests have named others
-    /// than this account's.
+    /// Notes which plan and gateways a request names. Returns how many consecutive requests have
+    /// named others than this account's.
     pub(crate) fn record_hint(&mut self, plan: PlanId, gateways: GatewaySet) -> u32 {
         if self.plan == plan && self.gateways == gateways {
             self.conflicting_hints = 0;
@@ -129,8 +131,8 @@
         self.conflicting_hints
     }
 
-    /// Goes over to another plan or gateway set. Nothing is gained by that, and what is in flight or has been
-    /// announced to peers stays so.
+    /// Goes over to another plan or gateway set. Nothing is gained by that, and what is in flight
+    /// or has been announced to peers stays so.
     pub(crate) fn reconfigure(&mut self, mut fresh: CustomerAccount, hard_limit_tokens: Units) {
         fresh.quota.limit_tokens(self.quota.tokens());
         fresh.hard_limit.set_tokens(hard_limit_tokens);
@@ -208,8 +210,8 @@
         self.quota.put_back(units);
     }
 
-    /// One more attempt is in flight here. The units of a request's first attempt are announced to peers, and
-    /// are charged to the hard limit.
+    /// One more attempt is in flight here. The units of a request's first attempt are announced to
+    /// peers, and are charged to the hard limit.
     pub(crate) fn attempt_sent(&mut self, now: Timestamp, units: Units, is_first: bool) {
         self.attempts_in_flight += 1;
         if is_first {
@@ -228,8 +230,8 @@
         self.attempts_in_flight
     }
 
-    /// Takes in a peer's usage count: what it has risen by is drained from the quota. The account must have
-    /// been refilled up to now.
+    /// Takes in a peer's usage count: what it has risen by is drained from the quota. The account
+    /// must have been refilled up to now.
     pub(crate) fn merge_peer_usage(
         &mut self,
         now: Timestamp,
@@ -248,8 +250,8 @@
         self.peers.units_per_second(now)
     }
 
-    /// The usage to announce to peers, if the customer's requests come through other gateways too and it rose
-    /// within `max_age`.
+    /// The usage to announce to peers, if the customer's requests come through other gateways too
+    /// and it rose within `max_age`.
     pub(super) fn announced_usage(
         &self,
         now: Timestamp,
@@ -278,7 +280,8 @@
         self.lease_requested_at
     }
 
-    /// Notes that a lease is requested now from the owner of that index. Returns the rest of the held lease.
+    /// Notes that a lease is requested now from the owner of that index. Returns the rest of the
+    /// held lease.
     pub(crate) fn request_lease(&mut self, now: Timestamp, owner_index: u32) -> ReturnedLease {
         self.lease_requested_at = now;
         self.held_lease.give_back(owner_index)
@@ -302,8 +305,8 @@
         };
     }
 
-    /// Microseconds until it is likely to cover a request of so many units, which have been charged to the
-    /// quota already and are returned if the request is never sent.
+    /// Microseconds until it is likely to cover a request of so many units, which have been charged
+    /// to the quota already and are returned if the request is never sent.
     pub(crate) fn time_until_available_us(&self, plan: &Plan, units: Units) -> f64 {
         let quota_us = if plan.rate > 0.0 {
             refill_time_us(-self.quota.tokens(), plan.rate)
--- a/crates/gateway-core/src/state/quota/hard_limit_bucket.rs
+++ b/crates/gateway-core/src/state/quota/hard_limit_bucket.rs
@@ -7,8 +7,8 @@
 
 /// What remains of a fixed fraction of a hard limit.
 ///
-/// It is empty at first, and depends on no message: so the limit holds through lost messages and restarts. The
-/// price is paid where nearly all requests of a customer come in through one gateway.
+/// It is empty at first, and depends on no message: so the limit holds through lost messages and
+/// restarts. The price is paid where nearly all requests of a customer come in through one gateway.
 pub(crate) struct HardLimitBucket {
     tokens: Units,
     /// Fraction of the limit's rate and capacity.
@@ -18,8 +18,8 @@
 }
 
 impl HardLimitBucket {
-    /// An empty bucket for a fraction of a hard limit. `grant_lifetime`: how long what is granted from it may
-    /// be used; zero for immediate use.
+    /// An empty bucket for a fraction of a hard limit. `grant_lifetime`: how long what is granted
+    /// from it may be used; zero for immediate use.
     pub(crate) fn empty(fraction: f64, grant_lifetime: Duration) -> Self {
         HardLimitBucket {
             tokens: Units::ZERO,
@@ -44,8 +44,8 @@
         self.tokens >= self.maximum(limit)
     }
 
-    /// What is refilled during the lifetime of grants is reserved: grants are void after it, so what is used
-    /// late adds up to no more than the whole capacity.
+    /// What is refilled during the lifetime of grants is reserved: grants are void after it, so
+    /// what is used late adds up to no more than the whole capacity.
     fn maximum(&self, limit: &HardLimit) -> Units {
         let reserved = limit.rate * self.grant_lifetime.as_micros_f64() / MICROS_PER_SECOND;
         (limit.capacity - Units::new(reserved)) * self.fraction
--- a/crates/gateway-core/src/state/quota/held_lease.rs
+++ b/crates/gateway-core/src/state/quota/held_lease.rs
@@ -4,8 +4,8 @@
 use crate::time::Timestamp;
 use crate::units::Units;
 
-/// Units that an owner has granted ahead of the requests that will use them: this gateway may use them without
-/// asking, until they expire.
+/// Units that an owner has granted ahead of the requests that will use them: this gateway may use
+/// them without asking, until they expire.
 #[derive(Default)]
 pub(crate) struct HeldLease {
     /// Units that remain.
@@ -59,8 +59,8 @@
         Some(self.expires_at)
     }
 
-    /// The remaining units, to be returned to the owner that granted them; they can't be used here any more.
-    /// An owner of another index gets none.
+    /// The remaining units, to be returned to the owner that granted them; they can't be used here
+    /// any more. An owner of another index gets none.
     pub(crate) fn give_back(&mut self, owner_index: u32) -> ReturnedLease {
         let remaining = std::mem::take(&mut self.units);
         let units = if owner_index == self.owner_index {
--- a/crates/gateway-core/src/state/quota/ledger.rs
+++ b/crates/gateway-core/src/state/quota/ledger.rs
@@ -24,9 +24,9 @@
         }
     }
 
-    /// Units of a gateway's lease that are returned. Only the latest lease is accepted, once, and no more than
-    /// was granted: otherwise what is returned twice, of a lost response or from before a restart, would exceed
-    /// a hard limit.
+    /// Units of a gateway's lease that are returned. Only the latest lease is accepted, once, and
+    /// no more than was granted: otherwise what is returned twice, of a lost response or from
+    /// before a restart, would exceed a hard limit.
     pub(crate) fn reclaim(&mut self, from: GatewayId, returned: ReturnedLease) -> Option<Units> {
         let granted = self
             .0
--- a/crates/gateway-core/src/state/quota/mod.rs
+++ b/crates/gateway-core/src/state/quota/mod.rs
@@ -68,8 +68,8 @@
 }
 
 impl<'a> AccountEntry<'a> {
-    /// The account, refilled up to now. `partitioned`: the time of silence during which the even part of a
-    /// gateway is not refilled here.
+    /// The account, refilled up to now. `partitioned`: the time of silence during which the even
+    /// part of a gateway is not refilled here.
     pub(crate) fn into_refilled(
         self,
         now: Timestamp,
@@ -187,7 +187,8 @@
         self.pending_leases.remove(&sequence)
     }
 
-    /// Notes that an owner has not responded in time, so that it is not asked until `cooldown_until`.
+    /// Notes that an owner has not responded in time, so that it is not asked until
+    /// `cooldown_until`.
     pub(crate) fn record_miss(&mut self, owner: GatewayId, cooldown_until: Timestamp) {
         let misses = self.unresponsive_owners.entry(owner).or_default();
         misses.count += 1;
@@ -209,8 +210,8 @@
         self.liveness.record_message(now, from);
     }
 
-    /// Running counts of what was forwarded here, of customers whose usage rose within `max_age`, the latest
-    /// first.
+    /// Running counts of what was forwarded here, of customers whose usage rose within `max_age`,
+    /// the latest first.
     pub(crate) fn usage_counts(&self, now: Timestamp, max_age: Duration) -> Vec<UsageCount> {
         let mut recent: Vec<_> = self
             .accounts
--- a/crates/gateway-core/src/state/quota/owned.rs
+++ b/crates/gateway-core/src/state/quota/owned.rs
@@ -29,8 +29,8 @@
     pub(crate) max_request_units: Units,
 }
 
-/// A part of a customer's quota and hard limit, what of it is on lease to other gateways, and how often these
-/// ask.
+/// A part of a customer's quota and hard limit, what of it is on lease to other gateways, and how
+/// often these ask.
 pub(crate) struct OwnedQuota {
     /// The plan that it was made for.
     plan: PlanId,
@@ -76,8 +76,9 @@
         self.plan
     }
 
-    /// A lease request has come in: what its sender returns is taken back, this part is refilled up to now, and
-    /// permits that have expired are released. Returns the seconds since the last refill.
+    /// A lease request has come in: what its sender returns is taken back, this part is refilled up
+    /// to now, and permits that have expired are released. Returns the seconds since the last
+    /// refill.
     pub(crate) fn begin_request(
         &mut self,
         now: Timestamp,
@@ -149,8 +150,8 @@
         self.permits.release(holder);
     }
 
-    /// Counts a lease request, so many seconds after the last one. Returns how many there were in about a
-    /// second.
+    /// Counts a lease request, so many seconds after the last one. Returns how many there were in
+    /// about a second.
     pub(crate) fn record_lease_request(&mut self, seconds: f64) -> f64 {
         self.lease_request_rate = self.lease_request_rate * (-seconds).exp() + 1.0;
         self.lease_request_rate
--- a/crates/gateway-core/src/state/quota/owners.rs
+++ b/crates/gateway-core/src/state/quota/owners.rs
@@ -3,7 +3,8 @@
 use crate::hash::fibonacci_hash;
 use crate::types::{CustomerId, GatewayId, GatewaySet};
 
-/// The owners of one customer's quota, numbered from 0. The one after the last is the standby owner.
+/// The owners of one customer's quota, numbered from 0. The one after the last is the standby
+/// owner.
 #[derive(Clone, Copy)]
 pub(crate) struct QuotaOwners {
     count: u32,
--- a/crates/gateway-core/src/state/quota/peer_usage.rs
+++ b/crates/gateway-core/src/state/quota/peer_usage.rs
@@ -67,9 +67,9 @@
 }
 
 impl PeerUsage {
-    /// Takes in a running count, and returns by how much it rose. Messages may be late, repeated or out of
-    /// order; a count that is lower after a silence of a whole window has begun anew, as its sender had
-    /// dropped the customer.
+    /// Takes in a running count, and returns by how much it rose. Messages may be late, repeated or
+    /// out of order; a count that is lower after a silence of a whole window has begun anew, as its
+    /// sender had dropped the customer.
     pub(super) fn delta(&mut self, now: Timestamp, incarnation: u32, count: u16) -> u16 {
         let silence = now.duration_since(self.received_at);
         self.received_at = now;
--- a/crates/gateway-core/src/state/quota/permits.rs
+++ b/crates/gateway-core/src/state/quota/permits.rs
@@ -43,8 +43,8 @@
     }
 }
 
-/// One owner's part of a limit that `owners` share, as even as whole permits allow. A standby owner has as many as
-/// the last owner.
+/// One owner's part of a limit that `owners` share, as even as whole permits allow. A standby owner
+/// has as many as the last owner.
 pub(crate) fn permits_of_owner(limit: u32, owners: u32, index: u32) -> usize {
     let index = index.min(owners - 1);
     ((limit + owners - 1 - index) / owners) as usize
--- a/crates/gateway-core/src/state/quota/token_bucket.rs
+++ b/crates/gateway-core/src/state/quota/token_bucket.rs
@@ -9,8 +9,8 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds so many tokens. `burst_capacity`: what it holds in any case when it is full, and
-    /// the largest debt that [`drain`](Self::drain) makes.
+    /// A bucket that holds so many tokens. `burst_capacity`: what it holds in any case when it is
+    /// full, and the largest debt that [`drain`](Self::drain) makes.
     pub(crate) fn new(tokens: Units, burst_capacity: Units) -> Self {
         TokenBucket {
             tokens,
--- a/crates/gateway-core/src/units.rs
+++ b/crates/gateway-core/src/units.rs
@@ -3,10 +3,11 @@
 use std::iter::Sum;
 use std::ops::{Add, AddAssign, Mul, Neg, Sub, SubAssign};
 
-/// An amount of quota units: what a request consumes, and what buckets and leases hold. Negative amounts are
-/// debts.
+/// An amount of quota units: what a request consumes, and what buckets and leases hold. Negative
+/// amounts are debts.
 ///
-/// Rates (units a second) and fractions are plain numbers; arithmetic is that of the numbers, in the same order.
+/// Rates (units a second) and fractions are plain numbers; arithmetic is that of the numbers, in
+/// the same order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Units(f64);
 
--- a/crates/gateway-core/tests/policy/lease.rs
+++ b/crates/gateway-core/tests/policy/lease.rs
@@ -13,8 +13,9 @@
     }
 }
 
-/// Hazard: lease requests are lost among too many, and each lost one causes one more. What a gateway takes in is
-/// bounded, so a busy one must not exchange messages with an owner for each request.
+/// Hazard: lease requests are lost among too many, and each lost one causes one more. What a
+/// gateway takes in is bounded, so a busy one must not exchange messages with an owner for each
+/// request.
 #[test]
 fn a_busy_gateway_sends_fewer_lease_requests_than_it_has_requests() {
     let mut fleet = Fleet::new(60, 40, |settings| {
@@ -27,7 +28,8 @@
             .burst(HARD_LIMITED, 60.0)
             .hard_limit(HARD_LIMITED, hard_limit)
     });
-    fleet.drive_through(HARD_LIMITED, 30, 1, mostly_one); // an owner's part of the hard limit starts empty
+    // an owner's part of the hard limit starts empty
+    fleet.drive_through(HARD_LIMITED, 30, 1, mostly_one);
     let messages_before = fleet.messages_sent;
     let requests = 30 * 6;
     let sent = fleet.drive_through(HARD_LIMITED, 30, 6, mostly_one);
@@ -112,8 +114,8 @@
         scenario
     }
 
-    /// One request at the gateway. Its lease request reaches the owner `copies` times. Returns whether the request
-    /// was sent immediately, without a response of the owner.
+    /// One request at the gateway. Its lease request reaches the owner `copies` times. Returns
+    /// whether the request was sent immediately, without a response of the owner.
     fn request(&mut self, copies: usize) -> bool {
         let actions_before = self.gateway.actions.len();
         let id = self
@@ -180,7 +182,8 @@
     }
 }
 
-/// How many requests are sent until the owner is short, where an expired lease is returned `copies` times.
+/// How many requests are sent until the owner is short, where an expired lease is returned `copies`
+/// times.
 fn sent_until_owner_is_short(copies: usize) -> usize {
     let mut scenario = LeaseScenario::new();
     scenario.let_lease_expire();
@@ -202,8 +205,8 @@
         twice <= once,
         "{once} requests were sent, and {twice} where the lease was returned twice"
     );
-    // The owner's part of 40 units, a quarter reserved, and of 20 a second over 1.72 s is 0.7. What was on lease and
-    // not used goes to others.
+    // The owner's part of 40 units, a quarter reserved, and of 20 a second over 1.72 s is 0.7. What
+    // was on lease and not used goes to others.
     let most = 0.7 * (0.75 * 40.0 + 20.0 * 1.72);
     assert!(
         (most - 3.0..=most).contains(&(once as f64)),
--- a/crates/gateway-core/tests/policy/quota.rs
+++ b/crates/gateway-core/tests/policy/quota.rs
@@ -1,5 +1,5 @@
-//! Quotas by the gateway's own token buckets: what they cover, what peers use, hard limits and concurrency
-//! limits.
+//! Quotas by the gateway's own token buckets: what they cover, what peers use, hard limits and
+//! concurrency limits.
 
 use crate::common::*;
 use gateway_core::*;
@@ -122,7 +122,8 @@
     );
 }
 
-/// Peers of a much older incarnation show a gateway that it has restarted: what it has not seen may have been used.
+/// Peers of a much older incarnation show a gateway that it has restarted: what it has not seen may
+/// have been used.
 #[test]
 fn a_restart_refills_no_token_bucket() {
     let sent = |incarnation: u32| {
@@ -137,7 +138,8 @@
     );
 }
 
-/// One request that names a wrong plan neither fixes it for good, coming first, nor takes the right one away.
+/// One request that names a wrong plan neither fixes it for good, coming first, nor takes the right
+/// one away.
 #[test]
 fn one_request_with_a_wrong_plan_does_not_change_the_plan() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
@@ -181,8 +183,8 @@
     gateway.sent_count() - before
 }
 
-/// The share of the hard limit, 6 of 12, is empty at the start of a gateway and full after long; evicting the bucket
-/// of a customer that stays away changes nothing of that.
+/// The share of the hard limit, 6 of 12, is empty at the start of a gateway and full after long;
+/// evicting the bucket of a customer that stays away changes nothing of that.
 #[test]
 fn a_hard_limit_grants_no_more_after_an_eviction() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
--- a/crates/gateway-core/tests/policy/quota_owner.rs
+++ b/crates/gateway-core/tests/policy/quota_owner.rs
@@ -118,7 +118,8 @@
         .hard_limit(TWO_CONCURRENT, hard_limit)
         .build();
     let mut gateway = GatewayHarness::sole_gateway(1, settings, S, 0);
-    gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 4 * S); // the owner's part of the hard limit starts empty
+    // the owner's part of the hard limit starts empty
+    gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 4 * S);
     gateway.advance(2 * S);
     let refused = gateway.rejected_or_failed_count();
     for _ in 0..2 {
--- a/crates/gateway-core/tests/unit/message.rs
+++ b/crates/gateway-core/tests/unit/message.rs
@@ -1,4 +1,5 @@
-//! The layout of messages between gateways: fixed bytes that every version of this layout has to read and write.
+//! The layout of messages between gateways: fixed bytes that every version of this layout has to
+//! read and write.
 
 use super::layout::*;
 use super::*;
@@ -51,8 +52,9 @@
 
 /// Version, kind, incarnation; then customer and units of each.
 const USAGE_COUNTS: &str = "04 00 0df0adde 0504030201 e803 ffffffffff ffff 0000000000 0000";
-/// Version, kind, sequence, customer, plan, owner, first gateway, gateway count, units, requested units, the returned
-/// lease's sequence and its units; then the gossip digest: throughput, latencies, health reports.
+/// Version, kind, sequence, customer, plan, owner, first gateway, gateway count, units, requested
+/// units, the returned lease's sequence and its units; then the gossip digest: throughput,
+/// latencies, health reports.
 const LEASE_REQUEST: &str = "04 01 3412 0504030201 01 02 0301 2c01 2800 4406 3012 0800 \
     38 03 08 ff 14 efbe 5f 0a 07 0a 0100 e0 00 ff 00";
 /// Version, kind, sequence, decision, probability, units of the lease, the gossip digest.
@@ -265,7 +267,8 @@
     assert_eq!(decoded, release);
 }
 
-/// What does not fit its field is clamped to the nearest value that does; classes past the eighth are left out.
+/// What does not fit its field is clamped to the nearest value that does; classes past the eighth
+/// are left out.
 #[test]
 fn values_out_of_range_have_fixed_bytes() {
     let extreme = |class: usize, failure_rate: f64| HealthReport {
@@ -357,7 +360,8 @@
     );
 }
 
-/// Lengths at which a message that is cut short still reads as a shorter one: after a whole count or health report.
+/// Lengths at which a message that is cut short still reads as a shorter one: after a whole count
+/// or health report.
 fn lengths_that_decode(message: &[u8]) -> Vec<usize> {
     (0..message.len())
         .filter(|length| decode(&message[..*length]).is_some())
