--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -36,13 +36,13 @@
         let Some(request) = self.requests.get_mut(&key.request) else {
             return;
         };
-        request.attempt_finished(result.outcome);
+        request.record_attempt_finished(result.outcome);
         if result.is_request_closed {
             return self.remove_request(&key.request, actions);
         }
         if result.outcome.may_have_executed() && request.possible_execution().is_none() {
             let endpoint = self.servers.endpoint(&attempt.server);
-            request.possibly_executed(endpoint.map(|endpoint| PossibleExecution {
+            request.record_possible_execution(endpoint.map(|endpoint| PossibleExecution {
                 endpoint,
                 sent_at: attempt.sent_at,
             }));
--- a/crates/gateway-core/src/gateway/dispatch.rs
+++ b/crates/gateway-core/src/gateway/dispatch.rs
@@ -51,7 +51,7 @@
         match pass.decide(context, request, limit, &mut self.quotas) {
             DispatchDecision::Send => {
                 let server = self.pick_server(now, id, selectable)?;
-                pass.attempt_sent(class, self.control_loop.in_flight_limit());
+                pass.record_attempt_sent(class, self.control_loop.in_flight_limit());
                 Some(server)
             }
             DispatchDecision::SkipForQuota => {
@@ -109,9 +109,9 @@
             bucket.attempt_sent(now, request.units(), is_first_attempt);
         }
         if is_first_attempt {
-            self.retry_budget.first_attempt_sent();
+            self.retry_budget.record_first_attempt();
         }
-        let number = request.attempt_sent(server_id);
+        let number = request.record_attempt_sent(server_id);
         let attempt = request.attempt_record(server_id, now, server_in_flight);
         let key = AttemptKey {
             request: id.clone(),
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -143,7 +143,7 @@
             return;
         }
         self.detect_stalled_servers(now, actions);
-        self.timers.timer_fired();
+        self.timers.record_timer_fired();
         self.expire_requests(now, actions);
         self.check_lease_requests(now, actions);
         self.on_control_tick(now, actions);
--- a/crates/gateway-core/src/gateway/requests.rs
+++ b/crates/gateway-core/src/gateway/requests.rs
@@ -90,7 +90,7 @@
     /// The answer of a server has begun to stream to the client.
     pub(super) fn on_stream_started(&mut self, id: &RequestId) {
         if let Some(request) = self.requests.get_mut(id) {
-            request.stream_started();
+            request.record_stream_start();
         }
     }
 
@@ -130,7 +130,7 @@
         actions: &mut Vec<Action>,
     ) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.attempt_cancelled();
+            request.record_cancellation();
         }
         actions.push(Action::CancelAttempt { id, attempt });
     }
--- a/crates/gateway-core/src/gateway/stalled_servers.rs
+++ b/crates/gateway-core/src/gateway/stalled_servers.rs
@@ -39,7 +39,7 @@
             return;
         };
         if retry::cancels_stalled(&self.deployment, request, &self.retry_budget) {
-            request.attempt_cancelled();
+            request.record_cancellation();
             let AttemptKey {
                 request: id,
                 number: attempt,
--- a/crates/gateway-core/src/gateway/timers.rs
+++ b/crates/gateway-core/src/gateway/timers.rs
@@ -35,7 +35,7 @@
     }
 
     /// Records that the timer has fired.
-    pub(super) fn timer_fired(&mut self) {
+    pub(super) fn record_timer_fired(&mut self) {
         self.fires_at = Timestamp::MAX;
     }
 
--- a/crates/gateway-core/src/policy/dispatch.rs
+++ b/crates/gateway-core/src/policy/dispatch.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records that an attempt of a request is being sent.
-    pub(crate) fn attempt_sent(&mut self, class: ClassId, limit: &mut InFlightLimit) {
+    pub(crate) fn record_attempt_sent(&mut self, class: ClassId, limit: &mut InFlightLimit) {
         if class == self.lowest_class {
             self.lowest_in_flight += 1.0;
             limit.consume_pacing_token();
--- a/crates/gateway-core/src/policy/retry_budget.rs
+++ b/crates/gateway-core/src/policy/retry_budget.rs
@@ -3,7 +3,7 @@
 //!
 //! The rules:
 //! 1. Each first attempt earns a fraction of a retry, up to a maximum
-//!    ([`RetryBudget::first_attempt_sent`]).
+//!    ([`RetryBudget::record_first_attempt`]).
 //! 2. A retry takes one token. In a large fleet it is free if the failed attempt reached no server
 //!    ([`RetryBudget::covers`], [`RetryBudget::charge`]).
 
@@ -51,7 +51,7 @@
     }
 
     /// Records a first attempt, which earns a fraction of a retry.
-    pub(crate) fn first_attempt_sent(&mut self) {
+    pub(crate) fn record_first_attempt(&mut self) {
         self.retries = (self.retries + RETRIES_PER_FIRST_ATTEMPT).min(MAX_RETRIES);
     }
 
--- a/crates/gateway-core/src/state/request.rs
+++ b/crates/gateway-core/src/state/request.rs
@@ -166,7 +166,7 @@
     }
 
     /// Records that a new attempt is in flight at this server.
-    pub(crate) fn attempt_sent(&mut self, server: ServerId) -> AttemptNumber {
+    pub(crate) fn record_attempt_sent(&mut self, server: ServerId) -> AttemptNumber {
         let number = AttemptNumber(self.attempt_count);
         self.attempt_count += 1;
         self.last_server = Some(server);
@@ -178,13 +178,13 @@
     }
 
     /// Records that the attempt in flight was cancelled; that it has ended is reported later.
-    pub(crate) fn attempt_cancelled(&mut self) {
+    pub(crate) fn record_cancellation(&mut self) {
         self.forbid_cancellation();
     }
 
     /// Records that the answer streams to the client: there is no deadline any more, and the
     /// attempt must not be cancelled.
-    pub(crate) fn stream_started(&mut self) {
+    pub(crate) fn record_stream_start(&mut self) {
         self.deadline = Timestamp::MAX;
         self.forbid_cancellation();
     }
@@ -196,14 +196,14 @@
     }
 
     /// Records that the attempt in flight has ended.
-    pub(crate) fn attempt_finished(&mut self, outcome: AttemptOutcome) {
+    pub(crate) fn record_attempt_finished(&mut self, outcome: AttemptOutcome) {
         self.in_flight = None;
         self.has_reached_server |= outcome.reached_server();
     }
 
     /// Records where and when an attempt was sent that may have been executed; the first one
     /// counts.
-    pub(crate) fn possibly_executed(&mut self, execution: Option<PossibleExecution>) {
+    pub(crate) fn record_possible_execution(&mut self, execution: Option<PossibleExecution>) {
         self.possible_execution = self.possible_execution.or(execution);
     }
 
--- a/crates/gateway-core/tests/unit/request.rs
+++ b/crates/gateway-core/tests/unit/request.rs
@@ -27,10 +27,10 @@
 #[test]
 fn attempts_are_numbered_from_zero_and_may_be_cancelled_anew() {
     let mut request = Request::default();
-    assert_eq!(request.attempt_sent(ServerId(1)), AttemptNumber(0));
-    request.attempt_cancelled();
+    assert_eq!(request.record_attempt_sent(ServerId(1)), AttemptNumber(0));
+    request.record_cancellation();
     assert_eq!(request.cancellable_attempt(), None);
-    assert_eq!(request.attempt_sent(ServerId(2)), AttemptNumber(1));
+    assert_eq!(request.record_attempt_sent(ServerId(2)), AttemptNumber(1));
     assert_eq!(
         (request.cancellable_attempt(), request.last_server()),
         (Some(AttemptNumber(1)), Some(ServerId(2)))
