--- a/crates/fleet-lab/src/hybrid/ledger.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_checker.rs
@@ -1,46 +1,31 @@
-//! The record of all requests of a run, and the check of the invariants. No input, no output, no clock.
+//! The invariant checker of runs over sockets: the record of all requests, and the check of the invariants over it. It
+//! has no input, no output and no clock.
 //!
-//! The records and checks of single requests, quotas and drains are those of the simulation. What differs is what can be
-//! observed: here attempts are seen only where they arrive and run, and a client's end of waiting ends nothing.
+//! Records of requests, usage limits and drains are the types of `world`, as in the simulation. The checks differ from
+//! those of [`crate::world::invariant_checker`] in what can be observed over sockets: attempts are seen only where they
+//! arrive and run, a request stays open when its client gives up, and neither what gateways learn of attempts nor the
+//! load of starting servers is seen.
 
+use super::invariant_result::InvariantResult;
 use super::observed_request::{ObservedRequest, ReceivedAnswer, SentRequest};
 use super::quotas::{CustomerQuota, QuotaUsage};
 use crate::world::draining::{DrainGrace, DrainingServers};
 use crate::world::request_record::RequestRecord;
 use crate::world::usage_limit::Excess;
 use gateway_core::{CustomerId, EndpointState, GatewayId, ServerId, Timestamp};
-use serde::Serialize;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// A final answer is missing if it comes later than this after the client's timeout: half a second, and
-/// [`SOCKET_TOLERANCE`]. The simulation allows far less, as its clock does not go on while a gateway computes.
+/// [`SOCKET_TOLERANCE`]. The simulation allows far less, as its clock stands still while a gateway computes.
 pub const ANSWER_GRACE: Duration = Duration::from_millis(550);
 /// By this every time limit is longer on sockets.
 pub const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// The result of checking one invariant. The simulation's [`Violations`](crate::world::invariant::Violations) give
-/// times instead: it checks at each event, whereas here some violations are known only at the end of the run.
-#[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct InvariantResult {
-    /// The invariant.
-    #[serde(rename = "rule")]
-    pub invariant: &'static str,
-    /// In how many cases it was checked.
-    #[serde(rename = "looked_at")]
-    pub checked: u64,
-    /// In how many it was violated.
-    #[serde(rename = "broken")]
-    pub violations: u64,
-    /// Further observations.
-    #[serde(rename = "seen")]
-    pub details: String,
-}
-
-/// The record of all requests of one run.
+/// The record of all requests of one run, and the checks.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct SocketInvariantChecker {
     started_at: Timestamp,
     drain_grace: DrainGrace,
     quotas: HashMap<CustomerId, QuotaUsage>,
@@ -54,15 +39,15 @@
     forged_answers: u64,
 }
 
-impl Ledger {
-    /// An empty record.
+impl SocketInvariantChecker {
+    /// A checker without records.
     pub fn new(
         now: Timestamp,
         drain_grace: Duration,
         quotas: impl IntoIterator<Item = CustomerQuota>,
-    ) -> Ledger {
+    ) -> SocketInvariantChecker {
         let usage = |CustomerQuota { customer, quota }| (customer, QuotaUsage::new(quota, now));
-        Ledger {
+        SocketInvariantChecker {
             started_at: now,
             drain_grace: DrainGrace(drain_grace + SOCKET_TOLERANCE),
             quotas: quotas.into_iter().map(usage).collect(),
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -2,7 +2,11 @@
 
 use super::sizes::FleetSizes;
 use anyhow::{Context, Result};
-use gateway_core::*;
+use gateway_core::{
+    Action, CellId, Class, ClassId, CustomerId, Endpoint, EndpointDiscovery, EndpointState, Event,
+    Gateway, GatewayId, GatewaySet, Idempotency, Permissions, Plan, PlanId, RequestId, Rules,
+    ServerId, Settings, Timestamp, ZoneId,
+};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -15,7 +19,7 @@
 pub(super) const START: Timestamp = Timestamp::from_micros(5_000_000);
 /// How long a client waits; long enough for requests that stay open.
 pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_secs(3_600);
-/// Least number of customers whose requests are served by turns: enough that gateways need not throttle their lease
+/// Minimum number of customers that take turns in sending requests: enough that gateways need not throttle their lease
 /// requests. Where more requests stay open, each has a customer of its own.
 pub(super) const MIN_ACTIVE_CUSTOMERS: u64 = 64;
 /// Zones of the fleet.
@@ -94,7 +98,9 @@
 /// A customer, and the first of the gateways that its requests arrive through.
 #[derive(Clone, Copy)]
 pub(super) struct Customer {
+    /// The customer.
     pub(super) id: CustomerId,
+    /// The first of its gateways.
     pub(super) first_gateway: GatewayId,
 }
 
--- a/crates/fleet-lab/src/simulate/experiment.rs
+++ b/crates/fleet-lab/src/simulate/experiment.rs
@@ -3,7 +3,7 @@
 use super::fault::Fault;
 use super::fault_schedule::FaultSchedule;
 use super::fault_scheduler::FaultScheduler;
-use crate::time::DurationExt;
+use crate::time::{DurationExt, MICROSECOND};
 use crate::world::machine::Machine;
 use crate::world::{random_stream, Rng};
 use crate::Failure;
@@ -16,22 +16,23 @@
 
 /// Settings of an experiment that is given none: two classes, three plans of which one has a hard limit.
 const DEFAULT_SETTINGS: &str = include_str!("settings.json");
-/// Most gateways: their numbers take two bytes in messages.
+/// Maximum number of gateways: their numbers take two bytes in messages.
 const MAX_GATEWAYS: u32 = 65_535;
+/// Maximum number of servers.
 const MAX_SERVERS: u32 = 100_000;
+/// Maximum time in which clients arrive, s.
 const MAX_SECONDS: u32 = 3_600;
+/// Maximum demand within the quotas, as a fraction of what the servers can do.
 const MAX_LOAD: f64 = 2.0;
 /// Shortest latency objective of a class.
 const MIN_LATENCY_OBJECTIVE: Duration = Duration::from_millis(1);
-/// Mean work of a request, as a share of the shortest latency objective.
+/// Mean work of a request, as a fraction of the shortest latency objective.
 const MEAN_WORK_RATIO: f64 = 0.119;
-/// How far the work of single requests lies from the mean, as a share of it.
+/// How far the work of single requests lies from the mean, as a fraction of it.
 const WORK_DEVIATION_RATIO: f64 = 0.26;
 /// Interval at which a server measures the load that it reports.
 const LOAD_REPORT_INTERVAL: Range<Duration> =
     Duration::from_millis(110)..Duration::from_millis(540);
-/// The unit of all times.
-const MICROSECOND: Duration = Duration::from_micros(1);
 /// Number of the random stream that draws ids of servers.
 const ENDPOINT_STREAM: u64 = 16;
 /// Number of the random stream that draws the fault schedule.
@@ -48,7 +49,7 @@
     pub seconds: u32,
     /// Seed of all random draws.
     pub seed: u64,
-    /// Demand within the quotas, as a share of what the servers can do.
+    /// Demand within the quotas, as a fraction of what the servers can do.
     pub load: f64,
     /// Names of faults.
     pub faults: Vec<String>,
@@ -56,6 +57,25 @@
     pub settings: Option<String>,
 }
 
+impl ExperimentConfig {
+    fn validate(&self, server_count: u32) -> Result<(), Failure> {
+        validate_range("nodes", self.nodes, MAX_GATEWAYS)?;
+        validate_range("servers", server_count, MAX_SERVERS)?;
+        validate_range("seconds", self.seconds, MAX_SECONDS)?;
+        if !(self.load > 0.0 && self.load <= MAX_LOAD) {
+            return invalid(format!(
+                "load must be above 0 and at most {MAX_LOAD}, not {}",
+                self.load
+            ));
+        }
+        Ok(())
+    }
+
+    fn duration(&self) -> Duration {
+        Duration::from_secs(self.seconds.into())
+    }
+}
+
 /// What is simulated.
 #[derive(Clone, Debug)]
 pub struct Experiment {
@@ -88,15 +108,7 @@
         let server_count = config
             .servers
             .unwrap_or_else(|| default_servers(config.nodes));
-        validate_range("nodes", config.nodes, MAX_GATEWAYS)?;
-        validate_range("servers", server_count, MAX_SERVERS)?;
-        validate_range("seconds", config.seconds, MAX_SECONDS)?;
-        if !(config.load > 0.0 && config.load <= MAX_LOAD) {
-            return invalid(format!(
-                "load must be above 0 and at most {MAX_LOAD}, not {}",
-                config.load
-            ));
-        }
+        config.validate(server_count)?;
         let settings = config.settings.as_deref().unwrap_or(DEFAULT_SETTINGS);
         let resolved = parse_settings(settings, config.nodes)?;
         let zones = resolved.zone_names.len().max(1) as u32;
@@ -105,29 +117,17 @@
         let servers: Vec<Endpoint> = (0..server_count)
             .map(|number| endpoints.draw(number, None))
             .collect();
-        let duration = Duration::from_secs(config.seconds.into());
-        let mut rng = random_stream(config.seed, FAULT_STREAM);
-        let mut new_endpoint = |zone, started_at| endpoints.draw(zone, started_at);
-        let scheduler = FaultScheduler::new(
-            &mut rng,
-            duration,
-            config.nodes,
-            zones,
-            &servers,
-            &mut new_endpoint,
-        );
-        let faults = scheduler.schedule(&faults);
         let machine = machine(&resolved.settings);
         Ok(Experiment {
             seed: config.seed,
-            duration,
+            duration: config.duration(),
             zones,
             rate: config.load * f64::from(server_count) * machine.capacity(),
+            faults: draw_schedule(config, &faults, &servers, endpoints),
             servers,
             machine,
             resolved,
             fault_names: config.faults.clone(),
-            faults,
         })
     }
 
@@ -141,7 +141,7 @@
     Err(Failure::InvalidArguments(problem.into()))
 }
 
-/// Two servers for every three gateways, and two at least.
+/// Two servers for every three gateways, with a minimum of two.
 fn default_servers(gateways: u32) -> u32 {
     (u64::from(gateways) * 2).div_ceil(3).max(2) as u32
 }
@@ -153,7 +153,7 @@
     Ok(())
 }
 
-/// Reads settings for so many gateways.
+/// Reads settings for a number of gateways.
 fn parse_settings(text: &str, gateways: u32) -> Result<ResolvedSettings, Failure> {
     let mut json: serde_json::Value = match serde_json::from_str(text) {
         Ok(json) => json,
@@ -197,6 +197,27 @@
     Ok(faults)
 }
 
+/// Draws when each fault happens.
+fn draw_schedule(
+    config: &ExperimentConfig,
+    faults: &BTreeSet<Fault>,
+    servers: &[Endpoint],
+    mut endpoints: EndpointFactory,
+) -> FaultSchedule {
+    let mut rng = random_stream(config.seed, FAULT_STREAM);
+    let zones = endpoints.zones;
+    let mut new_endpoint = |zone, started_at| endpoints.draw(zone, started_at);
+    let scheduler = FaultScheduler::new(
+        &mut rng,
+        config.duration(),
+        config.nodes,
+        zones,
+        servers,
+        &mut new_endpoint,
+    );
+    scheduler.schedule(faults)
+}
+
 /// Draws entries of the list of servers.
 struct EndpointFactory {
     rng: Rng,
--- a/crates/gateway-core/src/policy/controller_inputs.rs
+++ b/crates/gateway-core/src/policy/controller_inputs.rs
@@ -23,7 +23,8 @@
 /// The rules by which a gateway observes latency and load for its controller.
 pub(crate) trait ControllerInputs {
     /// Whether an open request counts as a latency sample at this control tick. `latency_ratio` is
-    /// its age relative to its latency objective, `mean` the mean of its class's samples so far.
+    /// its age relative to its latency objective, `mean` the mean of its class's samples so far. A
+    /// rule by which a request counts only once records that in the request.
     fn counts_open_request(
         &self,
         request: &mut Request,
