--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -24,6 +24,7 @@
 use self::rejections::RejectionCounts;
 use self::servers::Servers;
 use self::timers::Timers;
+use crate::policy::controller_inputs::controller_inputs;
 use crate::policy::fleet_mode::mode_of;
 use crate::policy::retry_budget::RetryBudget;
 use crate::settings::{EndpointDiscovery, Settings, SettingsError};
@@ -71,10 +72,10 @@
             watch_requested: false,
             requests: RequestTable::default(),
             attempts: AttemptTable::default(),
-            retry_budget: mode.retry_budget(),
+            retry_budget: RetryBudget::new(mode),
             servers,
             quotas,
-            control_loop: ControlLoop::new(class_count, mode.controller_inputs()),
+            control_loop: ControlLoop::new(class_count, controller_inputs(mode)),
             rejections: RejectionCounts::default(),
         })
     }
--- a/crates/gateway-core/src/policy/controller_inputs.rs
+++ b/crates/gateway-core/src/policy/controller_inputs.rs
@@ -11,6 +11,7 @@
 //! 3. The means of attempts in flight include this gateway's counts
 //!    ([`ControllerInputs::in_flight_weight`]).
 
+use crate::state::deployment::FleetMode;
 use crate::state::request::Request;
 
 /// Weight of one gateway's sample in the latency ratios of a large fleet.
@@ -45,8 +46,16 @@
     fn warns_of_missed_objectives(&self) -> bool;
 }
 
+/// The rules for a fleet of this mode.
+pub(crate) fn controller_inputs(mode: FleetMode) -> &'static dyn ControllerInputs {
+    match mode {
+        FleetMode::Gossip => &SmallFleetInputs,
+        FleetMode::Leases => &LargeFleetInputs,
+    }
+}
+
 /// The rules of a small fleet: a gateway sees enough requests to judge by each control tick alone.
-pub(crate) struct SmallFleetInputs;
+struct SmallFleetInputs;
 
 impl ControllerInputs for SmallFleetInputs {
     /// An open request counts at every tick at which it raises the mean or has missed its
@@ -80,7 +89,7 @@
 
 /// The rules of a large fleet: a gateway sees few requests, and its latency ratios are means over
 /// the fleet, updated by gossip.
-pub(crate) struct LargeFleetInputs;
+struct LargeFleetInputs;
 
 impl ControllerInputs for LargeFleetInputs {
     /// An open request counts once, after it has missed its objective. Counted at every tick, a few
--- a/crates/gateway-core/src/policy/fleet_mode.rs
+++ b/crates/gateway-core/src/policy/fleet_mode.rs
@@ -1,6 +1,6 @@
 //! The fleet mode: whether gateways share quotas by gossip, as a small fleet does, or by leases, as
-//! a large one does. It is chosen once, when a gateway starts, and with it the types and parameters
-//! that differ.
+//! a large one does. It is chosen once, when a gateway starts; the types whose rules differ between
+//! the two are constructed for it.
 //!
 //! The rules, in the order in which they apply:
 //! 1. The peers' intake of messages bounds how often each gateway may broadcast its usage
@@ -8,8 +8,6 @@
 //! 2. If that is often enough for the usage to be useful, or there is nobody to notify, the mode is
 //!    gossip ([`mode_of`]).
 
-use super::controller_inputs::{ControllerInputs, LargeFleetInputs, SmallFleetInputs};
-use super::retry_budget::RetryBudget;
 use crate::settings::Settings;
 use crate::state::deployment::FleetMode;
 use crate::time::DurationExt;
@@ -49,20 +47,4 @@
     pub(crate) fn broadcasts_usage(self) -> bool {
         self == FleetMode::Gossip
     }
-
-    /// What the fuzzy controller observes in a fleet of this mode.
-    pub(crate) fn controller_inputs(self) -> &'static dyn ControllerInputs {
-        match self {
-            FleetMode::Gossip => &SmallFleetInputs,
-            FleetMode::Leases => &LargeFleetInputs,
-        }
-    }
-
-    /// The retry budget of a gateway that starts in a fleet of this mode.
-    pub(crate) fn retry_budget(self) -> RetryBudget {
-        match self {
-            FleetMode::Gossip => RetryBudget::for_small_fleet(),
-            FleetMode::Leases => RetryBudget::for_large_fleet(),
-        }
-    }
 }
--- a/crates/gateway-core/src/policy/retry_budget.rs
+++ b/crates/gateway-core/src/policy/retry_budget.rs
@@ -4,9 +4,10 @@
 //! The rules:
 //! 1. Each first attempt earns a fraction of a retry, up to a maximum
 //!    ([`RetryBudget::record_first_attempt`]).
-//! 2. A retry takes one token. In a large fleet it is free if the failed attempt reached no server
-//!    ([`RetryBudget::covers`], [`RetryBudget::charge`]).
+//! 2. A retry is charged to the budget. In a large fleet it is free if the failed attempt reached
+//!    no server ([`RetryBudget::covers`], [`RetryBudget::charge`]).
 
+use crate::state::deployment::FleetMode;
 use crate::types::AttemptOutcome;
 
 /// Retries that each first attempt earns.
@@ -19,9 +20,9 @@
 /// Which retries take from the budget.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Charging {
-    /// Every retry.
+    /// In a small fleet: every retry.
     EveryRetry,
-    /// Only a retry after an attempt that put load on a server.
+    /// In a large fleet: only a retry after an attempt that put load on a server.
     AfterReachedServer,
 }
 
@@ -32,18 +33,12 @@
 }
 
 impl RetryBudget {
-    /// The full budget of a gateway in a small fleet, where every retry is charged.
-    pub(crate) fn for_small_fleet() -> Self {
-        RetryBudget::full(Charging::EveryRetry)
-    }
-
-    /// The full budget of a gateway in a large fleet, where a retry is free after an attempt that
-    /// reached no server.
-    pub(crate) fn for_large_fleet() -> Self {
-        RetryBudget::full(Charging::AfterReachedServer)
-    }
-
-    fn full(charging: Charging) -> Self {
+    /// The full budget of a gateway that starts in a fleet of this mode.
+    pub(crate) fn new(mode: FleetMode) -> Self {
+        let charging = match mode {
+            FleetMode::Gossip => Charging::EveryRetry,
+            FleetMode::Leases => Charging::AfterReachedServer,
+        };
         RetryBudget {
             retries: MAX_RETRIES,
             charging,
