--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -24,6 +24,7 @@
 use self::rejections::RejectionCounts;
 use self::servers::Servers;
 use self::timers::Timers;
+use crate::policy::controller_inputs::controller_inputs;
 use crate::policy::fleet_mode::mode_of;
 use crate::policy::quota_sharing::QuotaSharing;
 use crate::policy::retry_budget::RetryBudget;
@@ -75,11 +76,11 @@
             watch_requested: false,
             requests: RequestTable::default(),
             attempts: AttemptTable::default(),
-            retry_budget: mode.retry_budget(),
+            retry_budget: RetryBudget::new(mode),
             servers,
             quota_sharing,
             quotas,
-            control_loop: ControlLoop::new(class_count, mode.controller_inputs()),
+            control_loop: ControlLoop::new(class_count, controller_inputs(mode)),
             rejections: RejectionCounts::default(),
         })
     }
@@ -148,7 +149,7 @@
             return;
         }
         self.detect_stalled_servers(now, actions);
-        self.timers.timer_fired();
+        self.timers.record_timer_fired();
         self.expire_requests(now, actions);
         self.check_unsent_requests(now, actions);
         self.on_control_tick(now, actions);
