--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -35,7 +35,7 @@
 use crate::state::request::{Request, RequestDetails};
 use crate::state::request_table::RequestTable;
 use crate::time::Timestamp;
-use crate::types::{PlanId, RejectReason};
+use crate::types::{PlanId, RejectReason, RequestId};
 use crate::units::Units;
 use crate::{Action, Event};
 
@@ -89,11 +89,27 @@
     /// The actions that follow are appended to `actions`, to be carried out in this order.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.watch_endpoints_at_first_event(actions);
+        if let Some(id) = self.request_outside_settings(&event) {
+            // No queued request is sent and no timer is set because of it.
+            return actions.push(Action::Fail { id });
+        }
         self.handle_event(now, event, actions);
         self.dispatch(now, actions);
         self.rearm_timer(now, actions);
     }
 
+    /// The request that has arrived, if its class or plan is not one of the settings.
+    fn request_outside_settings(&self, event: &Event) -> Option<RequestId> {
+        let Event::RequestReceived {
+            id, class, plan, ..
+        } = event
+        else {
+            return None;
+        };
+        let is_inside = self.deployment.has_class_and_plan(*class, *plan);
+        (!is_inside).then(|| id.clone())
+    }
+
     fn handle_event(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsUpdated { kind, endpoints } => {
--- a/crates/gateway-core/src/gateway/requests.rs
+++ b/crates/gateway-core/src/gateway/requests.rs
@@ -17,7 +17,7 @@
 }
 
 impl Gateway {
-    /// A client's request has arrived. One of an unknown class or plan fails.
+    /// A client's request has arrived, of a class and a plan that the settings have.
     pub(super) fn on_request(
         &mut self,
         now: Timestamp,
@@ -26,9 +26,6 @@
         gateways: GatewaySet,
         actions: &mut Vec<Action>,
     ) {
-        if !self.deployment.is_known(&request) {
-            return actions.push(Action::Fail { id });
-        }
         let context = Context::new(now, &self.deployment, self.servers.estimates());
         let account = account_on_arrival(&mut self.quotas, context, &request, gateways);
         let admission = admission::decide(
--- a/crates/gateway-core/src/state/deployment.rs
+++ b/crates/gateway-core/src/state/deployment.rs
@@ -4,7 +4,7 @@
 use super::servers::FleetEstimates;
 use crate::settings::{Class, Plan, Settings};
 use crate::time::{DurationExt, Timestamp};
-use crate::types::ClassId;
+use crate::types::{ClassId, PlanId};
 
 /// How the gateways of a fleet share quotas and observations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,10 +49,9 @@
         }
     }
 
-    /// Whether the class and the plan of a request are in the settings.
-    pub(crate) fn is_known(&self, request: &Request) -> bool {
-        request.class().0 < self.settings.classes.len()
-            && request.plan().0 < self.settings.plans.len()
+    /// Whether the settings have this class and this plan.
+    pub(crate) fn has_class_and_plan(&self, class: ClassId, plan: PlanId) -> bool {
+        class.0 < self.settings.classes.len() && plan.0 < self.settings.plans.len()
     }
 
     /// The class of a request.
--- a/crates/gateway-core/tests/policy/gateway.rs
+++ b/crates/gateway-core/tests/policy/gateway.rs
@@ -2,6 +2,7 @@
 
 use crate::common::*;
 use gateway_core::*;
+use std::time::Duration;
 
 #[test]
 fn the_same_events_give_the_same_actions() {
@@ -53,6 +54,32 @@
     );
 }
 
+/// No queued request is sent and no timer is set because of a request that the settings do not describe.
+#[test]
+fn a_request_of_an_unknown_class_or_plan_fails_and_nothing_else_follows() {
+    let unknown = [(ClassId(99), UNLIMITED), (IDEMPOTENT, PlanId(99))];
+    for (class, plan) in unknown {
+        let now = Timestamp::from_micros(S);
+        let mut gateway = Gateway::new(1, settings(0, 2), now).expect("valid settings");
+        let id = RequestId("unknown".into());
+        let event = Event::RequestReceived {
+            id: id.clone(),
+            class,
+            plan,
+            customer: CUSTOMER,
+            units: Units::new(1.0),
+            gateways: GatewaySet {
+                first: GatewayId(0),
+                count: 2,
+            },
+            client_timeout: Duration::from_secs(2),
+        };
+        let mut actions = Vec::new();
+        gateway.handle(now, event, &mut actions);
+        assert_eq!(actions, [Action::Fail { id }], "no timer is set");
+    }
+}
+
 /// A long day: servers under ever new ids, customers that come once.
 #[test]
 fn servers_and_customers_that_are_gone_are_evicted() {
