--- a/crates/edge-node/tests/edge/discovery_deadline.rs
+++ b/crates/edge-node/tests/edge/discovery_deadline.rs
@@ -2,6 +2,7 @@
 //! a fraction of it exceeds the timeouts of the tests: only the upper bounds of timeouts and backoffs bring the next
 //! attempt.
 
+use super::request_sequence::RequestSequence;
 use super::support::*;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -54,17 +55,9 @@
         self.wait_for_new_server();
     }
 
-    /// Sends requests until one arrives at the new server.
+    /// Sends requests until one arrives at the new server; from then on all do.
     fn wait_for_new_server(&self) {
-        let mut client = self.node.client();
-        let mut number = 0;
-        let mut next_server = || {
-            number += 1;
-            let request = request_text(&format!("r{number}"), "read", "20000m");
-            assert_eq!(client.exchange(&request).status(), 200);
-            self.servers.next_request().server
-        };
-        while next_server() != "new" {}
+        RequestSequence::new(&self.node, &self.servers).wait_until_received_by("new");
     }
 }
 
--- a/crates/edge-node/tests/edge/endpoints.rs
+++ b/crates/edge-node/tests/edge/endpoints.rs
@@ -1,45 +1,11 @@
 //! Endpoint lists from discovery, and a change of the address of discovery.
 
+use super::request_sequence::RequestSequence;
 use super::support::*;
 use super::with_one;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 
-/// Requests that a client sends one after the other, to observe which app server receives each.
-struct RequestSequence<'a> {
-    servers: &'a FakeServers,
-    client: Client,
-    sent: usize,
-}
-
-impl<'a> RequestSequence<'a> {
-    fn new(node: &EdgeNode, servers: &'a FakeServers) -> RequestSequence<'a> {
-        RequestSequence {
-            servers,
-            client: node.client(),
-            sent: 0,
-        }
-    }
-
-    /// Sends a request, which has to succeed; returns the name of the app server that received it.
-    fn next_server(&mut self) -> String {
-        self.sent += 1;
-        let request = request_text(&format!("r{}", self.sent), "read", "20000m");
-        assert_eq!(self.client.exchange(&request).status(), 200);
-        self.servers.next_request().server
-    }
-
-    /// Sends requests until one arrives at this server; from then on all do.
-    fn wait_until_received_by(&mut self, name: &str) {
-        let mut received = 0;
-        while received < 10 {
-            let server = self.next_server();
-            assert!(received == 0 || server == name, "{server} after {name}");
-            received += u32::from(server == name);
-        }
-    }
-}
-
 /// The next watch, which has to ask for a snapshot: it names no list from which to continue.
 fn next_snapshot_watch(discovery: &FakeDiscovery) -> TcpStream {
     let (request_line, watch) = discovery.next_watch();
--- a/crates/edge-node/tests/edge/main.rs
+++ b/crates/edge-node/tests/edge/main.rs
@@ -9,6 +9,7 @@
 mod invalid_requests;
 mod peers;
 mod rejections;
+mod request_sequence;
 mod retries;
 mod shutdown;
 mod start;
--- /dev/null
+++ b/crates/edge-node/tests/edge/request_sequence.rs
@@ -0,0 +1,39 @@
+//! Requests one after the other, by which a test sees which app server is used.
+
+use super::support::*;
+
+/// Requests that a client sends one after the other, to observe which app server receives each.
+pub(super) struct RequestSequence<'a> {
+    servers: &'a FakeServers,
+    client: Client,
+    sent: usize,
+}
+
+impl<'a> RequestSequence<'a> {
+    /// The requests of a new client of this edge node.
+    pub(super) fn new(node: &EdgeNode, servers: &'a FakeServers) -> RequestSequence<'a> {
+        RequestSequence {
+            servers,
+            client: node.client(),
+            sent: 0,
+        }
+    }
+
+    /// Sends a request, which has to succeed; returns the name of the app server that received it.
+    pub(super) fn next_server(&mut self) -> String {
+        self.sent += 1;
+        let request = request_text(&format!("r{}", self.sent), "read", "20000m");
+        assert_eq!(self.client.exchange(&request).status(), 200);
+        self.servers.next_request().server
+    }
+
+    /// Sends requests until one arrives at this server; from then on all do.
+    pub(super) fn wait_until_received_by(&mut self, name: &str) {
+        let mut received = 0;
+        while received < 10 {
+            let server = self.next_server();
+            assert!(received == 0 || server == name, "{server} after {name}");
+            received += u32::from(server == name);
+        }
+    }
+}
--- a/crates/edge-node/tests/edge/watch.rs
+++ b/crates/edge-node/tests/edge/watch.rs
@@ -1,6 +1,7 @@
 //! The edge node and discovery over loopback sockets: a change has to be known in time, however a watch fails. The time
 //! counts from when the agent has the change, and is bounded by the drain grace of the settings.
 
+use super::request_sequence::RequestSequence;
 use super::support::*;
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr};
@@ -36,22 +37,7 @@
 
     /// Sends requests until one arrives at the new server; from then on all do.
     fn wait_until_known(&self, node: &EdgeNode) {
-        let mut client = node.client();
-        let mut number = 0;
-        let mut next = || {
-            number += 1;
-            assert_eq!(
-                client
-                    .exchange(&request_text(&format!("r{number}"), "read", "20000m"))
-                    .status(),
-                200
-            );
-            self.servers.next_request().server
-        };
-        while next() != "new" {}
-        for _ in 0..5 {
-            assert_eq!(next(), "new");
-        }
+        RequestSequence::new(node, &self.servers).wait_until_received_by("new");
     }
 }
 
@@ -198,6 +184,7 @@
 /// What can be read of a list that is cut, garbled or endless is applied, and the watch is opened again.
 #[test]
 fn what_can_be_read_of_a_malformed_list_is_applied() {
+    type Corrupt<'a> = &'a dyn Fn(&Release) -> (String, bool);
     let after = |release: &Release| endpoint_list(2, true, &release.after());
     let cut = |release: &Release| {
         let text = after(release);
@@ -209,7 +196,6 @@
         (format!("{text}{}", "7,".repeat(5000)), false)
     };
     let noisy = |release: &Release| (format!("}}]noise\n{}", after(release)), false);
-    type Corrupt<'a> = &'a dyn Fn(&Release) -> (String, bool);
     let cases: [(&str, Corrupt); 4] = [
         ("cut", &cut),
         ("garbled", &garbled),
