--- a/crates/edge-node/src/clients/read_ahead.rs
+++ b/crates/edge-node/src/clients/read_ahead.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::task::{ready, Context, Poll, Waker};
 use std::time::Duration;
-use tokio::io::{AsyncRead, Interest, ReadBuf};
+use tokio::io::{AsyncRead, Interest, ReadBuf, Ready};
 use tokio::net::TcpStream;
 
 /// Most bytes read ahead of one request, which bounds the memory that clients sending at full speed can take.
@@ -104,7 +104,7 @@
         // system reports the end alone. The future is polled once, without waiting.
         let readiness = pin!(stream.ready(Interest::PRIORITY));
         match readiness.poll(&mut Context::from_waker(Waker::noop())) {
-            Poll::Ready(ready) => ready.is_ok_and(|ready| ready.is_read_closed()),
+            Poll::Ready(ready) => ready.is_ok_and(Ready::is_read_closed),
             Poll::Pending => false,
         }
     }
--- a/crates/edge-node/src/command.rs
+++ b/crates/edge-node/src/command.rs
@@ -44,8 +44,12 @@
 enum Command {
     /// Serve in the foreground until SIGTERM.
     Serve {
-        /// The configuration; without it LB_CONFIG names one.
-        #[arg(short, long, value_name = "FILE")]
+        #[arg(
+            short,
+            long,
+            value_name = "FILE",
+            help = "The configuration; without it LB_CONFIG names one"
+        )]
         config: Option<PathBuf>,
     },
     /// Tell all that is wrong with a configuration, and start nothing.
--- a/crates/edge-node/src/metrics.rs
+++ b/crates/edge-node/src/metrics.rs
@@ -181,7 +181,7 @@
         self.watch_resets.inc();
     }
 
-    /// All metrics in the OpenMetrics text format. `uptime` is the time since the start of the process.
+    /// All metrics in the text format `OpenMetrics`. `uptime` is the time since the start of the process.
     ///
     /// # Errors
     /// A value can't be written; no such value is known.
--- a/crates/edge-node/src/shutdown.rs
+++ b/crates/edge-node/src/shutdown.rs
@@ -52,18 +52,18 @@
     /// Waits until each client has its answer. A client that never reads its answer would hold up the exit for ever, so
     /// the wait ends when the last deadline has passed.
     async fn wait_for_clients(self) {
-        match tokio::time::timeout(self.longest_deadline, self.clients).await {
-            Ok(_) => info!(
+        let ended = tokio::time::timeout(self.longest_deadline, self.clients).await;
+        if ended.is_ok() {
+            info!(
                 event = "shutdown_complete",
                 "left: every client has its answer"
-            ),
-            Err(_) => {
-                let open = self.node.open_requests();
-                warn!(
-                    event = "shutdown_complete",
-                    open, "left: {open} requests open, past every deadline"
-                );
-            }
+            );
+            return;
         }
+        let open = self.node.open_requests();
+        warn!(
+            event = "shutdown_complete",
+            open, "left: {open} requests open, past every deadline"
+        );
     }
 }
