--- /dev/null
+++ b/crates/edge-node/src/metrics/gauges.rs
@@ -0,0 +1,94 @@
+//! Metrics that are read when they are asked for, and not counted as things happen.
+
+use super::register;
+use prometheus_client::metrics::gauge::Gauge;
+use prometheus_client::registry::Registry;
+use std::sync::atomic::AtomicU64;
+use std::time::Duration;
+
+/// Prometheus' default gauges hold integers.
+type GaugeF64 = Gauge<f64, AtomicU64>;
+
+/// Figures that are read when they are asked for, and not counted as things happen.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct StatusSnapshot {
+    /// Requests without a final answer.
+    pub(crate) open_requests: usize,
+    /// Connections of clients.
+    pub(crate) client_connections: usize,
+    /// Connections to servers.
+    pub(crate) server_connections: usize,
+    /// File descriptors that the process holds.
+    pub(crate) open_descriptors: usize,
+    /// Servers that the endpoint list calls ready.
+    pub(crate) servers_ready: usize,
+    /// Servers and customers that the decision module keeps state of.
+    pub(crate) tracked_entries: usize,
+    /// Time since the last endpoint list was applied; `None` before the first.
+    pub(crate) list_age: Option<Duration>,
+    /// Number of the last endpoint list; 0 before the first.
+    pub(crate) list_sequence: u64,
+    /// Datagrams sent to peers since the start.
+    pub(crate) datagrams_sent: u64,
+    /// Datagrams received from peers since the start.
+    pub(crate) datagrams_received: u64,
+}
+
+/// Metrics that are set from a [`StatusSnapshot`] each time they are read.
+pub(super) struct Gauges {
+    open_requests: Gauge,
+    client_connections: Gauge,
+    server_connections: Gauge,
+    open_descriptors: Gauge,
+    servers_ready: Gauge,
+    tracked_entries: Gauge,
+    list_age: GaugeF64,
+    list_sequence: Gauge,
+}
+
+impl Gauges {
+    /// Registers all of them, in the order of the fields.
+    pub(super) fn register(registry: &mut Registry) -> Gauges {
+        Gauges {
+            open_requests: register(registry, "open_requests", "Requests without a final answer"),
+            client_connections: register(registry, "client_connections", "Connections of clients"),
+            server_connections: register(registry, "server_connections", "Connections to servers"),
+            open_descriptors: register(registry, "open_descriptors", "File descriptors held"),
+            servers_ready: register(
+                registry,
+                "servers_ready",
+                "Servers that the endpoint list calls ready",
+            ),
+            tracked_entries: register(
+                registry,
+                "kept_entries",
+                "Servers and customers that the decision module keeps state of",
+            ),
+            list_age: register(
+                registry,
+                "list_age_seconds",
+                "Seconds since the last endpoint list was applied, or since the start",
+            ),
+            list_sequence: register(
+                registry,
+                "list_sequence",
+                "Number of the last endpoint list applied, 0 before the first",
+            ),
+        }
+    }
+
+    /// Sets all of them. `uptime` stands for the age of the list before the first one.
+    pub(super) fn set(&self, status: &StatusSnapshot, uptime: Duration) {
+        self.open_requests.set(status.open_requests as i64);
+        self.client_connections
+            .set(status.client_connections as i64);
+        self.server_connections
+            .set(status.server_connections as i64);
+        self.open_descriptors.set(status.open_descriptors as i64);
+        self.servers_ready.set(status.servers_ready as i64);
+        self.tracked_entries.set(status.tracked_entries as i64);
+        self.list_age
+            .set(status.list_age.unwrap_or(uptime).as_secs_f64());
+        self.list_sequence.set(status.list_sequence as i64);
+    }
+}
--- a/crates/edge-node/src/metrics.rs
+++ b/crates/edge-node/src/metrics/mod.rs
@@ -1,16 +1,22 @@
 //! The figures that an operator's monitoring reads. Labels are names from the settings and outcomes: no customer,
 //! server or request is among them, so that the number of series is bounded.
 
+mod gauges;
+mod outcome;
+
+pub(crate) use gauges::StatusSnapshot;
+pub(crate) use outcome::RequestOutcome;
+
 use gateway_core::settings::ResolvedSettings;
 use gateway_core::{AttemptOutcome, ClassId, PlanId};
+use gauges::Gauges;
+use outcome::{attempt_label, ATTEMPT_OUTCOMES};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
-use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
 use prometheus_client::registry::{Metric, Registry};
 use std::fmt;
-use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
 /// What the name of each metric begins with.
@@ -22,88 +28,6 @@
 const LATENCY_BUCKETS: u16 = 14;
 
 type Labels = Vec<(&'static str, String)>;
-type GaugeF64 = Gauge<f64, AtomicU64>;
-
-/// How a client's request ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RequestOutcome {
-    /// The client got a server's answer.
-    Served,
-    /// It was rejected, so that its client may safely retry.
-    Rejected,
-    /// No server could answer it.
-    Failed,
-    /// Its client disconnected, or its deadline passed.
-    Abandoned,
-}
-
-impl RequestOutcome {
-    const ALL: [RequestOutcome; 4] = [
-        RequestOutcome::Served,
-        RequestOutcome::Rejected,
-        RequestOutcome::Failed,
-        RequestOutcome::Abandoned,
-    ];
-
-    /// The word that stands for it in labels and in the log.
-    pub(crate) fn label(self) -> &'static str {
-        match self {
-            RequestOutcome::Served => "served",
-            RequestOutcome::Rejected => "refused",
-            RequestOutcome::Failed => "failed",
-            RequestOutcome::Abandoned => "abandoned",
-        }
-    }
-}
-
-const ATTEMPT_OUTCOMES: [AttemptOutcome; 8] = [
-    AttemptOutcome::Success,
-    AttemptOutcome::ServerError,
-    AttemptOutcome::Overloaded,
-    AttemptOutcome::TimedOut,
-    AttemptOutcome::Unreachable,
-    AttemptOutcome::ConnectionLost,
-    AttemptOutcome::Cancelled,
-    AttemptOutcome::NotSent,
-];
-
-fn attempt_label(outcome: AttemptOutcome) -> &'static str {
-    match outcome {
-        AttemptOutcome::Success => "ok",
-        AttemptOutcome::ServerError => "error",
-        AttemptOutcome::Overloaded => "full",
-        AttemptOutcome::TimedOut => "timed_out",
-        AttemptOutcome::Unreachable => "unreachable",
-        AttemptOutcome::ConnectionLost => "broken",
-        AttemptOutcome::Cancelled => "cancelled",
-        AttemptOutcome::NotSent => "not_sent",
-    }
-}
-
-/// Figures that are read when they are asked for, and not counted as things happen.
-#[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct StatusSnapshot {
-    /// Requests without a final answer.
-    pub(crate) open_requests: usize,
-    /// Connections of clients.
-    pub(crate) client_connections: usize,
-    /// Connections to servers.
-    pub(crate) server_connections: usize,
-    /// File descriptors that the process holds.
-    pub(crate) open_descriptors: usize,
-    /// Servers that the endpoint list calls ready.
-    pub(crate) servers_ready: usize,
-    /// Servers and customers that the decision module keeps state of.
-    pub(crate) tracked_entries: usize,
-    /// Time since the last endpoint list was applied; `None` before the first.
-    pub(crate) list_age: Option<Duration>,
-    /// Number of the last endpoint list; 0 before the first.
-    pub(crate) list_sequence: u64,
-    /// Datagrams sent to peers since the start.
-    pub(crate) datagrams_sent: u64,
-    /// Datagrams received from peers since the start.
-    pub(crate) datagrams_received: u64,
-}
 
 /// One counter for each outcome of a request, in the order of [`RequestOutcome::ALL`].
 type OutcomeCounters = [Counter; RequestOutcome::ALL.len()];
@@ -269,63 +193,6 @@
     counter.inc_by(total.saturating_sub(counter.get()));
 }
 
-/// Metrics that are set from a [`StatusSnapshot`] each time they are read.
-struct Gauges {
-    open_requests: Gauge,
-    client_connections: Gauge,
-    server_connections: Gauge,
-    open_descriptors: Gauge,
-    servers_ready: Gauge,
-    tracked_entries: Gauge,
-    list_age: GaugeF64,
-    list_sequence: Gauge,
-}
-
-impl Gauges {
-    fn register(registry: &mut Registry) -> Gauges {
-        Gauges {
-            open_requests: register(registry, "open_requests", "Requests without a final answer"),
-            client_connections: register(registry, "client_connections", "Connections of clients"),
-            server_connections: register(registry, "server_connections", "Connections to servers"),
-            open_descriptors: register(registry, "open_descriptors", "File descriptors held"),
-            servers_ready: register(
-                registry,
-                "servers_ready",
-                "Servers that the endpoint list calls ready",
-            ),
-            tracked_entries: register(
-                registry,
-                "kept_entries",
-                "Servers and customers that the decision module keeps state of",
-            ),
-            list_age: register(
-                registry,
-                "list_age_seconds",
-                "Seconds since the last endpoint list was applied, or since the start",
-            ),
-            list_sequence: register(
-                registry,
-                "list_sequence",
-                "Number of the last endpoint list applied, 0 before the first",
-            ),
-        }
-    }
-
-    fn set(&self, status: &StatusSnapshot, uptime: Duration) {
-        self.open_requests.set(status.open_requests as i64);
-        self.client_connections
-            .set(status.client_connections as i64);
-        self.server_connections
-            .set(status.server_connections as i64);
-        self.open_descriptors.set(status.open_descriptors as i64);
-        self.servers_ready.set(status.servers_ready as i64);
-        self.tracked_entries.set(status.tracked_entries as i64);
-        self.list_age
-            .set(status.list_age.unwrap_or(uptime).as_secs_f64());
-        self.list_sequence.set(status.list_sequence as i64);
-    }
-}
-
 #[cfg(test)]
-#[path = "../tests/unit/metrics.rs"]
+#[path = "../../tests/unit/metrics.rs"]
 mod tests;
