--- a/crates/edge-node/src/upstream/attempt.rs
+++ b/crates/edge-node/src/upstream/attempt.rs
@@ -2,7 +2,8 @@
 
 use super::attempt_result::AttemptResult;
 use super::body_budget::BodyBudget;
-use super::connection::{ConnectError, PooledConnection};
+use super::connect_error::ConnectError;
+use super::connection::PooledConnection;
 use super::response::{self, ResponseError, REQUEST_ID};
 use super::Upstream;
 use bytes::Bytes;
--- a/crates/edge-node/src/upstream/connection.rs
+++ b/crates/edge-node/src/upstream/connection.rs
@@ -1,8 +1,9 @@
 //! One HTTP/1.1 connection to an app server.
 
+use super::connect_error::ConnectError;
 use super::socket::{ObservedStream, OpenSocketGuard, SharedStream};
 use bytes::Bytes;
-use gateway_core::{AttemptOutcome, RequestId};
+use gateway_core::RequestId;
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -15,7 +16,6 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
-use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
@@ -23,72 +23,6 @@
 /// Bytes of a response's head that are buffered at the most. A head without end could otherwise use up the memory
 /// limit of the process.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Errors of the operating system by which this process, not the server, lacks something: descriptors of the process
-/// or of the whole system, local addresses, buffers or memory.
-const LOCAL_RESOURCE_ERRORS: [i32; 5] = [
-    libc::EMFILE,
-    libc::ENFILE,
-    libc::EADDRNOTAVAIL,
-    libc::ENOBUFS,
-    libc::ENOMEM,
-];
-
-/// Why there is no connection to a server. Nothing was sent.
-#[derive(Debug, Error)]
-pub(super) enum ConnectError {
-    /// The gateway cancelled the attempt before the connection was up.
-    #[error("cancelled while connecting")]
-    Cancelled,
-    /// The attempt's deadline passed before the connection was up.
-    #[error("the attempt's deadline passed while connecting")]
-    DeadlineExceeded,
-    /// No address is known for the server, or it is not ready.
-    #[error("the server has no address")]
-    UnknownServer,
-    /// All sockets that this process may have are in use, and none is idle.
-    #[error("no socket is left")]
-    SocketLimit,
-    /// This process or its machine lacks something that a connection needs.
-    #[error("too few local resources for a connection")]
-    LocalResources(#[source] io::Error),
-    /// The server, or the way there, refused the connection.
-    #[error("the connection failed")]
-    Failed(#[source] io::Error),
-    /// The connection did not come up within the connect timeout.
-    #[error("the connect timeout passed")]
-    TimedOut,
-    /// The connection came up but cannot carry HTTP.
-    #[error("the HTTP handshake failed")]
-    Handshake(#[source] hyper::Error),
-}
-
-impl ConnectError {
-    /// What the gateway is told: a server is reported as unreachable only if the cause may lie with the server.
-    pub(super) fn outcome(&self) -> AttemptOutcome {
-        match self {
-            ConnectError::Cancelled
-            | ConnectError::UnknownServer
-            | ConnectError::SocketLimit
-            | ConnectError::LocalResources(_) => AttemptOutcome::NotSent,
-            ConnectError::DeadlineExceeded
-            | ConnectError::Failed(_)
-            | ConnectError::TimedOut
-            | ConnectError::Handshake(_) => AttemptOutcome::Unreachable,
-        }
-    }
-}
-
-impl From<io::Error> for ConnectError {
-    fn from(error: io::Error) -> ConnectError {
-        match error.raw_os_error() {
-            Some(code) if LOCAL_RESOURCE_ERRORS.contains(&code) => {
-                ConnectError::LocalResources(error)
-            }
-            _ => ConnectError::Failed(error),
-        }
-    }
-}
-
 /// A connection that carries one request at a time and is kept in a pool in between.
 ///
 /// A task, the driver, owns the socket. Whoever has the connection ends it by [`close`](Self::close) or
@@ -243,7 +177,3 @@
     let _ = stream.set_nodelay(true);
     Ok(stream)
 }
-
-#[cfg(test)]
-#[path = "../../tests/unit/upstream_connect_error.rs"]
-mod tests;
--- a/crates/edge-node/src/upstream/mod.rs
+++ b/crates/edge-node/src/upstream/mod.rs
@@ -1,12 +1,13 @@
 //! App servers as this node sees them: connection pools, and the attempts that use them.
 //!
 //! [`Upstream`] follows the endpoint list and makes attempts. `attempt` takes one attempt from its connection to its
-//! end, `response` validates what the server answers, `pool` and `connection` keep connections, `socket` counts them,
-//! and `body_budget` bounds the memory of bodies.
+//! end, `response` validates what the server answers, `pool` and `connection` keep connections, `connect_error` says
+//! why there is none, `socket` counts them, and `body_budget` bounds the memory of bodies.
 
 mod attempt;
 mod attempt_result;
 mod body_budget;
+mod connect_error;
 mod connection;
 mod pool;
 mod response;
@@ -16,7 +17,8 @@
 pub(crate) use attempt_result::AttemptResult;
 pub(crate) use body_budget::BodyBudget;
 
-use connection::{ConnectError, PooledConnection};
+use connect_error::ConnectError;
+use connection::PooledConnection;
 use gateway_core::{EndpointUpdate, ServerId};
 use pool::ServerPool;
 use socket::OpenSockets;
@@ -25,9 +27,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Share of the servers' idle timeout for which a connection is kept. A request that is written while the server
+/// Fraction of the servers' idle timeout for which a connection is kept. A request that is written while the server
 /// closes the connection ends with a reset, after which it may have been executed.
-const IDLE_TIMEOUT_SHARE: f64 = 0.6;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 /// Time between two evictions of idle connections.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(500);
 
@@ -64,7 +66,7 @@
             pools: RefCell::default(),
             open_sockets: OpenSockets::default(),
             max_sockets,
-            idle_timeout: connection_idle_timeout.mul_f64(IDLE_TIMEOUT_SHARE),
+            idle_timeout: connection_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION),
             connect_timeout,
         }
     }
