--- a/crates/edge-node/src/clients/request.rs
+++ b/crates/edge-node/src/clients/request.rs
@@ -50,7 +50,7 @@
     }
     match admit(node, request).await {
         Ok(admitted) => decide(node, admitted, stream).await,
-        Err(error) => Ok(response::rejection(error)),
+        Err(error) => Ok(response::for_invalid_request(error)),
     }
 }
 
@@ -140,7 +140,7 @@
     let id = upstream_request.id.clone();
     let last_moment = upstream_request.deadline + ANSWER_GRACE;
     let Some(answer) = node.accept_request(event, upstream_request) else {
-        return Ok(response::rejection(RequestError::RequestIdInUse));
+        return Ok(response::for_invalid_request(RequestError::RequestIdInUse));
     };
     // Held until the response is built, and dropped with this future if the client disconnects first.
     let _abandon_guard = AbandonGuard { node, id };
--- a/crates/edge-node/src/clients/response.rs
+++ b/crates/edge-node/src/clients/response.rs
@@ -29,7 +29,7 @@
 
 /// The response to a request that can't be taken. It closes the connection: where one message could not be read,
 /// what follows it on the connection can't be trusted either.
-pub(super) fn rejection(error: RequestError) -> BufferedResponse {
+pub(super) fn for_invalid_request(error: RequestError) -> BufferedResponse {
     let mut response = Response::new(Full::from(format!("{error}\n")));
     *response.status_mut() = error.status();
     close_connection(&mut response);
@@ -40,12 +40,12 @@
 pub(super) fn from_answer(answer: Answer) -> BufferedResponse {
     match answer {
         Answer::Served(body) => Response::new(Full::new(body)),
-        Answer::Refused(retry_after) => refusal(retry_after),
+        Answer::Rejected(retry_after) => rejection(retry_after),
         Answer::Failed => with_status(StatusCode::BAD_GATEWAY),
     }
 }
 
-fn refusal(retry_after: Option<Duration>) -> BufferedResponse {
+fn rejection(retry_after: Option<Duration>) -> BufferedResponse {
     let mut response = with_status(StatusCode::SERVICE_UNAVAILABLE);
     if let Some(retry_after) = retry_after {
         let seconds = format!("{:.3}", retry_after.as_secs_f64());
--- a/crates/edge-node/src/node/mod.rs
+++ b/crates/edge-node/src/node/mod.rs
@@ -8,6 +8,7 @@
 mod endpoints;
 mod peer_messages;
 mod pending_requests;
+mod requests;
 mod status;
 
 pub(crate) use peer_messages::receive_peer_messages;
--- a/crates/edge-node/src/node/pending_requests.rs
+++ b/crates/edge-node/src/node/pending_requests.rs
@@ -1,6 +1,5 @@
-//! The table of requests that have no final answer yet, and how each of them is answered once.
+//! The table of requests that have no final answer yet.
 
-use super::Node;
 use crate::metrics::RequestOutcome;
 use crate::upstream::UpstreamRequest;
 use bytes::Bytes;
@@ -11,7 +10,6 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
-use tracing::debug;
 
 /// The final answer to a client's request.
 #[derive(Debug)]
@@ -19,16 +17,17 @@
     /// A server answered; this is the body of its answer.
     Served(Bytes),
     /// The decision module rejected the request; how long the client should wait before it tries again, if known.
-    Refused(Option<Duration>),
+    Rejected(Option<Duration>),
     /// No server could answer the request.
     Failed,
 }
 
 impl Answer {
-    fn outcome(&self) -> RequestOutcome {
+    /// What the request is counted as.
+    pub(super) fn outcome(&self) -> RequestOutcome {
         match self {
             Answer::Served(_) => RequestOutcome::Served,
-            Answer::Refused(_) => RequestOutcome::Rejected,
+            Answer::Rejected(_) => RequestOutcome::Rejected,
             Answer::Failed => RequestOutcome::Failed,
         }
     }
@@ -45,7 +44,7 @@
 
 impl RequestKind {
     /// The kind of a request that is received; `None` for any other event.
-    fn of(event: &Event) -> Option<RequestKind> {
+    pub(super) fn of(event: &Event) -> Option<RequestKind> {
         match event {
             Event::RequestReceived { class, plan, .. } => Some(RequestKind {
                 class: *class,
@@ -57,17 +56,20 @@
 }
 
 /// A request that has no final answer yet.
-struct PendingRequest {
+pub(super) struct PendingRequest {
     request: Rc<UpstreamRequest>,
-    answer: oneshot::Sender<Answer>,
+    /// Whoever waits for the answer has the receiver.
+    pub(super) answer: oneshot::Sender<Answer>,
     attempts_started: u32,
-    kind: Option<RequestKind>,
+    /// What the request is counted under, if it is counted.
+    pub(super) kind: Option<RequestKind>,
     /// When the request was complete, with its body.
-    received_at: Instant,
+    pub(super) received_at: Instant,
 }
 
 impl PendingRequest {
-    fn new(
+    /// A request that is complete now, without attempts.
+    pub(super) fn new(
         request: UpstreamRequest,
         kind: Option<RequestKind>,
         answer: oneshot::Sender<Answer>,
@@ -130,7 +132,7 @@
         })
     }
 
-    /// The requests that were received first, the oldest in front, `limit` at the most.
+    /// The requests that were received first, the oldest in front, at most `limit`.
     pub(super) fn oldest(&self, limit: usize) -> Vec<PendingRequestStatus> {
         let requests = self.by_id.borrow();
         let mut by_age: Vec<_> = requests.iter().collect();
@@ -144,99 +146,17 @@
         by_age.into_iter().map(status).collect()
     }
 
-    fn insert(&self, id: RequestId, pending: PendingRequest) {
+    /// Adds a request whose id is not in the table.
+    pub(super) fn insert(&self, id: RequestId, pending: PendingRequest) {
         self.by_id.borrow_mut().insert(id, pending);
     }
 
-    fn remove(&self, id: &RequestId) -> Option<PendingRequest> {
+    /// Removes a request; `None` if it has its final answer.
+    pub(super) fn remove(&self, id: &RequestId) -> Option<PendingRequest> {
         self.by_id.borrow_mut().remove(id)
     }
 }
 
-impl Node {
-    /// Requests that have no final answer yet.
-    pub(crate) fn open_requests(&self) -> usize {
-        self.requests.len()
-    }
-
-    /// Puts a request into the table and hands it to the decision module; the receiver gets its final answer.
-    ///
-    /// `None` if the id is in use, also by an attempt whose request has been answered: two requests under one id
-    /// would mix up their answers.
-    ///
-    /// Whoever waits for the answer has to call [`Node::abandon_request`] when it stops waiting. Dropping the receiver
-    /// alone leaves the request in the table.
-    pub(crate) fn accept_request(
-        self: &Rc<Self>,
-        event: Event,
-        request: UpstreamRequest,
-    ) -> Option<oneshot::Receiver<Answer>> {
-        let id = request.id.clone();
-        if self.requests.contains(&id) || self.attempts.contains(&id) {
-            return None;
-        }
-        debug!(
-            event = "request_received",
-            id = %id.0,
-            target = request.target,
-            "request {}: {}",
-            id.0,
-            request.target
-        );
-        let (answer, answered) = oneshot::channel();
-        let pending = PendingRequest::new(request, RequestKind::of(&event), answer);
-        self.requests.insert(id, pending);
-        self.dispatch(event);
-        Some(answered)
-    }
-
-    /// Ends a request for which nobody waits any more: its client has disconnected, or its deadline has passed. Does
-    /// nothing once the request has its final answer.
-    pub(crate) fn abandon_request(self: &Rc<Self>, id: &RequestId) {
-        let Some(pending) = self.requests.remove(id) else {
-            return;
-        };
-        self.record_outcome(&pending, RequestOutcome::Abandoned);
-        debug!(event = "client_disconnected", id = %id.0, "request {}: nobody waits any more", id.0);
-        self.dispatch(Event::ClientDisconnected { id: id.clone() });
-    }
-
-    /// Gives a request its final answer; does nothing if it has one.
-    pub(super) fn answer_request(&self, id: &RequestId, answer: Answer) {
-        let Some(pending) = self.requests.remove(id) else {
-            return;
-        };
-        let outcome = answer.outcome();
-        debug!(
-            event = "request_answered",
-            id = %id.0,
-            answer = outcome.label(),
-            "request {}: {}",
-            id.0,
-            outcome.label()
-        );
-        self.record_outcome(&pending, outcome);
-        // The receiver is gone if the client has disconnected in this moment; the answer is dropped then.
-        let _ = pending.answer.send(answer);
-    }
-
-    /// Rejects a request; its client should wait for `retry_after` before it retries.
-    pub(super) fn reject_request(&self, id: &RequestId, retry_after: Option<Duration>) {
-        self.answer_request(id, Answer::Refused(retry_after));
-    }
-
-    fn record_outcome(&self, pending: &PendingRequest, outcome: RequestOutcome) {
-        if let (Some(metrics), Some(kind)) = (&self.metrics, pending.kind) {
-            metrics.record_request(
-                kind.class,
-                kind.plan,
-                outcome,
-                pending.received_at.elapsed(),
-            );
-        }
-    }
-}
-
 #[cfg(test)]
 #[path = "../../tests/unit/pending_requests.rs"]
 mod tests;
--- a/crates/edge-node/tests/unit/client_response.rs
+++ b/crates/edge-node/tests/unit/client_response.rs
@@ -39,10 +39,10 @@
         (502, HeaderMap::new(), Bytes::new())
     );
     assert_eq!(
-        parts(from_answer(Answer::Refused(None))),
+        parts(from_answer(Answer::Rejected(None))),
         (503, HeaderMap::new(), Bytes::new())
     );
-    let later = Answer::Refused(Some(Duration::from_micros(1_020_499)));
+    let later = Answer::Rejected(Some(Duration::from_micros(1_020_499)));
     assert_eq!(
         parts(from_answer(later)),
         (503, headers(&[("retry-after", "1.020")]), Bytes::new())
@@ -56,7 +56,10 @@
         headers(&[("connection", "close")]),
         Bytes::from_static(b"X-Class: missing\n"),
     );
-    assert_eq!(parts(rejection(RequestError::MissingClass)), expected);
+    assert_eq!(
+        parts(for_invalid_request(RequestError::MissingClass)),
+        expected
+    );
 }
 
 #[test]
