--- a/crates/edge-node/tests/documentation.rs
+++ b/crates/edge-node/tests/documentation.rs
@@ -264,10 +264,10 @@
         assert!(!is_repository_path(word), "{word}");
     }
     let bases = path_bases();
-    for path in ["README.md", "startup.rs", "crates/*/src", "settings/mod.rs"] {
+    for path in ["README.md", "reload.rs", "crates/*/src", "settings/mod.rs"] {
         assert!(path_exists(&bases, path), "{path}");
     }
-    for path in ["src/startup.rs", "start.rs", "cratez/*/src"] {
+    for path in ["src/reload.rs", "load.rs", "cratez/*/src"] {
         assert!(!path_exists(&bases, path), "{path}");
     }
     assert_eq!(
