--- a/crates/fleet-lab/src/scaling/gateway_pair.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair/mod.rs
@@ -1,37 +1,32 @@
 //! Two gateways of one fleet, each the owner of the quotas of the other's customers, with servers that answer at
 //! once. The first is measured; the second is its peer and has the same list, information and request rate.
 
+mod member;
+mod preparation;
+
 use super::cost::{measure_event, Cost};
-use super::fleet::{
-    draw_customers, draw_endpoints, settings, Customer, CLIENT_TIMEOUT, CONTROL_TICK,
-    CUSTOMER_NUMBERS, MILLISECOND, PAIR,
-};
+use super::fleet::{draw_endpoints, Customer, CLIENT_TIMEOUT, PAIR, START};
 use super::sizes::FleetSizes;
-use crate::whole_micros;
-use crate::Micros;
 use anyhow::{bail, Result};
-use gateway_core::*;
+use gateway_core::{
+    Action, AttemptNumber, AttemptOutcome, ClassId, Endpoint, EndpointState, EndpointUpdate, Event,
+    GatewaySet, PlanId, RequestId, Timestamp,
+};
+use member::Member;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time between two requests at one gateway, µs: 236 a second.
-const REQUEST_INTERVAL: Micros = 1_000_000 / 236;
-/// Time that a server takes for a request, µs.
-const SERVICE_TIME: Micros = 3 * MILLISECOND;
+/// Time between two requests at one gateway: 236 a second.
+const REQUEST_INTERVAL: Duration = Duration::from_micros(1_000_000 / 236);
+/// Time that a server takes for a request.
+const SERVICE_TIME: Duration = Duration::from_millis(3);
 /// The index of the gateway that is measured.
 pub(super) const MEASURED: usize = 0;
 /// The second byte of a datagram is its kind; this one answers a lease request.
 const LEASE_GRANT_KIND: u8 = 2;
 
-struct Member {
-    gateway: Gateway,
-    customers: Vec<Customer>,
-    /// When its next timer fires, µs.
-    timer_at: Micros,
-}
-
 /// An event for one of the gateways.
 struct PendingEvent {
     /// The index of the gateway.
@@ -57,8 +52,8 @@
 
 /// The two gateways and their clock.
 pub(super) struct GatewayPair {
-    /// The time, µs.
-    pub(super) now: Micros,
+    /// The time.
+    pub(super) now: Timestamp,
     /// The list of servers as the first gateway has it.
     pub(super) endpoints: Vec<Endpoint>,
     rng: ChaCha8Rng,
@@ -79,9 +74,9 @@
     pub(super) fn new(seed: u64, sizes: FleetSizes) -> Result<GatewayPair> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let endpoints = draw_endpoints(&mut rng, sizes.servers);
-        let now = 10 * CONTROL_TICK;
-        let first = draw_member(&mut rng, sizes, now, PAIR[0], PAIR[1])?;
-        let second = draw_member(&mut rng, sizes, now, PAIR[1], PAIR[0])?;
+        let now = START;
+        let first = Member::draw(&mut rng, sizes, now, PAIR[0], PAIR[1])?;
+        let second = Member::draw(&mut rng, sizes, now, PAIR[1], PAIR[0])?;
         let mut pair = GatewayPair {
             now,
             endpoints,
@@ -97,72 +92,11 @@
         Ok(pair)
     }
 
-    /// Brings the gateways to the state in which they are measured.
-    fn prepare(&mut self) -> Result<()> {
-        for member in 0..self.members.len() {
-            let endpoints = self.endpoints.clone();
-            self.post(
-                member,
-                Event::EndpointsUpdated {
-                    kind: EndpointUpdate::Snapshot,
-                    endpoints,
-                },
-            );
-        }
-        self.meet_customers();
-        for _ in 0..self.warm_up_requests() {
-            self.request()?;
-        }
-        // Both have a control tick now, so that none falls into what is measured afterwards.
-        self.now += CONTROL_TICK + MILLISECOND;
-        for member in 0..self.members.len() {
-            self.fire_timer(member);
-        }
-        self.deliver_unmeasured();
-        self.open_requests();
-        self.take_costs();
-        Ok(())
-    }
-
-    /// Requests before the measurement: fewer where each is expensive.
-    fn warm_up_requests(&self) -> u64 {
-        (1_000_000 / self.sizes.servers.max(1)).clamp(40, 200)
-    }
-
     /// What the first gateway's work has cost since the last call.
     pub(super) fn take_costs(&mut self) -> MeasuredCosts {
         std::mem::take(&mut self.costs)
     }
 
-    /// Sends the first gateway one request of each other customer, with no time left to serve it.
-    fn meet_customers(&mut self) {
-        let met = self.members[MEASURED].customers.len() as u64;
-        for number in 0..self.sizes.customers.saturating_sub(met) {
-            let id = CustomerId(CUSTOMER_NUMBERS - 1 - number);
-            let event = self.request_event(
-                Customer {
-                    id,
-                    first_gateway: PAIR[MEASURED],
-                },
-                0,
-            );
-            self.post(MEASURED, event);
-        }
-    }
-
-    /// Leaves as many requests open at the first gateway as there should be, without the one that is measured.
-    fn open_requests(&mut self) {
-        for _ in 1..self.sizes.open_requests {
-            self.enqueue_request(MEASURED);
-            while let Some(PendingEvent { member, event }) = self.pending.pop_front() {
-                // No server answers meanwhile.
-                if !matches!(event, Event::AttemptFinished { .. }) {
-                    self.post(member, event);
-                }
-            }
-        }
-    }
-
     fn enqueue(&mut self, member: usize, event: Event) {
         self.pending.push_back(PendingEvent { member, event });
     }
@@ -175,7 +109,7 @@
         self.enqueue(member, event);
     }
 
-    fn request_event(&mut self, customer: Customer, client_timeout: Micros) -> Event {
+    fn request_event(&mut self, customer: Customer, client_timeout: Duration) -> Event {
         self.last_request += 1;
         let count = self.sizes.effective_gateways_per_customer();
         Event::RequestReceived {
@@ -188,7 +122,7 @@
                 first: customer.first_gateway,
                 count,
             },
-            client_timeout: Duration::from_micros(client_timeout),
+            client_timeout,
         }
     }
 
@@ -214,15 +148,15 @@
     fn deliver(&mut self) {
         while let Some(PendingEvent { member, event }) = self.pending.pop_front() {
             if member == MEASURED && matches!(event, Event::AttemptFinished { .. }) {
-                self.now += SERVICE_TIME;
+                self.now = self.now + SERVICE_TIME;
             }
             let costs = self.post(member, event);
             self.costs.add(costs);
         }
     }
 
-    /// Lets time pass until then, µs, with the timers that fire meanwhile. What these cost is not part of a request.
-    pub(super) fn advance(&mut self, until: Micros) {
+    /// Lets time pass until then, with the timers that fire meanwhile. What these cost is not part of a request.
+    pub(super) fn advance(&mut self, until: Timestamp) {
         while let Some(member) = self
             .members
             .iter()
@@ -245,12 +179,12 @@
 
     /// Fires a gateway's timer now; returns what that costs.
     pub(super) fn fire_timer(&mut self, member: usize) -> Cost {
-        self.members[member].timer_at = Micros::MAX;
+        self.members[member].timer_at = Timestamp::MAX;
         self.post(member, Event::TimerFired { token: 0 }).own
     }
 
-    /// When the first gateway's timer fires, µs.
-    pub(super) fn next_timer(&self) -> Micros {
+    /// When the first gateway's timer fires.
+    pub(super) fn next_timer(&self) -> Timestamp {
         self.members[MEASURED].timer_at
     }
 
@@ -311,7 +245,7 @@
             }
             Action::SetTimer { after, .. } => {
                 let member = &mut self.members[member];
-                member.timer_at = member.timer_at.min(self.now + whole_micros(after));
+                member.timer_at = member.timer_at.min(self.now + after);
             }
             Action::Reject { .. }
             | Action::Fail { .. }
@@ -339,27 +273,6 @@
     }
 }
 
-/// A gateway whose customers' quotas the other one owns.
-fn draw_member(
-    rng: &mut ChaCha8Rng,
-    sizes: FleetSizes,
-    now: Micros,
-    id: GatewayId,
-    owner: GatewayId,
-) -> Result<Member> {
-    let gateway = Gateway::new(
-        rng.random(),
-        settings(id, sizes.gateways),
-        Timestamp::from_micros(now),
-    )?;
-    let customers = draw_customers(rng, sizes, owner)?;
-    Ok(Member {
-        gateway,
-        customers,
-        timer_at: now + CONTROL_TICK,
-    })
-}
-
 fn is_lease_grant(bytes: &[u8]) -> bool {
     bytes.get(1) == Some(&LEASE_GRANT_KIND)
 }
--- a/crates/fleet-lab/src/world/servers.rs
+++ b/crates/fleet-lab/src/world/servers.rs
@@ -1,87 +1,14 @@
 //! Servers: cores, a queue, load reports, the crash of a cold server that is overloaded, hangs, slowness and drains.
 
 use super::cold_start::{ColdCall, ColdStart, ColdStartLoad};
+use super::load_report::LoadReport;
+use super::machine::Machine;
+use super::server_events::{Job, ServerEvent};
 use super::{RequestNumber, Rng, TimeSpan};
-use crate::Micros;
-use gateway_core::Timestamp;
-use gateway_core::{AttemptNumber, AttemptOutcome, Endpoint, GatewayId, Rules};
-use rand::Rng as _;
+use crate::time::{draw_duration, DurationExt};
+use gateway_core::{AttemptNumber, AttemptOutcome, Endpoint, Rules, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
-use std::ops::Range;
-
-/// What kind of machine the servers are.
-#[derive(Clone, Debug)]
-pub struct Machine {
-    /// Requests that run at once.
-    pub cores: u32,
-    /// Requests that it holds at most, running or queued; further ones are rejected without running.
-    pub slots: usize,
-    /// Work of a request on a warm core, µs, uniformly distributed.
-    pub work: Range<Micros>,
-    /// Interval at which a server measures the load that it reports, µs; each server draws its own.
-    pub report_interval: Range<Micros>,
-}
-
-impl Machine {
-    /// Mean work of a request, µs.
-    pub fn mean_work(&self) -> f64 {
-        (self.work.start + self.work.end) as f64 / 2.0
-    }
-
-    /// Requests of mean work that a warm server completes in a second.
-    pub fn capacity(&self) -> f64 {
-        f64::from(self.cores) * 1e6 / self.mean_work()
-    }
-}
-
-/// An attempt that has arrived at a server.
-#[derive(Clone, Copy, Debug)]
-pub struct Job {
-    /// The request.
-    pub request: RequestNumber,
-    /// Which attempt of it.
-    pub attempt: AttemptNumber,
-    /// The gateway that waits for the answer.
-    pub gateway: GatewayId,
-    /// When it is dropped if it is still queued, µs.
-    pub expires_at: Micros,
-    /// Its work on a warm core, µs.
-    pub work: Micros,
-    /// Whether its gateway knew of the server's latest start.
-    pub start_known: bool,
-}
-
-/// What happens at a server.
-#[derive(Debug)]
-pub enum ServerEvent {
-    /// A request begins to run.
-    Started {
-        /// For [`Server::complete`].
-        run: u64,
-        /// When it is done, unless the server hangs meanwhile, µs.
-        done_at: Micros,
-        /// The attempt.
-        job: Job,
-    },
-    /// A running request takes longer.
-    Delayed {
-        /// For [`Server::complete`].
-        run: u64,
-        /// When it is done, µs.
-        done_at: Micros,
-    },
-    /// An attempt ends; its gateway gets the outcome unless a partition separates them.
-    Finished {
-        /// The attempt.
-        job: Job,
-        /// How it ended.
-        outcome: AttemptOutcome,
-        /// The load report, if the server answers.
-        reported_load: Option<f64>,
-    },
-    /// The server was cold and was overloaded.
-    Crashed(ColdStartLoad),
-}
+use std::time::Duration;
 
 /// Whether a server's process accepts connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -91,13 +18,6 @@
     Crashed,
 }
 
-/// The load that a server reports until the next measurement.
-#[derive(Default)]
-struct LoadReport {
-    expires_at: Micros,
-    load: f64,
-}
-
 /// One server.
 pub struct Server {
     /// Its entry in the list of servers.
@@ -111,15 +31,14 @@
     hang: Option<TimeSpan>,
     /// Factor by which all work takes longer.
     slowdown: f64,
-    report: LoadReport,
-    report_interval: Micros,
+    load_report: LoadReport,
     cold_start: ColdStart,
 }
 
 impl Server {
     /// An idle server.
     pub fn new(rng: &mut Rng, endpoint: Endpoint, machine: Machine, rules: Rules) -> Server {
-        let report_interval = rng.random_range(machine.report_interval.clone());
+        let load_report = LoadReport::new(draw_duration(rng, &machine.report_interval));
         Server {
             endpoint,
             cold_start: ColdStart::new(rules, machine.capacity()),
@@ -130,8 +49,7 @@
             last_run: 0,
             hang: None,
             slowdown: 1.0,
-            report: LoadReport::default(),
-            report_interval,
+            load_report,
         }
     }
 
@@ -158,7 +76,7 @@
     }
 
     /// It accepts requests and answers none until then.
-    pub fn hang(&mut self, now: Micros, until: Micros) {
+    pub fn hang(&mut self, now: Timestamp, until: Timestamp) {
         self.hang = Some(TimeSpan {
             start: now,
             end: until,
@@ -166,15 +84,12 @@
     }
 
     /// Its process starts again, cold.
-    pub fn restart(&mut self, now: Micros) {
+    pub fn restart(&mut self, now: Timestamp) {
         self.process = ProcessState::Up;
-        self.endpoint.started_at = Some(Timestamp::from_micros(now));
+        self.endpoint.started_at = Some(now);
         self.hang = None;
         self.slowdown = 1.0;
-        self.report = LoadReport {
-            expires_at: now,
-            load: 0.0,
-        };
+        self.load_report.restart(now);
         self.cold_start.restart();
     }
 
@@ -197,62 +112,54 @@
         }));
     }
 
-    fn held(&self) -> usize {
+    /// Requests that run or are queued.
+    fn held_requests(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
-    /// The load that an answer reports, measured anew when the last report has expired.
-    fn reported_load(&mut self, now: Micros) -> Option<f64> {
-        if now >= self.report.expires_at {
-            self.report = LoadReport {
-                expires_at: now + self.report_interval,
-                load: self.held() as f64,
-            };
-        }
-        Some(self.report.load)
+    fn reported_load(&mut self, now: Timestamp) -> Option<f64> {
+        let held_requests = self.held_requests();
+        Some(self.load_report.current(now, held_requests))
     }
 
     /// An attempt arrives.
-    pub fn arrive(&mut self, now: Micros, job: Job, events: &mut Vec<ServerEvent>) {
+    pub fn arrive(&mut self, now: Timestamp, job: Job, events: &mut Vec<ServerEvent>) {
         if !self.is_up() {
-            let outcome = AttemptOutcome::Unreachable;
             events.push(ServerEvent::Finished {
                 job,
-                outcome,
+                outcome: AttemptOutcome::Unreachable,
                 reported_load: None,
             });
-            return;
-        }
-        let work = job.work as f64 / self.machine.mean_work();
-        let call = ColdCall {
-            at: now,
-            work,
-            start_known: job.start_known,
-        };
-        if self
-            .cold_start
-            .is_overloaded_by(call, self.endpoint.started_at.map(Timestamp::as_micros))
-        {
+        } else if self.is_overloaded_by(now, &job) {
             self.queue.push_back(job);
             self.end_process(ProcessState::Crashed, events);
             events.push(ServerEvent::Crashed(self.cold_start.highest_load()));
-            return;
-        }
-        if self.held() >= self.machine.slots {
+        } else if self.held_requests() >= self.machine.slots {
             let reported_load = self.reported_load(now);
             events.push(ServerEvent::Finished {
                 job,
                 outcome: AttemptOutcome::Overloaded,
                 reported_load,
             });
-            return;
+        } else {
+            self.queue.push_back(job);
+            self.start_queued(now, events);
         }
-        self.queue.push_back(job);
-        self.start_queued(now, events);
+    }
+
+    /// Counts an attempt while the server is cold; returns whether the server is overloaded by it.
+    fn is_overloaded_by(&mut self, now: Timestamp, job: &Job) -> bool {
+        let call = ColdCall {
+            at: now,
+            work: job.work.as_micros_f64() / self.machine.mean_work_us(),
+            start_known: job.start_known,
+        };
+        self.cold_start
+            .is_overloaded_by(call, self.endpoint.started_at)
     }
 
     /// Starts queued requests while there are idle cores.
-    fn start_queued(&mut self, now: Micros, events: &mut Vec<ServerEvent>) {
+    fn start_queued(&mut self, now: Timestamp, events: &mut Vec<ServerEvent>) {
         while self.running.len() < self.machine.cores as usize {
             let Some(job) = self.queue.pop_front() else {
                 return;
@@ -260,10 +167,7 @@
             if job.expires_at <= now {
                 continue; // its gateway no longer waits for it
             }
-            let warm_up_fraction = self
-                .cold_start
-                .warm_up_fraction(now, self.endpoint.started_at.map(Timestamp::as_micros));
-            let duration = (job.work as f64 * self.slowdown / warm_up_fraction) as Micros;
+            let duration = self.execution_time(now, &job);
             let starts_at = self.hang.map_or(now, |hang| hang.end.max(now));
             self.last_run += 1;
             self.running.insert(self.last_run, job);
@@ -275,13 +179,21 @@
         }
     }
 
+    /// How long a request runs that starts now.
+    fn execution_time(&self, now: Timestamp, job: &Job) -> Duration {
+        let warm_up_fraction = self
+            .cold_start
+            .warm_up_fraction(now, self.endpoint.started_at);
+        Duration::from_micros_f64(job.work.as_micros_f64() * self.slowdown / warm_up_fraction)
+    }
+
     /// A running request is due: it is done now, or later if the server hangs.
-    pub fn complete(&mut self, now: Micros, run: u64, events: &mut Vec<ServerEvent>) {
+    pub fn complete(&mut self, now: Timestamp, run: u64, events: &mut Vec<ServerEvent>) {
         if let Some(hang) = self.hang.filter(|hang| hang.contains(now)) {
             if self.running.contains_key(&run) {
                 events.push(ServerEvent::Delayed {
                     run,
-                    done_at: hang.end + (now - hang.start),
+                    done_at: hang.end + now.duration_since(hang.start),
                 });
             }
             return;
--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -1,11 +1,11 @@
 //! Attempts: sending queued requests, and what is learned from how attempts end.
 
 use super::Gateway;
+use crate::policy::dispatch::{self, DispatchDecision, DispatchPass};
 use crate::policy::retry::{self, RetryDecision};
-use crate::policy::{admission, quota};
 use crate::state::attempt::{Attempt, AttemptKey};
 use crate::state::deployment::Context;
-use crate::state::request::PossibleExecution;
+use crate::state::request::{PossibleExecution, Request};
 use crate::time::{DurationExt, Timestamp};
 use crate::types::{AttemptNumber, AttemptOutcome, RejectReason, RequestId, ServerId};
 use crate::Action;
@@ -28,42 +28,19 @@
         }
         let mut selectable = self.selectable_servers(now);
         if selectable.is_empty() {
-            return; // in a jam, sorting the queue at each event would use up the processor
+            return; // sorting the queue at each event during an overload would use up the processor
         }
         let lowest_class = self.deployment.lowest_class;
-        let mut lowest_in_flight = self.attempts.count_of(lowest_class);
+        let mut pass = DispatchPass::new(lowest_class, self.attempts.count_of(lowest_class));
         for id in self.queue_by_priority(now) {
             if selectable.is_empty() {
                 break;
             }
-            let Some(request) = self.requests.get_mut(&id) else {
+            let Some(server) = self.server_for_queued(now, &id, &pass, &selectable) else {
                 continue;
             };
-            let is_lowest = request.class == lowest_class;
-            let is_limited = is_lowest
-                && !self
-                    .controller
-                    .allows(lowest_in_flight, now, self.fleet.mean_latency);
-            let context = Context {
-                now,
-                deployment: &self.deployment,
-                fleet: &self.fleet,
-            };
-            if request.attempts == 0 && !quota::allows_attempt(&mut self.quotas, context, request) {
-                // Its customer's own limit delays it: taken for pressed servers, that would close the
-                // in-flight limit.
-                request.due_since = now;
-                continue;
-            }
-            if is_limited {
-                continue;
-            }
-            let Some(server) = self.pick_server(now, &id, &selectable) else {
-                continue;
-            };
-            if is_lowest {
-                lowest_in_flight += 1.0;
-                self.controller.consume_pacing_token();
+            if let Some(request) = self.requests.get(&id) {
+                pass.attempt_sent(request.class(), self.controller.limit());
             }
             self.send_attempt(now, id, server, actions);
             selectable = if self.requests.is_queue_empty() {
@@ -74,11 +51,36 @@
         }
     }
 
+    /// The server to which a queued request is sent now; `None` if it stays queued.
+    fn server_for_queued(
+        &mut self,
+        now: Timestamp,
+        id: &RequestId,
+        pass: &DispatchPass,
+        selectable: &[ServerId],
+    ) -> Option<ServerId> {
+        let context = Context {
+            now,
+            deployment: &self.deployment,
+            fleet: &self.fleet,
+        };
+        let request = self.requests.get_mut(id)?;
+        let limit = self.controller.limit();
+        match pass.decide(context, request, limit, &mut self.quotas) {
+            DispatchDecision::Send => self.pick_server(now, id, selectable),
+            DispatchDecision::SkipForQuota => {
+                request.delayed_by_quota_until(now);
+                None
+            }
+            DispatchDecision::SkipForInFlightLimit => None,
+        }
+    }
+
     fn queue_by_priority(&self, now: Timestamp) -> Vec<RequestId> {
         let context = self.context(now);
         let queued = self.requests.queued();
         let mut order: Vec<_> = queued
-            .map(|(id, request)| (admission::priority(context, request), id.clone()))
+            .map(|(id, request)| (dispatch::priority(context, request), id.clone()))
             .collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0));
         order.into_iter().map(|(_, id)| id).collect()
@@ -98,16 +100,16 @@
         let Some(mut server) = self.servers.get_mut(now, &server_id) else {
             return;
         };
-        let first = request.attempts == 0;
-        if let Some(bucket) = self.quotas.local.get_mut(&request.customer) {
-            bucket.attempt_sent(now, request.units, first);
+        let first = !request.was_sent();
+        if let Some(bucket) = self.quotas.local.get_mut(&request.customer()) {
+            bucket.attempt_sent(now, request.units(), first);
         }
         if first {
-            self.retry_budget = retry::earn(self.retry_budget);
+            self.retry_budget.first_attempt_sent();
         }
         server.in_flight += 1;
         server.slow_start_credit -= 1.0;
-        if let Some(at) = &mut server.health[request.class.0].next_probe_at {
+        if let Some(at) = &mut server.health[request.class().0].next_probe_at {
             *at = next_probe_at;
         }
         let number = request.attempt_sent(server_id);
@@ -145,7 +147,7 @@
         let was_cancelled = self
             .requests
             .get(&id)
-            .is_some_and(|request| request.cancelled);
+            .is_some_and(Request::is_cancelled_or_streaming);
         let was_stalled = was_cancelled && outcome == AttemptOutcome::Cancelled;
         self.observe_attempt(now, &attempt, &result, was_stalled);
         if outcome == AttemptOutcome::Success {
@@ -154,18 +156,16 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.in_flight = None;
+        request.attempt_finished(outcome);
         if result.closed {
             return self.remove_request(&id, actions);
         }
-        request.cancelled = false;
-        request.reached_server |= outcome.reached_server();
-        if outcome.may_have_executed() && request.possibly_executed.is_none() {
+        if outcome.may_have_executed() && request.possible_execution().is_none() {
             let server = self.servers.get(&attempt.server);
-            request.possibly_executed = server.map(|server| PossibleExecution {
+            request.possibly_executed(server.map(|server| PossibleExecution {
                 endpoint: server.endpoint,
                 sent_at: attempt.sent_at,
-            });
+            }));
         }
         self.retry_or_answer(now, id, outcome, actions);
     }
@@ -180,15 +180,15 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        match retry::decide(self.context(now), request, outcome, self.retry_budget) {
-            RetryDecision::Retry { cost } => {
-                self.retry_budget -= cost;
+        match retry::decide(self.context(now), request, outcome, &self.retry_budget) {
+            RetryDecision::Retry => {
+                self.retry_budget.charge(outcome);
                 self.requests.enqueue(id);
             }
             RetryDecision::GiveUp => {
                 self.reject_or_fail(now, &id, RejectReason::RetriesExhausted, actions);
             }
-            RetryDecision::Wait => {}
+            RetryDecision::AwaitDeadline => {}
         }
     }
 
@@ -204,7 +204,7 @@
     fn observe_success(&mut self, now: Timestamp, attempt: &Attempt) {
         self.fleet.completed_since_tick += 1.0;
         let class = &self.deployment.settings.classes[attempt.class.0];
-        let latency = now.micros_since(attempt.due_since);
+        let latency = now.micros_since(attempt.eligible_since);
         self.latencies
             .of(attempt.class)
             .add(latency / class.latency_objective.as_micros_f64().max(1.0));
