--- a/crates/gateway-core/src/load_report.rs
+++ b/crates/gateway-core/src/load_report.rs
@@ -1,12 +1,13 @@
-//! Load reports: how many requests a server says it has in flight, in a header of its answers.
+//! Load reports: how many requests a server has in flight, as it says in a header of its responses.
 
-/// The field of a report that tells the requests in flight.
+/// The field of a report that holds the number of requests in flight.
 const IN_FLIGHT_FIELD: &str = "concurrent";
-/// No server has more requests in flight: a report that says so is malformed.
+/// Maximum number of requests in flight that is believed: a report of more is malformed.
 const MAX_IN_FLIGHT: f64 = 1e6;
 
-/// Requests in flight according to a report: names and values, separated by commas, with `assignment` between
-/// a name and its value. `None` where the report does not say, or is malformed.
+/// The number of requests in flight in a report: names and values, separated by commas, with `assignment` between a
+/// name and its value. `None` if the report does not have it, or has it malformed.
+#[must_use]
 pub fn parse_in_flight(report: &str, assignment: char) -> Option<f64> {
     let mut fields = report
         .split(',')
--- a/crates/gateway-core/src/reconnect.rs
+++ b/crates/gateway-core/src/reconnect.rs
@@ -1,9 +1,16 @@
-//! When a watch on discovery is given up and opened again: a policy without sockets or a clock. What happened on the
-//! open watch goes in together with the time; the deadline of that watch and the time of the next attempt come out.
+//! When a watch on discovery is given up and opened again: a policy without sockets or a clock. Its inputs are what
+//! happened on the open watch, and when; its outputs are the deadline of that watch and the time of the next attempt.
+//!
+//! 1. A watch that brings no answer within the answer timeout, no first list within the silence timeout, or nothing at
+//!    all for the silence timeout, is given up ([`ReconnectPolicy::deadline`]).
+//! 2. The next watch is opened after an exponential backoff with jitter, which grows longer after a rejection than
+//!    after a lost connection ([`ReconnectPolicy::attempt_failed`]).
+//! 3. The backoff begins anew after a watch that was stable ([`ReconnectPolicy::was_stable`]), and when discovery has
+//!    another address ([`ReconnectPolicy::address_changed`]).
 //!
 //! The platform holds a gateway to a change 6 s after discovery had it and could be reached, whatever failed in
-//! between; where lists are pushed, at once. All timeouts and backoffs are therefore fractions of the time that a
-//! drain leaves, and each has an upper bound that holds however long that time is.
+//! between; where lists are pushed, immediately. All timeouts and backoffs are therefore fractions of the drain grace,
+//! and each has an upper bound that holds however long the drain grace is.
 
 use std::time::Duration;
 
@@ -12,8 +19,8 @@
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Upper bound of the answer timeout, for settings with a long drain grace.
 const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Upper bound of every backoff. A discovery that is overloaded goes on rejecting watches for as long as they come
-/// back faster than it can serve them.
+/// Upper bound of every backoff, which is that after a rejection. An overloaded discovery continues to reject watches
+/// while they are opened faster than it can serve them.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 /// Upper bound of the first backoff.
 const MAX_INITIAL_BACKOFF: Duration = Duration::from_millis(100);
@@ -31,10 +38,11 @@
 /// The drain grace is this many waits for the first list.
 const FIRST_LIST_TIMEOUTS_PER_GRACE: u32 = 2;
 
-/// Jitter multiplies a backoff by a factor from this to this plus one.
+/// The smallest factor by which jitter multiplies a backoff; the largest is greater by one.
 const MIN_JITTER_FACTOR: f64 = 0.5;
 
 /// How long a starting edge node waits for its first list, by the drain grace.
+#[must_use]
 pub fn first_list_timeout(drain_grace: Duration) -> Duration {
     (drain_grace / FIRST_LIST_TIMEOUTS_PER_GRACE).min(MAX_FIRST_LIST_TIMEOUT)
 }
@@ -97,12 +105,11 @@
     }
 }
 
-/// Decides when watches, one after the other, are given up and opened. Times are spans since any fixed moment, on
-/// a clock that does not go back.
+/// Decides when watches, one after the other, are given up and opened. Times are durations since a fixed moment, which
+/// the caller chooses, on a monotonic clock.
 #[derive(Clone, Debug)]
 pub struct ReconnectPolicy {
-    /// Longest wait for an answer, and for the rest of a list that has begun. The agent answers at once; one that
-    /// has not by then is taken for unresponsive.
+    /// Longest wait for an answer, and for the rest of a list that has begun. A healthy agent answers immediately.
     answer_timeout: Duration,
     backoff: Backoff,
     /// When the open watch was begun.
@@ -118,6 +125,7 @@
 impl ReconnectPolicy {
     /// The policy for a drain grace: the answer timeout and the longest backoff with the read after it fill
     /// less than half of that, or their upper bounds if these are shorter.
+    #[must_use]
     pub fn new(drain_grace: Duration) -> ReconnectPolicy {
         ReconnectPolicy {
             answer_timeout: (drain_grace / ANSWER_TIMEOUTS_PER_GRACE).min(MAX_ANSWER_TIMEOUT),
@@ -142,7 +150,7 @@
         self.backoff.reset();
     }
 
-    /// Something has arrived on the open watch, which may put off its deadline.
+    /// Something has arrived on the open watch, which may move its deadline.
     pub fn event_received(&mut self, now: Duration, event: WatchEvent) {
         match event {
             WatchEvent::PartialList => {
@@ -176,17 +184,19 @@
     }
 
     /// When the open watch is given up if nothing more arrives.
+    #[must_use]
     pub fn deadline(&self) -> Duration {
         self.deadline
     }
 
     /// Whether the open watch has lasted for so long that its end is a new failure.
+    #[must_use]
     pub fn was_stable(&self, now: Duration) -> bool {
         now.saturating_sub(self.attempt_started_at) > STABLE_AFTER
     }
 
     /// The watch has ended; returns when the next one is opened. `jitter`, from 0 to 1, spreads the attempts of all
-    /// edge nodes, which would otherwise come back at one moment.
+    /// edge nodes, which would otherwise reconnect at the same moment.
     pub fn attempt_failed(
         &mut self,
         now: Duration,
--- a/crates/gateway-core/src/settings/mod.rs
+++ b/crates/gateway-core/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings: what a gateway is configured with, and how they are parsed and validated.
+//! What a gateway is configured with, and how it is parsed and validated.
 
 mod parse;
 mod validate;
@@ -37,12 +37,12 @@
 pub enum Idempotency {
     /// Any number of executions does what one does.
     Idempotent,
-    /// Its idempotency key deduplicates executions inside `scope`, for `window` after the first attempt that
-    /// may have run was sent.
+    /// Servers inside `scope` recognise its idempotency key and execute it once, until `window` after the first
+    /// attempt that may have been executed was sent.
     Keyed {
-        /// Where repeats are dropped.
+        /// The servers that recognise the key.
         scope: DeduplicationScope,
-        /// For how many µs they are dropped.
+        /// How long they recognise it.
         window: Duration,
     },
     /// It must never be executed twice.
@@ -52,9 +52,9 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency objective in µs: an answer within it earns the full priority weight.
+    /// Latency objective: an answer within it earns the full priority weight.
     pub latency_objective: Duration,
-    /// Share of the priority weight that a later answer still earns.
+    /// Fraction of the priority weight that a later answer still earns.
     pub late_weight: f64,
     /// Priority weight of one request.
     pub priority_weight: f64,
@@ -93,35 +93,35 @@
 /// How changes of the endpoint list reach the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointDiscovery {
-    /// Without being asked for.
+    /// They arrive without being asked for.
     Pushed,
-    /// After [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
+    /// They arrive after [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
     Watched,
 }
 
 /// How servers behave after a start, and when they collapse under overload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// Least share of its capacity that a server has when it starts.
+    /// Fraction of its capacity that a server has when it starts.
     pub warm_up_from: f64,
-    /// µs after which it has all of it.
+    /// Time after its start until it has its full capacity.
     pub warm_up_period: Duration,
-    /// Work above this multiple of its present capacity ...
+    /// A server is overloaded while its work exceeds this multiple of its present capacity.
     pub overload_multiple: f64,
-    /// ... for this many µs makes it collapse.
+    /// A server that is overloaded for this long collapses.
     pub overload_window: Duration,
 }
 
 /// What the deployment permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permissions {
-    /// Attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub cancel_attempts: bool,
     /// Whether gateways may send each other messages.
     pub peer_messages: bool,
-    /// The longest `Retry-After`, in µs; `None` where it is not sent.
+    /// The longest `Retry-After`; `None` where it is not sent.
     pub max_retry_after: Option<Duration>,
 }
 
@@ -146,10 +146,10 @@
     pub cross_zone_cost: f64,
     /// How changes of the endpoint list arrive.
     pub discovery: EndpointDiscovery,
-    /// Shortest time between two rounds of events, in µs.
+    /// Shortest time between two rounds of events.
     pub event_period: Duration,
-    /// Messages from peers that a gateway takes in a second.
+    /// Messages from peers that a gateway can take in, per second.
     pub peer_messages_per_second: f64,
-    /// Units of the largest request.
+    /// Units of the largest request; 0 for no limit.
     pub max_request_units: f64,
 }
--- a/crates/gateway-core/src/settings/parse.rs
+++ b/crates/gateway-core/src/settings/parse.rs
@@ -62,16 +62,14 @@
 pub fn parse(text: &str) -> Result<ResolvedSettings, ParseError> {
     let json: JsonSettings = serde_json::from_str(text)?;
     let zone = json.zone_id()?;
-    let classes = json
-        .classes
-        .iter()
-        .map(Class::try_from)
-        .collect::<Result<_, _>>()?;
+    let longest_deadline = json.longest_deadline();
+    let classes: Result<Vec<Class>, ParseError> =
+        json.classes.iter().map(Class::try_from).collect();
     let settings = Settings {
         gateway_id: GatewayId(json.gateway_id),
         gateway_count: json.gateway_count,
         zone,
-        classes,
+        classes: classes?,
         plans: json.plans.iter().map(Plan::from).collect(),
         rules: Rules::from(&json.rules),
         permissions: Permissions::from(&json.limits),
@@ -83,12 +81,7 @@
     };
     Ok(ResolvedSettings {
         settings,
-        longest_deadline: json
-            .classes
-            .iter()
-            .map(|class| Duration::from_micros(class.deadline_us))
-            .max()
-            .unwrap_or_default(),
+        longest_deadline,
         drain_grace: Duration::from_micros(json.rules.drain_grace_us),
         connection_idle_timeout: Duration::from_micros(json.limits.connection_idle_us),
         connect_timeout: Duration::from_micros(json.limits.connect_timeout_us),
@@ -124,6 +117,13 @@
 }
 
 impl JsonSettings {
+    /// The longest deadline of any class; zero if none has one.
+    fn longest_deadline(&self) -> Duration {
+        let deadlines = self.classes.iter().map(|class| class.deadline_us);
+        Duration::from_micros(deadlines.max().unwrap_or_default())
+    }
+
+    /// This gateway's zone, by its place among the zones.
     fn zone_id(&self) -> Result<ZoneId, ParseError> {
         if self.zones.is_empty() {
             // Without zones every server is in the same one.
--- a/crates/gateway-core/src/settings/validate.rs
+++ b/crates/gateway-core/src/settings/validate.rs
@@ -1,9 +1,9 @@
-//! Rejects settings that make no sense.
+//! Rejects settings that contradict each other or hold invalid numbers.
 
 use super::Settings;
 use thiserror::Error;
 
-/// Why settings make no sense.
+/// Why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// There is no class.
@@ -21,7 +21,8 @@
 }
 
 impl Settings {
-    /// Checks that the settings make sense.
+    /// Checks that there are classes and plans, that this gateway is one of the gateways, and that all numbers are
+    /// valid.
     ///
     /// # Errors
     /// The first thing that is wrong with them.
@@ -35,8 +36,7 @@
         if self.gateway_id.0 >= self.gateway_count {
             return Err(SettingsError::UnknownGateway);
         }
-        let valid = |number: &f64| number.is_finite() && *number >= 0.0;
-        if !self.numbers().iter().all(valid) {
+        if !self.numbers().into_iter().all(is_finite_and_not_negative) {
             return Err(SettingsError::InvalidNumber);
         }
         Ok(())
@@ -73,3 +73,7 @@
         numbers
     }
 }
+
+fn is_finite_and_not_negative(number: f64) -> bool {
+    number.is_finite() && number >= 0.0
+}
