--- a/crates/edge-node/src/bind.rs
+++ b/crates/edge-node/src/bind.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long an address may stay in use. At a restart the earlier process has been told to end and holds its addresses
+/// How long an address may stay in use. At a restart the earlier process has been asked to end and holds its addresses
 /// a little longer; a new process that gave up on that would only be started over again.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause between two tries.
--- a/crates/edge-node/src/clients/request.rs
+++ b/crates/edge-node/src/clients/request.rs
@@ -20,7 +20,7 @@
 
 /// The path on which anyone may ask whether this process is ready.
 const READINESS_PATH: &str = "/-/ready";
-/// Part of a client's timeout that is kept for the response's way to the client.
+/// Part of a client's timeout that is reserved for the transfer of the response.
 const RESPONSE_DELIVERY_TIME: Duration = Duration::from_millis(5);
 /// How long after its deadline a request fails that the decision module has not ended by then.
 const ANSWER_GRACE: Duration = Duration::from_millis(2);
--- a/crates/edge-node/src/config/schema/locate.rs
+++ b/crates/edge-node/src/config/schema/locate.rs
@@ -7,7 +7,7 @@
 pub(super) struct PathSegment<'a> {
     /// The name, without `[]`.
     pub(super) name: &'a str,
-    /// Whether the path goes on in each item of the list of that name.
+    /// Whether the path continues in each item of the list of that name.
     pub(super) is_list: bool,
 }
 
--- a/crates/edge-node/src/config/schema/restart.rs
+++ b/crates/edge-node/src/config/schema/restart.rs
@@ -1,4 +1,4 @@
-//! Values that take effect only at a start, kept to name the keys of which a reloaded configuration has others.
+//! Values that take effect only at a start, retained to name the keys that differ in a reloaded configuration.
 
 use super::keys::keys_of;
 use super::locate::path_segments;
--- a/crates/edge-node/src/discovery/watch.rs
+++ b/crates/edge-node/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! One watch on discovery: a request over a connection of its own whose response goes on for as long as the watch.
+//! One watch on discovery: a request over a connection of its own whose response lasts for as long as the watch.
 
 use bytes::Bytes;
 use gateway_core::reconnect::WatchFailure;
--- a/crates/edge-node/src/log/mod.rs
+++ b/crates/edge-node/src/log/mod.rs
@@ -33,14 +33,14 @@
 pub enum LogLevel {
     /// Nothing.
     Off,
-    /// What stops the edge node from doing what it was told.
+    /// What stops the edge node from doing its work.
     Error,
     /// What an operator should look at.
     Warn,
-    /// Starts, reloads and ends.
+    /// Starts, reloads and shutdowns.
     #[default]
     Info,
-    /// Each request, attempt and answer, too.
+    /// Also each request, attempt and answer.
     Debug,
 }
 
--- a/crates/edge-node/src/node/attempts.rs
+++ b/crates/edge-node/src/node/attempts.rs
@@ -19,7 +19,7 @@
     _cancel: oneshot::Sender<()>,
 }
 
-/// Attempts in flight, one for each request at the most. An entry stays until the attempt's connection is closed or
+/// Attempts in flight, at most one for each request. An entry stays until the attempt's connection is closed or
 /// free again, also when the request has been answered.
 #[derive(Default)]
 pub(super) struct InFlightAttempts {
@@ -68,7 +68,7 @@
         server: ServerId,
         timeout: Option<Duration>,
     ) {
-        // The decision module is told at once when a request is answered or abandoned, and sends no such request.
+        // The decision module is notified immediately when a request is answered or abandoned, and sends no such request.
         let Some(NextAttempt { request, number }) = self.requests.next_attempt(&id) else {
             return;
         };
--- a/crates/edge-node/src/node/status.rs
+++ b/crates/edge-node/src/node/status.rs
@@ -65,7 +65,7 @@
         self.watch.is_lost()
     }
 
-    /// The open requests that were received first, `limit` at the most.
+    /// The open requests that were received first, at most `limit`.
     pub(crate) fn oldest_requests(&self, limit: usize) -> Vec<PendingRequestStatus> {
         self.requests.oldest(limit)
     }
--- a/crates/edge-node/src/upstream/attempt.rs
+++ b/crates/edge-node/src/upstream/attempt.rs
@@ -15,7 +15,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The header by which a server is told how many milliseconds are left for its answer.
+/// The header with the milliseconds that remain for the server's answer.
 const DEADLINE: &str = "x-deadline";
 /// The header by which a server recognises a request that it has already executed.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
--- a/crates/edge-node/src/upstream/connect_error.rs
+++ b/crates/edge-node/src/upstream/connect_error.rs
@@ -44,7 +44,7 @@
 }
 
 impl ConnectError {
-    /// What the gateway is told: a server is reported as unreachable only if the cause may lie with the server.
+    /// The outcome that is reported to the gateway: a server is reported as unreachable only if the cause may lie with the server.
     pub(super) fn outcome(&self) -> AttemptOutcome {
         match self {
             ConnectError::Cancelled
--- a/crates/edge-node/src/upstream/connection.rs
+++ b/crates/edge-node/src/upstream/connection.rs
@@ -20,10 +20,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// Bytes of a response's head that are buffered at the most. A head without end could otherwise use up the memory
+/// Maximum number of bytes of a response's head that are buffered. A head without end could otherwise use up the memory
 /// limit of the process.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// A connection that carries one request at a time and is kept in a pool in between.
+/// A connection that carries one request at a time and stays in a pool in between.
 ///
 /// A task, the driver, owns the socket. Whoever has the connection ends it by [`close`](Self::close) or
 /// [`close_in_background`](Self::close_in_background). If it is dropped instead, as when the future of an attempt is
--- a/crates/edge-node/src/upstream/mod.rs
+++ b/crates/edge-node/src/upstream/mod.rs
@@ -27,7 +27,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Fraction of the servers' idle timeout for which a connection is kept. A request that is written while the server
+/// Fraction of the servers' idle timeout for which a connection stays in its pool. A request that is written while the server
 /// closes the connection ends with a reset, after which it may have been executed.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 /// Time between two evictions of idle connections.
--- a/crates/edge-node/src/upstream/pool.rs
+++ b/crates/edge-node/src/upstream/pool.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Idle connections that are kept per server at the most.
+/// Maximum number of idle connections per server.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 /// How long a connection rests after a response before it is used again. A second copy of that response which arrives
 /// only after the next request was written would be read as the response to it.
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The simulated gateways, and the endpoint lists that they are told of.
+//! The simulated gateways, and the endpoint lists that they are notified of.
 
 use crate::line::{Line, LineError, LineErrorKind};
 use crate::reply;
@@ -18,12 +18,12 @@
 pub(crate) struct Adapter {
     lists: BTreeMap<u8, Vec<ListedEndpoint>>,
     gateways: BTreeMap<u64, GatewayInstance>,
-    /// The actions of the last event; kept so that their memory is used again.
+    /// The actions of the last event; retained so that their memory is used again.
     actions: Vec<Action>,
 }
 
 impl Adapter {
-    /// Keeps an endpoint list for updates to refer to. It replaces the list that had its number before.
+    /// Stores an endpoint list for updates to refer to. It replaces the list that had its number before.
     pub(crate) fn register_list(&mut self, list: u8, endpoints: Vec<ListedEndpoint>) {
         self.lists.insert(list, endpoints);
     }
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An endpoint of a list. Its zone gets its id only from the settings of the gateway that is told of it.
+/// An endpoint of a list. Its zone gets its id only from the settings of the gateway that is notified of it.
 pub(crate) struct ListedEndpoint {
     zone_name: String,
     /// The endpoint, with a zone that means nothing yet.
