--- a/crates/edge-node/tests/admin.rs
+++ b/crates/edge-node/tests/admin.rs
@@ -15,11 +15,7 @@
 
 /// The same with another drain grace, half of which the first endpoint list is waited for.
 fn config_with_drain_grace(discovery: SocketAddr, millis: u32) -> String {
-    std::fs::read_to_string("../../edge-node.example.toml")
-        .expect("the example")
-        .replace("127.0.0.1:8443", "127.0.0.1:0")
-        .replace("127.0.0.1:8500", &discovery.to_string())
-        .replacen("listen = \"127.0.0.1:7946\"", "listen = \"127.0.0.1:0\"", 1)
+    served_example_config(discovery)
         .replace("deadline_ms = 4_000", "deadline_ms = 60_000")
         .replace(
             "drain_grace_ms = 500",
@@ -30,10 +26,7 @@
 
 /// A request under the example's classes and plans.
 fn read_request(id: &str) -> String {
-    request_text(id, "balance-read", "60000m")
-        .replace("POST", "GET")
-        .replace("Tier: p", "Tier: premier")
-        .replace("Content-Length: 4\r\n\r\ntime", "\r\n")
+    example_read_request(id, "60000m")
 }
 
 /// Where the admin listener of an edge node is.
@@ -117,12 +110,7 @@
             RESPONDS_OK,
             ServerBehavior::NeverRespond,
         ];
-        let entries = [endpoint_entry(
-            "s-1",
-            servers.start("s-1", &behaviors),
-            1,
-            "ready",
-        )];
+        let entries = [servers.start_listed("s-1", &behaviors)];
         let discovery = FakeDiscovery::start(&entries);
         let node = EdgeNode::start_with_toml(tag, &config(discovery.address));
         let admin_address = admin_address(&node);
@@ -248,12 +236,7 @@
 #[test]
 fn the_readiness_probe_follows_the_phase() {
     let servers = FakeServers::new();
-    let entries = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[ServerBehavior::NeverRespond]),
-        1,
-        "ready",
-    )];
+    let entries = [servers.start_listed("s-1", &[ServerBehavior::NeverRespond])];
     let discovery = FakeDiscovery::silent();
     let mut node = EdgeNode::start_with_toml(
         "ready",
@@ -337,12 +320,7 @@
 #[test]
 fn nothing_on_the_admin_port_affects_client_requests() {
     let servers = FakeServers::new();
-    let entries = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let entries = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&entries);
     let mut node = EdgeNode::start_with_toml("noise", &config(discovery.address));
     let address = admin_address(&node);
--- a/crates/edge-node/tests/command.rs
+++ b/crates/edge-node/tests/command.rs
@@ -115,7 +115,7 @@
 fn an_edge_node_that_cannot_listen_ends_with_1_in_one_plain_line() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("an address").to_string();
-    let output = edge_node_command(&["serve", "--config", "../../edge-node.example.toml"])
+    let output = edge_node_command(&["serve", "--config", EXAMPLE_PATH])
         .env("LB_LISTEN", &address)
         .output()
         .expect("it runs");
@@ -175,7 +175,7 @@
 #[test]
 fn serve_ends_with_0_after_sigterm() {
     let discovery = FakeDiscovery::start(&[]);
-    let config = std::fs::read_to_string("../../edge-node.example.toml").expect("the example");
+    let config = example_config();
     let config = config
         .replace("127.0.0.1:8443", "127.0.0.1:0")
         .replace("127.0.0.1:8500", &discovery.address.to_string())
--- /dev/null
+++ b/crates/edge-node/tests/configuration/platform_diagnostics.rs
@@ -0,0 +1,99 @@
+//! What is wrong with a configuration in the platform's JSON, and on which line.
+
+use super::{check, Checked, DiagnosticCase};
+
+/// A configuration in the platform's JSON, which operators rarely write and now and then have to look into.
+pub(super) const PLATFORM: &str = r#"{
+  "name": "n3", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964", "odd": [{}],
+  "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+  "peers": ["127.0.0.1:2", "127.0.0.1:3"], "peer_listen": null,
+  "settings": {
+    "balancers": 2, "me": 0, "zone": "a", "zones": ["a"], "periodUs": 2000, "discovery": "automatic",
+    "ceilings": {"cancel": true, "mayTell": true, "sendCap": 4, "unheardOf": 1},
+    "classes": [
+      {"name": "read", "aimUs": 400000, "deadlineUs": 30000000, "worth": 3.0, "repeat": "read_like"},
+      {"name": "pay", "aimUs": 400000, "deadlineUs": 30000000, "worth": 3.0, "repeat": "non_idempotent"}],
+    "packages": [
+      {"name": "p", "rate": 1.0, "storeSize": 1.0, "price": 1.0}],
+    "rules": {"coldFrom": 0.2, "coldUs": 1000000, "fallMultiple": 3.0, "overloadForUs": 1000000}}}"#;
+
+/// Each diagnostic begins with its line.
+const PLATFORM_DIAGNOSTICS: &[DiagnosticCase] = &[
+    DiagnosticCase::new("127.0.0.1:0", "nowhere", "2: listen: has to be an address"),
+    DiagnosticCase::new(
+        "\"sockets\": 1024",
+        "\"sockets\": 63",
+        "3: limits.sockets: is 63, and has to be 64 or more",
+    ),
+    DiagnosticCase::new(
+        "127.0.0.1:3",
+        "x",
+        "4: peers: has to be a list of addresses",
+    ),
+    DiagnosticCase::new(
+        "\"me\": 0",
+        "\"me\": 2",
+        "6: settings.me: there are only the numbers below 2",
+    ),
+    DiagnosticCase::new(
+        "\"periodUs\": 2000",
+        "\"periodUs\": 2.5",
+        "6: settings.periodUs: has to be a whole number",
+    ),
+    DiagnosticCase::new(
+        "\"zone\": \"a\"",
+        "\"zone\": \"b\"",
+        "6: settings.zone: has to be one of a",
+    ),
+    DiagnosticCase::new(
+        "\"automatic\"",
+        "\"never\"",
+        "6: settings.discovery: has to be one of automatic, subscribe",
+    ),
+    DiagnosticCase::new(
+        "\"cancel\": true",
+        "\"cancel\": 1",
+        "7: settings.ceilings.cancel: has to be true or false",
+    ),
+    DiagnosticCase::new(
+        "\"worth\": 3.0, \"repeat\": \"non",
+        "\"repeat\": \"non",
+        "10: settings.classes[1].worth: is missing",
+    ),
+    DiagnosticCase::new(
+        "\"non_idempotent\"",
+        "\"idempotency_key\"",
+        "10: settings.classes[1].group: is missing",
+    ),
+    DiagnosticCase::new(
+        "\"rate\": 1.0",
+        "\"rate\": -1.0",
+        "12: settings.packages[0].rate: is -1, and has to be 0 or more",
+    ),
+    DiagnosticCase::new(
+        "\"name\": \"p\", ",
+        "\"name\": \"p\", \"name\": \"q\", ",
+        "12: settings.packages[0].name: stands twice",
+    ),
+];
+
+#[test]
+fn diagnostics_of_the_platform_s_json_have_its_own_names() {
+    assert!(
+        check("valid.json", PLATFORM).is_valid,
+        "unknown keys are ignored there"
+    );
+    assert!(
+        check("valid.conf", PLATFORM).is_valid,
+        "its content shows its format"
+    );
+    for (number, case) in PLATFORM_DIAGNOSTICS.iter().enumerate() {
+        let Checked { is_valid, lines } = case.check(&format!("platform-{number}.json"), PLATFORM);
+        let is_reported = lines.len() == 1 && lines[0].starts_with(case.diagnostic);
+        assert!(!is_valid && is_reported, "{}: {lines:?}", case.replacement);
+    }
+    let several = PLATFORM
+        .replace("\"sendCap\": 4, ", "")
+        .replace("\"name\": \"n3\"", "\"name\": []");
+    assert_eq!(check("platform-several.json", &several).lines.len(), 2);
+}
--- a/crates/edge-node/tests/edge/client_disconnect.rs
+++ b/crates/edge-node/tests/edge/client_disconnect.rs
@@ -94,12 +94,7 @@
 /// then the lease is granted.
 fn disconnects_during_a_lease_request(tag: &str, pipelined: usize) {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let large_fleet = |config: String| config.replace(r#""balancers":2"#, r#""balancers":300"#);
     let node = EdgeNode::start_with(tag, discovery.address, &hosts, large_fleet);
@@ -429,12 +424,7 @@
 fn an_id_stays_in_use_while_the_attempt_of_a_disconnected_client_is_in_flight() {
     let servers = FakeServers::new();
     let behaviors = [ServerBehavior::NeverRespond, RESPONDS_OK];
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &behaviors),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &behaviors)];
     let discovery = FakeDiscovery::start(&hosts);
     let node = EdgeNode::start_with("in-use", discovery.address, &hosts, |config| {
         with_slow_connect(config, false)
--- a/crates/edge-node/tests/edge/descriptors.rs
+++ b/crates/edge-node/tests/edge/descriptors.rs
@@ -20,12 +20,7 @@
 #[test]
 fn idle_clients_shut_out_nobody() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let node = EdgeNode::start_with_descriptor_limit("idle", discovery.address, &hosts, 64);
     let mut clients = Vec::new();
@@ -51,12 +46,7 @@
 #[test]
 fn the_edge_node_survives_a_lack_of_descriptors() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let node = EdgeNode::start_with_descriptor_limit("sockets", discovery.address, &hosts, 64);
     let idle: Vec<_> = (0..60).map(|_| node.client()).collect();
@@ -70,12 +60,7 @@
 #[test]
 fn clients_that_connect_with_a_request_together_are_all_answered() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let node =
         EdgeNode::start_with_descriptor_limit("moment", discovery.address, &hosts, MAX_DESCRIPTORS);
@@ -157,7 +142,7 @@
     let servers = FakeServers::new();
     let address = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
     let address = address.expect("an address");
-    let old = endpoint_entry("old", servers.start("old", &[RESPONDS_OK]), 1, "ready");
+    let old = servers.start_listed("old", &[RESPONDS_OK]);
     let node = EdgeNode::start_with_descriptor_limit("filled", address, &[old], MAX_DESCRIPTORS);
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
@@ -214,12 +199,7 @@
         "r".repeat(LARGE_BODY_BYTES)
     );
     let answers = ServerBehavior::Respond(Box::leak(response.into_boxed_str()));
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[answers]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[answers])];
     let discovery = FakeDiscovery::start(&hosts);
     let node =
         EdgeNode::start_with_descriptor_limit("slowly", discovery.address, &hosts, MAX_DESCRIPTORS);
--- a/crates/edge-node/tests/edge/discovery_deadline.rs
+++ b/crates/edge-node/tests/edge/discovery_deadline.rs
@@ -23,12 +23,7 @@
 impl Setup {
     fn start(tag: &str) -> Setup {
         let servers = FakeServers::new();
-        let entries = vec![endpoint_entry(
-            "s-1",
-            servers.start("s-1", &[RESPONDS_OK]),
-            1,
-            "ready",
-        )];
+        let entries = vec![servers.start_listed("s-1", &[RESPONDS_OK])];
         let discovery = FakeDiscovery::silent();
         let node = EdgeNode::start_with(tag, discovery.address, &entries, with_long_drain_grace);
         Setup {
--- a/crates/edge-node/tests/edge/main.rs
+++ b/crates/edge-node/tests/edge/main.rs
@@ -23,12 +23,7 @@
 /// An edge node with one app server, which takes these behaviors in turn; the last one stays in force.
 fn with_one(tag: &str, behaviors: &[ServerBehavior]) -> (FakeServers, FakeDiscovery, EdgeNode) {
     let servers = FakeServers::new();
-    let entries = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", behaviors),
-        1,
-        "ready",
-    )];
+    let entries = [servers.start_listed("s-1", behaviors)];
     let discovery = FakeDiscovery::start(&entries);
     let node = EdgeNode::start(tag, discovery.address, &entries);
     (servers, discovery, node)
--- a/crates/edge-node/tests/edge/peers.rs
+++ b/crates/edge-node/tests/edge/peers.rs
@@ -57,12 +57,7 @@
             .replace(r#"],"known""#, &format!(",{peers}"))
     };
     let servers = FakeServers::new();
-    let entries = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let entries = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let node = EdgeNode::start_with(
         "senders",
         FakeDiscovery::start(&entries).address,
--- a/crates/edge-node/tests/edge/shutdown.rs
+++ b/crates/edge-node/tests/edge/shutdown.rs
@@ -53,12 +53,7 @@
 #[test]
 fn more_clients_than_descriptors_are_answered_while_connections_are_closed() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let mut node = EdgeNode::start_with_descriptor_limit("s-many", discovery.address, &hosts, 64);
     start_shutdown(&node);
--- a/crates/edge-node/tests/edge/start.rs
+++ b/crates/edge-node/tests/edge/start.rs
@@ -29,12 +29,7 @@
 /// All processes have to be ready within the limit. The drain grace is so long that a fraction of it would exceed it.
 fn assert_ready_in_time(tag: &str, discovery: std::net::SocketAddr) {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let long = |config: String| {
         config.replace(r#""drainGraceUs":20000000"#, r#""drainGraceUs":600000000"#)
     };
@@ -101,12 +96,7 @@
 #[test]
 fn a_process_waits_for_addresses_in_use() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let mut before = EdgeNode::start("s-before", discovery.address, &hosts);
     let (listen, datagrams) = (before.address.to_string(), before.datagrams.to_string());
@@ -145,12 +135,7 @@
     let holds = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = holds.local_addr().expect("an address");
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let free = EdgeNode::start("s-free", discovery.address, &hosts);
     let config = free
--- a/crates/edge-node/tests/log.rs
+++ b/crates/edge-node/tests/log.rs
@@ -12,20 +12,16 @@
 
 /// The example under this discovery, with these keys of the log.
 fn config(discovery: &FakeDiscovery, log: &str) -> String {
-    std::fs::read_to_string("../../edge-node.example.toml")
-        .expect("the example")
-        .replace("127.0.0.1:8443", "127.0.0.1:0")
-        .replace("127.0.0.1:8500", &discovery.address.to_string())
-        .replacen("listen = \"127.0.0.1:7946\"", "listen = \"127.0.0.1:0\"", 1)
-        .replacen("[limits]", &format!("[log]\n{log}\n[limits]"), 1)
+    served_example_config(discovery.address).replacen(
+        "[limits]",
+        &format!("[log]\n{log}\n[limits]"),
+        1,
+    )
 }
 
 /// A request of the example's classes and plans.
 fn read(id: &str) -> String {
-    request_text(id, "balance-read", "4000m")
-        .replace("POST", "GET")
-        .replace("Tier: p", "Tier: premier")
-        .replace("Content-Length: 4\r\n\r\ntime", "\r\n")
+    example_read_request(id, "4000m")
 }
 
 /// An event of a log in JSON.
@@ -65,12 +61,7 @@
 #[test]
 fn each_event_that_an_operator_acts_on_has_a_line_and_requests_have_none() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let mut node = EdgeNode::start_with_toml("life", &config(&discovery, ""));
     node.wait_for_log("list 1 applied: the whole list, 1 entries");
@@ -111,12 +102,7 @@
 #[test]
 fn a_request_can_be_followed_by_its_id_once_the_level_is_debug() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OVERLOADED, RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OVERLOADED, RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let mut node = EdgeNode::start_with_toml("debug", &config(&discovery, "format = \"json\""));
     assert_eq!(node.client().exchange(&read("unseen")).status(), 200);
--- a/crates/edge-node/tests/support/client.rs
+++ b/crates/edge-node/tests/support/client.rs
@@ -74,3 +74,11 @@
          {more_headers}\r\n{body}"
     )
 }
+
+/// A request without a body, of a class and a plan of the example configuration.
+pub(crate) fn example_read_request(id: &str, deadline: &str) -> String {
+    request_text(id, "balance-read", deadline)
+        .replace("POST", "GET")
+        .replace("Tier: p", "Tier: premier")
+        .replace("Content-Length: 4\r\n\r\ntime", "\r\n")
+}
--- a/crates/edge-node/tests/support/configuration.rs
+++ b/crates/edge-node/tests/support/configuration.rs
@@ -3,6 +3,9 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// The example configuration for operators, from the folder of the package.
+pub(crate) const EXAMPLE_PATH: &str = "../../edge-node.example.toml";
+
 /// Settings in the form of the platform.
 const SETTINGS: &str = r#"{"balancers":2,"me":0,"zone":"a","zones":["a"],"periodUs":2000,"discovery":"automatic","ceilings":{"cancel":true,"probes":false,"mayTell":true,"secondCopies":false,"sendCap":4,"connIdleUs":15000000,"connectTimeoutUs":250000},"classes":[{"name":"read","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":3.0,"repeat":"read_like"},{"name":"submit","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":2.0,"repeat":"idempotency_key","group":"cell","windowUs":60000000},{"name":"pay","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":9.0,"repeat":"non_idempotent"}],"packages":[{"name":"p","rate":1000.0,"storeSize":1000.0,"price":1.0},{"name":"tiny","rate":0.5,"storeSize":1.0,"price":1.0}],"rules":{"drainGraceUs":20000000,"coldFrom":0.2,"coldUs":1000000,"fallMultiple":3.0,"overloadForUs":1000000},"extra":{"peerInPerS":60.0,"maxUnits":1}}"#;
 
@@ -33,6 +36,19 @@
     }
 }
 
+/// The example configuration for operators.
+pub(crate) fn example_config() -> String {
+    std::fs::read_to_string(EXAMPLE_PATH).expect("the example")
+}
+
+/// The example with this discovery, and with free ports on loopback.
+pub(crate) fn served_example_config(discovery: SocketAddr) -> String {
+    example_config()
+        .replace("127.0.0.1:8443", "127.0.0.1:0")
+        .replace("127.0.0.1:8500", &discovery.to_string())
+        .replacen("listen = \"127.0.0.1:7946\"", "listen = \"127.0.0.1:0\"", 1)
+}
+
 /// Writes a configuration to a file of its own; `name` ends with its extension. Returns its path.
 pub(crate) fn write_config_file(name: &str, config: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("edge-node-{}-{name}", std::process::id()));
--- a/crates/edge-node/tests/support/fake_server.rs
+++ b/crates/edge-node/tests/support/fake_server.rs
@@ -1,5 +1,6 @@
 //! Stand-ins for app servers: each behaves as its test says and reports the requests that arrive.
 
+use super::fake_discovery::endpoint_entry;
 use super::http::HttpMessage;
 use super::TEST_TIMEOUT;
 use std::io::{BufReader, ErrorKind, Write};
@@ -77,6 +78,11 @@
         self.start_sharing(name, &Arc::new(Mutex::new(behaviors.to_vec())))
     }
 
+    /// Starts a server with behaviors of its own; returns its entry of an endpoint list, by which it is ready.
+    pub(crate) fn start_listed(&self, name: &str, behaviors: &[ServerBehavior]) -> String {
+        endpoint_entry(name, self.start(name, behaviors), 1, "ready")
+    }
+
     /// Starts a server that takes its behaviors from a sequence shared with others; returns its address.
     pub(crate) fn start_sharing(&self, name: &str, behaviors: &SharedBehaviors) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/edge-node/tests/support/mod.rs
+++ b/crates/edge-node/tests/support/mod.rs
@@ -10,8 +10,10 @@
 mod http;
 mod node;
 
-pub(crate) use client::{request_text, Client};
-pub(crate) use configuration::write_config_file;
+pub(crate) use client::{example_read_request, request_text, Client};
+pub(crate) use configuration::{
+    example_config, served_example_config, write_config_file, EXAMPLE_PATH,
+};
 pub(crate) use fake_discovery::{
     endpoint_entry, endpoint_list, list_chunk, send_list, FakeDiscovery, WATCH_RESPONSE_HEAD,
 };
