--- a/crates/edge-node/src/admin.rs
+++ b/crates/edge-node/src/admin.rs
@@ -19,16 +19,16 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Connections at a time; more are closed at once. Whoever finds the port could otherwise use up descriptors and
-/// memory.
+/// Maximum number of concurrent connections; further ones are closed immediately. Whoever finds the port could
+/// otherwise use up descriptors and memory.
 const MAX_CONNECTIONS: usize = 8;
-/// A connection has one request and ends within this, whatever comes on it.
+/// A connection carries one request and ends within this time, whatever arrives on it.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Most bytes buffered of a request, which is the least that hyper accepts.
+/// Maximum number of bytes of a request that are buffered, which is the minimum that hyper accepts.
 const MAX_BUFFERED_BYTES: usize = 8192;
 /// Pause after a connection that could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Most open requests shown by `/debug/state`.
+/// Maximum number of open requests shown by `/debug/state`.
 const MAX_SHOWN_REQUESTS: usize = 100;
 
 const TEXT: &str = "text/plain; charset=utf-8";
@@ -159,7 +159,7 @@
             "datagrams": {"sent": status.datagrams_sent, "received": status.datagrams_received},
             "list": {
                 "sequence": status.list_sequence,
-                "age_ms": status.list_age.map(|age| age.as_millis() as u64),
+                "age_ms": status.list_age.map(whole_millis),
                 "servers_ready": status.servers_ready,
                 "watch_lost": self.node.is_watch_lost(),
             },
@@ -171,7 +171,7 @@
         let shown = oldest.into_iter().map(|request| {
             json!({
                 "id": &*request.id.0,
-                "age_ms": request.age.as_millis() as u64,
+                "age_ms": whole_millis(request.age),
                 "attempts": request.attempts,
             })
         });
@@ -179,6 +179,10 @@
     }
 }
 
+fn whole_millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
+}
+
 fn response(
     status: StatusCode,
     content_type: &'static str,
--- a/crates/edge-node/src/metrics/gauges.rs
+++ b/crates/edge-node/src/metrics/gauges.rs
@@ -79,16 +79,23 @@
 
     /// Sets all of them. `uptime` stands for the age of the list before the first one.
     pub(super) fn set(&self, status: &StatusSnapshot, uptime: Duration) {
-        self.open_requests.set(status.open_requests as i64);
+        self.open_requests.set(gauge_value(status.open_requests));
         self.client_connections
-            .set(status.client_connections as i64);
+            .set(gauge_value(status.client_connections));
         self.server_connections
-            .set(status.server_connections as i64);
-        self.open_descriptors.set(status.open_descriptors as i64);
-        self.servers_ready.set(status.servers_ready as i64);
-        self.tracked_entries.set(status.tracked_entries as i64);
+            .set(gauge_value(status.server_connections));
+        self.open_descriptors
+            .set(gauge_value(status.open_descriptors));
+        self.servers_ready.set(gauge_value(status.servers_ready));
+        self.tracked_entries
+            .set(gauge_value(status.tracked_entries));
         self.list_age
             .set(status.list_age.unwrap_or(uptime).as_secs_f64());
-        self.list_sequence.set(status.list_sequence as i64);
+        self.list_sequence.set(gauge_value(status.list_sequence));
     }
 }
+
+/// A count as gauges hold it; one that is too large counts as the largest number.
+fn gauge_value(count: impl TryInto<i64>) -> i64 {
+    count.try_into().unwrap_or(i64::MAX)
+}
--- a/crates/edge-node/src/node/endpoints.rs
+++ b/crates/edge-node/src/node/endpoints.rs
@@ -4,6 +4,7 @@
 use super::Node;
 use crate::endpoint_list::{EndpointEntry, EndpointHealth, EndpointList};
 use crate::upstream::ServerAddress;
+use gateway_core::settings;
 use gateway_core::{
     CellId, Endpoint, EndpointState, EndpointUpdate, Event, ServerId, Timestamp, ZoneId,
 };
@@ -15,9 +16,9 @@
 use tracing::{info, warn};
 
 /// The zone of each server where the settings name no zones: no request crosses a zone boundary then.
-const ONLY_ZONE: u32 = 0;
+const ONLY_ZONE: ZoneId = ZoneId(0);
 /// The zone of a server whose zone the settings don't name.
-const UNKNOWN_ZONE: u32 = u32::MAX;
+const UNKNOWN_ZONE: ZoneId = ZoneId(u32::MAX);
 const MICROS_PER_MILLI: u64 = 1000;
 /// Parameters of the hash FNV-1a, 64 bits.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
@@ -139,10 +140,9 @@
 
 fn zone_id(name: &str, zone_names: &[String]) -> ZoneId {
     if zone_names.is_empty() {
-        return ZoneId(ONLY_ZONE);
+        return ONLY_ZONE;
     }
-    let index = zone_names.iter().position(|known| known == name);
-    ZoneId(index.map_or(UNKNOWN_ZONE, |index| index as u32))
+    settings::zone_by_name(zone_names, name).unwrap_or(UNKNOWN_ZONE)
 }
 
 /// A server's id, the same at every edge node: the FNV-1a hash of its name.
--- a/crates/edge-node/src/peers.rs
+++ b/crates/edge-node/src/peers.rs
@@ -132,8 +132,8 @@
 /// The edge node that sends from each address; where two share one, the one of the lower number.
 fn senders_by_address(addresses: &[SocketAddr]) -> HashMap<SocketAddr, GatewayId> {
     let mut senders = HashMap::new();
-    for (index, address) in addresses.iter().enumerate() {
-        senders.entry(*address).or_insert(GatewayId(index as u32));
+    for (number, address) in (0..).zip(addresses) {
+        senders.entry(*address).or_insert(GatewayId(number));
     }
     senders
 }
--- a/crates/edge-node/tests/unit/endpoints.rs
+++ b/crates/edge-node/tests/unit/endpoints.rs
@@ -30,8 +30,8 @@
 fn a_zone_is_its_place_among_the_names_of_the_settings() {
     let names = zones(&["south", "north"]);
     assert_eq!(zone_id("north", &names), ZoneId(1));
-    assert_eq!(zone_id("elsewhere", &names), ZoneId(UNKNOWN_ZONE));
-    assert_eq!(zone_id("elsewhere", &[]), ZoneId(ONLY_ZONE));
+    assert_eq!(zone_id("elsewhere", &names), UNKNOWN_ZONE);
+    assert_eq!(zone_id("elsewhere", &[]), ONLY_ZONE);
 }
 
 #[test]
--- a/crates/gateway-core/src/settings/mod.rs
+++ b/crates/gateway-core/src/settings/mod.rs
@@ -3,7 +3,7 @@
 mod parse;
 mod validate;
 
-pub use parse::{parse, ParseError, ResolvedSettings};
+pub use parse::{parse, zone_by_name, ParseError, ResolvedSettings};
 pub use validate::SettingsError;
 
 use crate::types::{Endpoint, GatewayId, ZoneId};
--- a/crates/gateway-core/src/settings/parse.rs
+++ b/crates/gateway-core/src/settings/parse.rs
@@ -91,6 +91,14 @@
     })
 }
 
+/// The zone of this name: zones are numbered in the order in which the settings name them. `None` if they don't.
+#[must_use]
+pub fn zone_by_name(zone_names: &[String], name: &str) -> Option<ZoneId> {
+    let mut numbered = (0..).zip(zone_names);
+    let (number, _) = numbered.find(|(_, known)| *known == name)?;
+    Some(ZoneId(number))
+}
+
 #[derive(Deserialize)]
 struct JsonSettings {
     #[serde(rename = "balancers")]
@@ -129,10 +137,7 @@
             // Without zones every server is in the same one.
             return Ok(ZoneId(0));
         }
-        let index = self.zones.iter().position(|name| *name == self.zone);
-        index
-            .map(|index| ZoneId(index as u32))
-            .ok_or(ParseError::UnknownZone)
+        zone_by_name(&self.zones, &self.zone).ok_or(ParseError::UnknownZone)
     }
 }
 
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -1,7 +1,7 @@
 //! Lines of the simulator's protocol as events of a gateway.
 
 use crate::line::{Line, LineError, LineErrorKind};
-use gateway_core::settings::ResolvedSettings;
+use gateway_core::settings::{self, ResolvedSettings};
 use gateway_core::{
     load_report, AttemptNumber, AttemptOutcome, CellId, ClassId, CustomerId, Endpoint,
     EndpointState, EndpointUpdate, Event, GatewayId, GatewaySet, PlanId, RequestId, ServerId,
@@ -19,13 +19,13 @@
 
 impl ListedEndpoint {
     fn resolve(&self, line: &Line, zone_names: &[String]) -> Result<Endpoint, LineError> {
-        let Some(zone) = zone_names.iter().position(|name| *name == self.zone_name) else {
+        let Some(zone) = settings::zone_by_name(zone_names, &self.zone_name) else {
             return Err(line.error(LineErrorKind::UnknownZone {
                 zone: self.zone_name.clone(),
             }));
         };
         Ok(Endpoint {
-            zone: ZoneId(zone as u32),
+            zone,
             ..self.endpoint
         })
     }
