--- a/crates/edge-node/src/bind.rs
+++ b/crates/edge-node/src/bind.rs
@@ -8,17 +8,17 @@
 use tokio::time::Instant;
 
 /// How long an address may stay in use. At a restart the earlier process has been asked to end and holds its addresses
-/// a little longer; a new process that gave up on that would only be started over again.
+/// a little longer; a new process that gave up would only be restarted.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause between two tries.
+/// Pause between two attempts to bind.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Binds by `bind_once`, again and again while the address is in use.
+/// Binds by `bind_once`, which is retried while the address is in use.
 ///
-/// Dropping the future between tries leaves nothing bound.
+/// Dropping the future between attempts leaves nothing bound.
 ///
 /// # Errors
-/// The last error of `bind_once`, with `description` as its context: any error other than an address in use at once,
+/// The last error of `bind_once`, with `description` as its context: any error other than an address in use immediately,
 /// that one after [`RETRY_TIMEOUT`].
 pub(crate) async fn with_retry<T, F: Future<Output = io::Result<T>>>(
     description: impl fmt::Display,
--- a/crates/edge-node/src/clients/connection_table.rs
+++ b/crates/edge-node/src/clients/connection_table.rs
@@ -56,7 +56,7 @@
         self.spawn(stream);
     }
 
-    /// Frees what tasks that have finished still hold.
+    /// Frees the memory of tasks that have finished.
     pub(super) fn reap_finished_tasks(&mut self) {
         while self.tasks.try_join_next().is_some() {}
     }
@@ -94,7 +94,7 @@
             // connection may have become idle meanwhile.
             let _ = tokio::time::timeout(EVICTION_TIMEOUT, self.tasks.join_next()).await;
         }
-        // An abort handle keeps its finished task's memory, so entries must not pile up.
+        // An abort handle retains its finished task's memory, so the number of entries must be bounded.
         if self.entries.len() > self.tasks.len() + MAX_FINISHED_ENTRIES {
             self.remove_finished_entries();
         }
--- a/crates/edge-node/src/clients/read_ahead.rs
+++ b/crates/edge-node/src/clients/read_ahead.rs
@@ -12,12 +12,12 @@
 use tokio::io::{AsyncRead, Interest, ReadBuf, Ready};
 use tokio::net::TcpStream;
 
-/// Most bytes read ahead of one request, which bounds the memory that clients sending at full speed can take.
+/// Maximum number of bytes read ahead of one request, which bounds the memory that clients sending at full speed can take.
 const MAX_READ_AHEAD: usize = 16 * 1024;
 /// Bytes read ahead at a time.
 const READ_AHEAD_CHUNK: usize = 1024;
-/// With that much read ahead, the operating system is asked this often whether it has seen the end. What it knows is
-/// enough: the end of a client that has sent more than the system buffers has not arrived yet.
+/// While the read-ahead buffer is full, the operating system is asked this often whether it has received the end of the
+/// stream. That is enough: the end of a client that has sent more than the system buffers has not arrived yet.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A connection shared by the HTTP server, which reads and writes, and by whoever watches for its end. The socket is
--- a/crates/edge-node/src/clients/request.rs
+++ b/crates/edge-node/src/clients/request.rs
@@ -22,10 +22,10 @@
 const READINESS_PATH: &str = "/-/ready";
 /// Part of a client's timeout that is reserved for the transfer of the response.
 const RESPONSE_DELIVERY_TIME: Duration = Duration::from_millis(5);
-/// How long after its deadline a request fails that the decision module has not ended by then.
+/// Time after its deadline at which a request fails if the decision module has not ended it.
 const ANSWER_GRACE: Duration = Duration::from_millis(2);
-/// How long a body may take, counted from its head. Without a limit, clients whose bodies stop half-way would hold
-/// memory and connections.
+/// Maximum time from the head of a request to the end of its body. Without a limit, clients whose bodies stop half-way
+/// would hold memory and connections.
 const BODY_READ_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// The client has disconnected: there is nobody to respond to.
@@ -58,7 +58,7 @@
     request.method() == Method::GET && request.uri().path() == READINESS_PATH
 }
 
-/// A request that came whole, in the forms for the decision module and for the servers.
+/// A request that is complete, in the forms for the decision module and for the servers.
 struct AdmittedRequest {
     /// For the decision module.
     event: Event,
@@ -74,7 +74,7 @@
     Ok(AdmittedRequest::new(head, parts, body))
 }
 
-/// Reads a body whole, within its limits of size and time.
+/// Reads a complete body, within its limits of size and time.
 ///
 /// Nothing is read of a body that is too large or that should not be there. Memory for a large one is reserved while
 /// it is read; the reservation is released when this returns or is dropped.
@@ -93,7 +93,7 @@
 }
 
 impl AdmittedRequest {
-    /// The client's timeout starts to run: the request is whole at this moment.
+    /// The client's timeout begins here: the request is complete at this moment.
     fn new(head: RequestHead, parts: Parts, body: Bytes) -> AdmittedRequest {
         let client_timeout = head.client_timeout.saturating_sub(RESPONSE_DELIVERY_TIME);
         let deadline = Instant::now() + client_timeout;
@@ -158,10 +158,10 @@
         biased;
         answered = tokio::time::timeout_at(last_moment, answer) => match answered {
             Ok(Ok(answer)) => Ok(answer),
-            // No request may stay open for ever: past its last moment it fails, whatever the decision module does.
+            // No request may stay open without end: past its last moment it fails, whatever the decision module does.
             _ => Ok(Answer::Failed),
         },
-        // Attempts for a client that has gone are wasted work. hyper does not notice a close that stands behind
+        // Attempts for a client that has disconnected are wasted work. hyper does not notice a close that stands behind
         // further pipelined requests, so the stream itself is watched.
         () = stream.wait_for_client_close() => Err(ClientDisconnected),
     }
--- a/crates/edge-node/src/metrics/gauges.rs
+++ b/crates/edge-node/src/metrics/gauges.rs
@@ -1,4 +1,4 @@
-//! Metrics that are read when they are asked for, and not counted as things happen.
+//! Metrics that are read when they are asked for, and not counted as events happen.
 
 use super::register;
 use prometheus_client::metrics::gauge::Gauge;
@@ -9,7 +9,7 @@
 /// Prometheus' default gauges hold integers.
 type GaugeF64 = Gauge<f64, AtomicU64>;
 
-/// Figures that are read when they are asked for, and not counted as things happen.
+/// Values that are read when they are asked for, and not counted as events happen.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StatusSnapshot {
     /// Requests without a final answer.
--- a/crates/edge-node/src/metrics/mod.rs
+++ b/crates/edge-node/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! The figures that an operator's monitoring reads. Labels are names from the settings and outcomes: no customer,
+//! The metrics that an operator's monitoring reads. Labels are names from the settings and outcomes: no customer,
 //! server or request is among them, so that the number of series is bounded.
 
 mod gauges;
@@ -21,10 +21,11 @@
 
 /// What the name of each metric begins with.
 const NAME_PREFIX: &str = "edge_node";
-/// Upper bound of the first latency bucket, in seconds.
-const FIRST_LATENCY_BUCKET: f64 = 0.001;
-/// Each latency bucket is so many times as wide as the one before.
+/// Upper bound of the first latency bucket.
+const FIRST_LATENCY_BUCKET_SECONDS: f64 = 0.001;
+/// Each latency bucket is this many times as wide as the one before.
 const LATENCY_BUCKET_FACTOR: f64 = 2.0;
+/// The number of latency buckets.
 const LATENCY_BUCKETS: u16 = 14;
 
 type Labels = Vec<(&'static str, String)>;
@@ -160,8 +161,11 @@
     settings: &ResolvedSettings,
 ) -> Vec<Histogram> {
     let new_histogram: fn() -> Histogram = || {
-        let buckets =
-            exponential_buckets(FIRST_LATENCY_BUCKET, LATENCY_BUCKET_FACTOR, LATENCY_BUCKETS);
+        let buckets = exponential_buckets(
+            FIRST_LATENCY_BUCKET_SECONDS,
+            LATENCY_BUCKET_FACTOR,
+            LATENCY_BUCKETS,
+        );
         Histogram::new(buckets)
     };
     let family = Family::<Labels, Histogram>::new_with_constructor(new_histogram);
--- a/crates/edge-node/src/node/attempts.rs
+++ b/crates/edge-node/src/node/attempts.rs
@@ -60,15 +60,14 @@
 }
 
 impl Node {
-    /// Sends the next attempt of a request to a server; `timeout` is in microseconds, none beyond the request's
-    /// deadline.
+    /// Sends the next attempt of a request to a server. It ends after `timeout`, or at the request's deadline.
     pub(super) fn start_attempt(
         self: &Rc<Self>,
         id: RequestId,
         server: ServerId,
         timeout: Option<Duration>,
     ) {
-        // The decision module is notified immediately when a request is answered or abandoned, and sends no such request.
+        // The decision module is notified when a request is answered or abandoned, and sends no such request.
         let Some(NextAttempt { request, number }) = self.requests.next_attempt(&id) else {
             return;
         };
@@ -146,7 +145,7 @@
     }
 }
 
-/// When an attempt ends at the latest: after its own timeout, and not after its request's deadline.
+/// The latest end of an attempt: its own timeout from now, or its request's deadline if that is earlier.
 fn attempt_deadline(timeout: Option<Duration>, request_deadline: Instant) -> Instant {
     let own_deadline = timeout.and_then(|timeout| Instant::now().checked_add(timeout));
     own_deadline.map_or(request_deadline, |own| own.min(request_deadline))
--- a/crates/edge-node/src/node/status.rs
+++ b/crates/edge-node/src/node/status.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// Descriptors that this process holds; 0 where the system doesn't tell.
+/// Descriptors that this process holds; 0 where the system doesn't say.
 fn open_descriptors() -> usize {
     // The directory that is read is open itself, and does not count.
     std::fs::read_dir(DESCRIPTOR_DIRECTORY).map_or(0, |entries| entries.count().saturating_sub(1))
--- a/crates/edge-node/src/reload.rs
+++ b/crates/edge-node/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reload on SIGHUP: the configuration is read again and applied whole or not at all.
+//! Reload on SIGHUP: the configuration is read again and applied completely or not at all.
 
 use crate::config::schema::RestartValues;
 use crate::config::Config;
@@ -17,9 +17,9 @@
     pub(crate) path: PathBuf,
     /// The values that the process was started with.
     pub(crate) started_with: RestartValues,
-    /// Takes the address of discovery.
+    /// Receives the address of discovery.
     pub(crate) discovery: watch::Sender<SocketAddr>,
-    /// Takes the log level.
+    /// Receives the log level.
     pub(crate) log: Log,
 }
 
--- a/crates/edge-node/src/shutdown.rs
+++ b/crates/edge-node/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown after SIGTERM: announce it, serve what still comes, then close.
+//! Graceful shutdown after SIGTERM: fail the readiness probe, serve requests that still arrive, then close.
 
 use crate::clients::Phase;
 use crate::node::Node;
@@ -8,14 +8,14 @@
 use tokio::task::JoinHandle;
 use tracing::{info, warn};
 
-/// After SIGTERM new connections keep arriving for at least this long, and are accepted meanwhile.
+/// Time after SIGTERM during which new connections still arrive and are accepted.
 const DRAIN_PERIOD: Duration = Duration::from_millis(600);
 
-/// A shutdown and all that it has to do with.
+/// A shutdown, and what it needs.
 pub(crate) struct Shutdown {
     /// The node, whose open requests are logged.
     pub(crate) node: Rc<Node>,
-    /// Tells clients' connections and the admin listener how far the shutdown is.
+    /// Notifies clients' connections and the admin listener of the phase.
     pub(crate) phase: watch::Sender<Phase>,
     /// The task that serves clients.
     pub(crate) clients: JoinHandle<()>,
@@ -32,7 +32,7 @@
         self.wait_for_clients().await;
     }
 
-    /// From here on the readiness probe fails and each answer closes its connection; what comes is served.
+    /// From here on the readiness probe fails and each answer closes its connection; new requests are served.
     fn start_draining(&self) {
         let open = self.node.open_requests();
         info!(
@@ -49,7 +49,7 @@
         self.phase.send_replace(Phase::Closing);
     }
 
-    /// Waits until each client has its answer. A client that never reads its answer would hold up the exit for ever, so
+    /// Waits until each client has its answer. A client that never reads its answer would delay the exit without end, so
     /// the wait ends when the last deadline has passed.
     async fn wait_for_clients(self) {
         let ended = tokio::time::timeout(self.longest_deadline, self.clients).await;
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -17,7 +17,7 @@
 }
 
 impl fmt::Display for ActionLine<'_> {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let gateway = self.gateway;
         match self.action {
             Action::SendAttempt {
@@ -25,23 +25,35 @@
                 server,
                 timeout,
             } => {
-                write!(f, "send\ti={gateway}\tcall={}\tserver={}", id.0, server.0)?;
-                write_optional(f, "tryForUs", *timeout)
+                write!(
+                    formatter,
+                    "send\ti={gateway}\tcall={}\tserver={}",
+                    id.0, server.0
+                )?;
+                write_optional(formatter, "tryForUs", *timeout)
             }
             Action::Reject { id, retry_after } => {
-                write!(f, "not_now\ti={gateway}\tcall={}", id.0)?;
-                write_optional(f, "retryInUs", *retry_after)
+                write!(formatter, "not_now\ti={gateway}\tcall={}", id.0)?;
+                write_optional(formatter, "retryInUs", *retry_after)
             }
-            Action::Fail { id } => write!(f, "finish_error\ti={gateway}\tcall={}", id.0),
+            Action::Fail { id } => write!(formatter, "finish_error\ti={gateway}\tcall={}", id.0),
             Action::CancelAttempt { id, attempt } => {
-                write!(f, "revoke\ti={gateway}\tcall={}\tshot={}", id.0, attempt.0)
+                write!(
+                    formatter,
+                    "revoke\ti={gateway}\tcall={}\tshot={}",
+                    id.0, attempt.0
+                )
             }
             Action::Broadcast { bytes } => {
-                write!(f, "tell\ti={gateway}\taddressee=*\tblob={}", Hex(bytes))
+                write!(
+                    formatter,
+                    "tell\ti={gateway}\taddressee=*\tblob={}",
+                    Hex(bytes)
+                )
             }
             Action::SendToPeer { to, bytes } => {
                 write!(
-                    f,
+                    formatter,
                     "tell\ti={gateway}\taddressee={}\tblob={}",
                     to.0,
                     Hex(bytes)
@@ -49,21 +61,25 @@
             }
             Action::SetTimer { after, token } => {
                 write!(
-                    f,
+                    formatter,
                     "defer\ti={gateway}\tdelayUs={}\tnonce={token}",
                     after.as_micros()
                 )
             }
-            Action::WatchEndpoints => write!(f, "track\ti={gateway}\tactive=1"),
-            Action::Warn(warning) => write!(f, "say_log\ti={gateway}\twords={warning}"),
+            Action::WatchEndpoints => write!(formatter, "track\ti={gateway}\tactive=1"),
+            Action::Warn(warning) => write!(formatter, "say_log\ti={gateway}\twords={warning}"),
         }
     }
 }
 
 /// Writes a duration in µs, as a field that is left out if it has no value.
-fn write_optional(f: &mut fmt::Formatter<'_>, field: &str, value: Option<Duration>) -> fmt::Result {
+fn write_optional(
+    formatter: &mut fmt::Formatter<'_>,
+    field: &str,
+    value: Option<Duration>,
+) -> fmt::Result {
     match value {
-        Some(value) => write!(f, "\t{field}={}", value.as_micros()),
+        Some(value) => write!(formatter, "\t{field}={}", value.as_micros()),
         None => Ok(()),
     }
 }
@@ -72,12 +88,12 @@
 struct Hex<'a>(&'a [u8]);
 
 impl fmt::Display for Hex<'_> {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.0.is_empty() {
-            return f.write_str("-");
+            return formatter.write_str("-");
         }
         for byte in self.0 {
-            write!(f, "{byte:02x}")?;
+            write!(formatter, "{byte:02x}")?;
         }
         Ok(())
     }
