--- a/crates/edge-node/tests/edge/descriptors.rs
+++ b/crates/edge-node/tests/edge/descriptors.rs
@@ -3,7 +3,7 @@
 
 use super::support::*;
 use socket2::{Domain, Socket, Type};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
@@ -142,10 +142,10 @@
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_servers_and_readiness_probes() {
     let servers = FakeServers::new();
-    let address = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
-    let address = address.expect("an address");
+    let down = RefusingAddress::reserve();
     let old = servers.start_listed("old", &[RESPONDS_OK]);
-    let node = EdgeNode::start_with_descriptor_limit("filled", address, &[old], MAX_DESCRIPTORS);
+    let node =
+        EdgeNode::start_with_descriptor_limit("filled", down.address, &[old], MAX_DESCRIPTORS);
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
         scope.spawn(|| hold_idle_connections(node.address, &stop));
@@ -168,7 +168,7 @@
                 )
             })
             .collect();
-        let discovery = FakeDiscovery::restart_at(address, endpoint_list(7, true, &new));
+        let discovery = FakeDiscovery::start_at(down, endpoint_list(7, true, &new));
         discovery.next_watch();
         assert_answered(&node, |_| READY.to_owned());
         let mut number = 0;
--- a/crates/edge-node/tests/edge/retries.rs
+++ b/crates/edge-node/tests/edge/retries.rs
@@ -2,7 +2,6 @@
 
 use super::support::*;
 use super::with_one;
-use std::net::TcpListener;
 use std::time::Instant;
 
 /// An edge node with two app servers in these cells. The first attempt meets one behavior, all
@@ -79,11 +78,10 @@
 #[test]
 fn a_refused_connection_proves_that_nothing_was_executed() {
     let servers = FakeServers::new();
-    let refusing = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
-    let refusing = refusing.expect("an address");
+    let refusing = RefusingAddress::reserve();
     let accepting = servers.start("s-2", &[RESPONDS_OK]);
     let entries = [
-        endpoint_entry("s-1", refusing, 1, "ready"),
+        endpoint_entry("s-1", refusing.address, 1, "ready"),
         endpoint_entry("s-2", accepting, 2, "ready"),
     ];
     let discovery = FakeDiscovery::start(&entries);
--- a/crates/edge-node/tests/edge/start.rs
+++ b/crates/edge-node/tests/edge/start.rs
@@ -89,8 +89,8 @@
             let _ = stream.write_all(busy);
         }),
     );
-    let nobody = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
-    assert_ready_in_time("s-down", nobody.expect("an address"));
+    let nobody = RefusingAddress::reserve();
+    assert_ready_in_time("s-down", nobody.address);
 }
 
 /// A process that ended because its address is still in use would count as a crash, so it waits for
--- a/crates/edge-node/tests/edge/watch.rs
+++ b/crates/edge-node/tests/edge/watch.rs
@@ -122,13 +122,9 @@
 #[test]
 fn an_edge_node_starts_and_serves_while_discovery_is_down() {
     let release = Release::new();
-    let nobody =
-        std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
+    let nobody = RefusingAddress::reserve();
     let silent = FakeDiscovery::silent();
-    for (tag, address) in [
-        ("down", nobody.expect("an address")),
-        ("silent", silent.address),
-    ] {
+    for (tag, address) in [("down", nobody.address), ("silent", silent.address)] {
         let node = EdgeNode::start_with(tag, address, &release.before(), |config| {
             with_drain_grace(config, 500_000)
         });
@@ -290,9 +286,8 @@
 
 #[test]
 fn the_log_gives_the_cause_of_a_lost_watch_in_fixed_words() {
-    let nobody =
-        std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
-    let node = EdgeNode::start("c-down", nobody.expect("an address"), &[]);
+    let nobody = RefusingAddress::reserve();
+    let node = EdgeNode::start("c-down", nobody.address, &[]);
     assert_eq!(
         cause_of_lost_watch(&node),
         "Connection refused (os error 111)"
--- a/crates/edge-node/tests/support/fake_discovery.rs
+++ b/crates/edge-node/tests/support/fake_discovery.rs
@@ -1,6 +1,7 @@
 //! A stand-in for the agent of discovery, and lists in the form in which it sends them.
 
 use super::http::HttpMessage;
+use super::refusing_address::RefusingAddress;
 use super::TEST_TIMEOUT;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -38,9 +39,9 @@
         FakeDiscovery::listen_anywhere(None)
     }
 
-    /// Starts one at the address of an earlier one, with this list.
-    pub(crate) fn restart_at(address: SocketAddr, list: String) -> FakeDiscovery {
-        FakeDiscovery::listen(TcpListener::bind(address).expect("its port"), Some(list))
+    /// Starts one at an address that has refused connections so far, with this list.
+    pub(crate) fn start_at(address: RefusingAddress, list: String) -> FakeDiscovery {
+        FakeDiscovery::listen(address.listen(), Some(list))
     }
 
     fn listen_anywhere(initial_list: Option<String>) -> FakeDiscovery {
--- a/crates/edge-node/tests/support/mod.rs
+++ b/crates/edge-node/tests/support/mod.rs
@@ -10,6 +10,7 @@
 mod fake_server;
 mod http;
 mod node;
+mod refusing_address;
 
 pub(crate) use client::{example_read_request, request_text, Client};
 pub(crate) use configuration::{
@@ -24,6 +25,7 @@
 };
 pub(crate) use http::HttpMessage;
 pub(crate) use node::{edge_node_command, spawn_edge_node, EdgeNode};
+pub(crate) use refusing_address::RefusingAddress;
 
 use std::time::Duration;
 
