--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -145,7 +145,7 @@
     fn answer(&self, id: &RequestId, answer: FinalAnswer) {
         let now = self.environment.clock.now();
         self.environment
-            .ledger
+            .checker
             .borrow_mut()
             .answered(now, &id.0, ReceivedAnswer::Genuine(answer));
         if let Some(open) = self.open_requests.borrow_mut().remove(id) {
@@ -169,19 +169,7 @@
                 attempts: 0,
             },
         );
-        let customer = request.customer;
-        self.post(Event::RequestReceived {
-            id: id.clone(),
-            class: ClassId(request.class),
-            plan: customer.plan,
-            customer: customer.id,
-            units: f64::from(request.units),
-            gateways: GatewaySet {
-                first: customer.first_node,
-                count: customer.node_count,
-            },
-            client_timeout: CLIENT_TIMEOUT,
-        });
+        self.post(request_event(id, request));
         let time_left = give_up_at.duration_since(self.environment.clock.now());
         let answer = tokio::time::timeout(time_left, receiver)
             .await
@@ -233,12 +221,12 @@
             .servers
             .iter()
             .find(|other| other.id == server)?;
-        environment.ledger.borrow_mut().attempt_arrived(
+        environment.checker.borrow_mut().attempt_arrived(
             environment.clock.now(),
             &id.0,
             server.id,
         )?;
-        Some(server.handle_attempt(&environment.ledger, &id.0).await)
+        Some(server.handle_attempt(&environment.checker, &id.0).await)
     }
 
     fn finish_attempt(
@@ -262,7 +250,7 @@
             self.answer(&id, FinalAnswer::Served);
         }
         let closed = !self.open_requests.borrow().contains_key(&id);
-        let reported_load = reply.map(|reply| reply.held as f64);
+        let reported_load = reply.map(|reply| reply.in_flight as f64);
         self.post(Event::AttemptFinished {
             id,
             attempt,
@@ -272,3 +260,19 @@
         });
     }
 }
+
+fn request_event(id: &RequestId, request: &PlannedRequest) -> Event {
+    let customer = request.customer;
+    Event::RequestReceived {
+        id: id.clone(),
+        class: ClassId(request.class),
+        plan: customer.plan,
+        customer: customer.id,
+        units: f64::from(request.units),
+        gateways: GatewaySet {
+            first: customer.first_node,
+            count: customer.node_count,
+        },
+        client_timeout: CLIENT_TIMEOUT,
+    }
+}
--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -62,7 +62,7 @@
         let context = Context {
             now,
             deployment: &self.deployment,
-            fleet: &self.fleet,
+            fleet: self.servers.estimates(),
         };
         let request = self.requests.get_mut(id)?;
         let limit = self.controller.limit();
@@ -76,6 +76,29 @@
         }
     }
 
+    /// Servers that may be chosen from now.
+    fn selectable_servers(&mut self, now: Timestamp) -> Vec<ServerId> {
+        self.servers.selectable(
+            now,
+            &self.deployment,
+            self.attempts.count(),
+            self.timers.next_control_tick,
+            &mut self.random,
+        )
+    }
+
+    /// The server for a request, of the selectable ones.
+    fn pick_server(
+        &mut self,
+        now: Timestamp,
+        id: &RequestId,
+        selectable: &[ServerId],
+    ) -> Option<ServerId> {
+        let request = self.requests.get(id)?;
+        self.servers
+            .choose(now, &self.deployment, request, selectable, &mut self.random)
+    }
+
     fn queue_by_priority(&self, now: Timestamp) -> Vec<RequestId> {
         let context = self.context(now);
         let queued = self.requests.queued();
@@ -93,11 +116,15 @@
         server_id: ServerId,
         actions: &mut Vec<Action>,
     ) {
-        let next_probe_at = self.next_probe_at(now);
+        let next_probe_at = self.servers.next_probe_at(now, &mut self.random);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(mut server) = self.servers.get_mut(now, &server_id) else {
+        let class = request.class();
+        let Some(server_in_flight) =
+            self.servers
+                .record_attempt_sent(now, &server_id, class, next_probe_at)
+        else {
             return;
         };
         let first = !request.was_sent();
@@ -107,13 +134,8 @@
         if first {
             self.retry_budget.first_attempt_sent();
         }
-        server.in_flight += 1;
-        server.slow_start_credit -= 1.0;
-        if let Some(at) = &mut server.health[request.class().0].next_probe_at {
-            *at = next_probe_at;
-        }
         let number = request.attempt_sent(server_id);
-        let attempt = request.attempt_record(server_id, now, f64::from(server.in_flight));
+        let attempt = request.attempt_record(server_id, now, server_in_flight);
         self.attempts.insert(
             AttemptKey {
                 request: id.clone(),
@@ -149,7 +171,14 @@
             .get(&id)
             .is_some_and(Request::is_cancelled_or_streaming);
         let was_stalled = was_cancelled && outcome == AttemptOutcome::Cancelled;
-        self.observe_attempt(now, &attempt, &result, was_stalled);
+        self.servers.observe_attempt(
+            now,
+            &self.deployment,
+            &attempt,
+            &result,
+            was_stalled,
+            &mut self.random,
+        );
         if outcome == AttemptOutcome::Success {
             self.observe_success(now, &attempt);
         }
@@ -161,9 +190,9 @@
             return self.remove_request(&id, actions);
         }
         if outcome.may_have_executed() && request.possible_execution().is_none() {
-            let server = self.servers.get(&attempt.server);
-            request.possibly_executed(server.map(|server| PossibleExecution {
-                endpoint: server.endpoint,
+            let endpoint = self.servers.endpoint(&attempt.server);
+            request.possibly_executed(endpoint.map(|endpoint| PossibleExecution {
+                endpoint,
                 sent_at: attempt.sent_at,
             }));
         }
@@ -194,7 +223,7 @@
 
     fn remove_attempt(&mut self, key: &AttemptKey) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
-        self.servers.attempt_finished(&attempt.server);
+        self.servers.record_attempt_finished(&attempt.server);
         if let Some(bucket) = self.quotas.local.get_mut(&attempt.customer) {
             bucket.attempt_finished();
         }
@@ -202,7 +231,7 @@
     }
 
     fn observe_success(&mut self, now: Timestamp, attempt: &Attempt) {
-        self.fleet.completed_since_tick += 1.0;
+        self.servers.estimates_mut().count_answer();
         let class = &self.deployment.settings.classes[attempt.class.0];
         let latency = now.micros_since(attempt.eligible_since);
         self.latencies
--- a/crates/gateway-core/src/policy/fleet_mode.rs
+++ b/crates/gateway-core/src/policy/fleet_mode.rs
@@ -11,7 +11,6 @@
 use super::retry_budget::RetryBudget;
 use crate::settings::Settings;
 use crate::state::deployment::FleetMode;
-use crate::state::server_view::Fading;
 use crate::time::DurationExt;
 use std::time::Duration;
 
@@ -21,8 +20,6 @@
 const BROADCAST_INTAKE_FRACTION: f64 = 0.7;
 /// Interval between broadcasts from which on usage is known too late to share quotas by it.
 const MIN_LEASES_BROADCAST_INTERVAL: Duration = Duration::from_millis(500);
-/// Weight of one gateway's sample in the throughput of a large fleet.
-pub(crate) const THROUGHPUT_WEIGHT: f64 = 0.05;
 
 /// The shortest interval between broadcasts of usage that the peers' intake allows; `None` if there are no
 /// peers, or no messages are exchanged.
@@ -46,55 +43,7 @@
     }
 }
 
-/// Figures that differ between the modes.
-pub(crate) struct ModeParameters {
-    /// Ready servers up to which all are walked; beyond, each choice looks at a sample.
-    pub(crate) max_walked_servers: usize,
-    /// How observations of servers fade. In a small fleet a wait that is ten times too long is over in 5 s;
-    /// in a large one a gateway sees a server seldom. There reported loads count, too: latency tells of a
-    /// queue only once it was waited out, and by then hundreds of gateways have sent more.
-    pub(crate) fading: Fading,
-    /// Weight of this gateway's own sample at a control tick in the mean throughput.
-    pub(crate) throughput_weight: f64,
-    /// Least failure rate that one stalled attempt proves: less where each gateway sees few.
-    pub(crate) stall_failure_rate: f64,
-    /// Of two in the middle of ascending values, whether the median is the lesser: of a pair of servers, one
-    /// that stays unused then sets no mark for itself. Large fleets were not measured with that.
-    pub(crate) lesser_median: bool,
-}
-
-const GOSSIP: ModeParameters = ModeParameters {
-    max_walked_servers: usize::MAX,
-    fading: Fading {
-        wait_half_life: 1e6,
-        load_half_life: None,
-        min_warm_up_fraction: 0.1,
-    },
-    throughput_weight: 0.125,
-    stall_failure_rate: 1.0,
-    lesser_median: true,
-};
-
-const LEASES: ModeParameters = ModeParameters {
-    max_walked_servers: 200,
-    fading: Fading {
-        wait_half_life: 5e6,
-        load_half_life: Some(1.5e6),
-        min_warm_up_fraction: 0.1,
-    },
-    throughput_weight: THROUGHPUT_WEIGHT,
-    stall_failure_rate: 0.5,
-    lesser_median: false,
-};
-
 impl FleetMode {
-    pub(crate) fn parameters(self) -> &'static ModeParameters {
-        match self {
-            FleetMode::Gossip => &GOSSIP,
-            FleetMode::Leases => &LEASES,
-        }
-    }
-
     /// What the fuzzy controller observes in a fleet of this mode.
     pub(crate) fn controller_inputs(self) -> &'static dyn ControllerInputs {
         match self {
