--- a/crates/edge-node/tests/configuration/applied_values.rs
+++ b/crates/edge-node/tests/configuration/applied_values.rs
@@ -71,26 +71,29 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("it starts");
-    let (asked, _watch) = discovery.next_watch();
-    assert!(asked.contains("watch=1"));
+    let (request_line, _watch) = discovery.next_watch();
+    assert!(request_line.contains("watch=1"));
     child.kill().expect("it runs");
     let output = child.wait_with_output().expect("it ends");
     let _ = std::fs::remove_file(&path);
-    let said = String::from_utf8_lossy(&output.stderr);
+    let output_text = String::from_utf8_lossy(&output.stderr);
     assert!(
-        said.lines()
+        output_text
+            .lines()
             .next()
             .is_some_and(|line| line.contains("other: listening on 127.0.0.1:")),
-        "{said}"
+        "{output_text}"
     );
     let bad = edge_node_command(&["serve", "--config", EXAMPLE_PATH])
         .env("LB_DISCOVERY", "x")
         .output()
         .expect("it runs");
-    let said = String::from_utf8_lossy(&bad.stderr);
+    let output_text = String::from_utf8_lossy(&bad.stderr);
     assert!(
-        bad.status.code() == Some(1) && said.contains("LB_DISCOVERY") && said.lines().count() == 1,
-        "{said}"
+        bad.status.code() == Some(1)
+            && output_text.contains("LB_DISCOVERY")
+            && output_text.lines().count() == 1,
+        "{output_text}"
     );
 }
 
@@ -110,22 +113,22 @@
         text.replacen("max_attempts = 0", "max_attempts = 4", 1)
             .replacen("units_per_s = 2.5", "units_per_s = 3.5", 1)
     });
-    let said = node.wait_for_log("reloaded");
+    let reload_line = node.wait_for_log("reloaded");
     let waits = format!(
         "discovery at {}; waiting for a restart: plans[].units_per_s, requests.max_attempts",
         new.address
     );
-    assert!(said.ends_with(&waits), "{said}");
+    assert!(reload_line.ends_with(&waits), "{reload_line}");
     new.next_watch();
     // The file is as it was at the start, so nothing requires a restart any more.
     node.reload(|text| {
         text.replacen("max_attempts = 4", "max_attempts = 5", 1)
             .replacen("units_per_s = 3.5", "units_per_s = 2.5", 1)
     });
-    let said = node.wait_for_log("reloaded");
+    let reload_line = node.wait_for_log("reloaded");
     assert!(
-        said.ends_with(&format!("discovery at {}", new.address)),
-        "{said}"
+        reload_line.ends_with(&format!("discovery at {}", new.address)),
+        "{reload_line}"
     );
     assert!(node.is_running());
 }
--- a/crates/edge-node/tests/edge/client_disconnect.rs
+++ b/crates/edge-node/tests/edge/client_disconnect.rs
@@ -49,9 +49,9 @@
         with_one("gone", &[ServerBehavior::NeverRespond, RESPONDS_OK]);
     let mut client = node.client();
     client.send(&request_text("a", "pay", "20000m"));
-    let got = servers.next_request();
+    let received = servers.next_request();
     client.close();
-    assert!(is_closed_in_time(&got));
+    assert!(is_closed_in_time(&received));
     assert_eq!(
         node.client()
             .exchange(&request_text("b", "pay", "20000m"))
@@ -66,13 +66,14 @@
     let (servers, _discovery, node) = with_one(tag, &[ServerBehavior::NeverRespond, RESPONDS_OK]);
     let mut client = node.client();
     client.send(&request_text("a", "pay", "20000m"));
-    let got = servers.next_request();
+    let received = servers.next_request();
     client.send(&pipelined_requests(count));
     client.close();
-    got.stream
+    received
+        .stream
         .set_read_timeout(Some(TEST_TIMEOUT / 6))
         .expect("a time-out");
-    let ends = got.stream.peek(&mut [0]);
+    let ends = received.stream.peek(&mut [0]);
     assert!(
         !ends.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock),
         "the attempt is still in flight"
@@ -168,8 +169,9 @@
         wait_until_read(&node);
         servers.assert_no_more_requests();
         disconnect(leaving, pipelined, &node);
-        for (mut got, client) in in_flight.into_iter().zip(&mut staying) {
-            got.stream
+        for (mut received, client) in in_flight.into_iter().zip(&mut staying) {
+            received
+                .stream
                 .write_all(OK_RESPONSE)
                 .expect("the attempt is still in flight");
             assert_eq!(client.read_response().expect("an answer").status(), 200);
@@ -282,7 +284,7 @@
     }
 }
 
-/// What a late server got.
+/// What a late server received.
 struct Accepted {
     connections: usize,
     written: Vec<u8>,
@@ -375,14 +377,15 @@
                 let (_, mut watch) = discovery.next_watch();
                 let mut client = node.client();
                 client.send(&request_text("a", "read", "20000m"));
-                let mut got = servers.next_request();
+                let mut received = servers.next_request();
                 let moved = [
                     endpoint_entry("s-1", first, 1, "draining"),
                     endpoint_entry("late", dial, 1, "ready"),
                 ];
                 send_list(&mut watch, &endpoint_list(2, false, &moved));
                 wait_until_read(&node);
-                got.stream
+                received
+                    .stream
                     .write_all(b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
                     .expect("the attempt is in flight");
                 // Long enough for the answer to be read.
--- a/crates/edge-node/tests/edge/descriptors.rs
+++ b/crates/edge-node/tests/edge/descriptors.rs
@@ -18,7 +18,7 @@
 
 /// Clients that sent one request and stay, and some that never send one, do not shut out another.
 #[test]
-fn idle_clients_shut_out_nobody() {
+fn idle_clients_do_not_block_other_clients() {
     let servers = FakeServers::new();
     let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
--- a/crates/edge-node/tests/edge/discovery_deadline.rs
+++ b/crates/edge-node/tests/edge/discovery_deadline.rs
@@ -154,7 +154,7 @@
 /// SIGHUP, during an attempt that hangs and during a backoff, opens a watch at the address in the
 /// file at once.
 #[test]
-fn sighup_during_an_attempt_or_a_backoff_reconnects_at_once() {
+fn sighup_during_an_attempt_or_a_backoff_reconnects_immediately() {
     let setup = Setup::start("t-hup");
     let (_, hanging) = setup.discovery.next_watch();
     let new = FakeDiscovery::silent();
--- a/crates/edge-node/tests/edge/rejections.rs
+++ b/crates/edge-node/tests/edge/rejections.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_customer_over_its_quota_is_rejected_at_once() {
+fn a_customer_over_its_quota_is_rejected_immediately() {
     let (servers, _discovery, node) = with_one("quota", &[RESPONDS_OK]);
     let mut client = node.client();
     let small_quota_request =
--- a/crates/edge-node/tests/edge/retries.rs
+++ b/crates/edge-node/tests/edge/retries.rs
@@ -120,7 +120,7 @@
 
 /// A stalled attempt is cancelled and its connection closed before the next attempt is written.
 #[test]
-fn two_attempts_of_a_request_are_never_in_flight_at_once() {
+fn two_attempts_of_a_request_are_never_in_flight_concurrently() {
     let (servers, _discovery, node) =
         with_two("stalled", [1, 1], ServerBehavior::NeverRespond, RESPONDS_OK);
     for (number, class) in ["read", "submit"].into_iter().enumerate() {
--- a/crates/edge-node/tests/edge/shutdown.rs
+++ b/crates/edge-node/tests/edge/shutdown.rs
@@ -84,12 +84,13 @@
         with_one("s-behind", &[ServerBehavior::NeverRespond, RESPONDS_OK]);
     let mut client = node.client();
     client.send(&request_text("a", "pay", "20000m"));
-    let mut got = servers.next_request();
+    let mut received = servers.next_request();
     start_shutdown(&node);
     client.send(&request_text("b", "pay", "20000m"));
     std::thread::sleep(DRAINED_AFTER);
     client.send(&request_text("c", "pay", "20000m"));
-    got.stream
+    received
+        .stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
         .expect("the attempt is still in flight");
     let answer = client.read_response().expect("an answer");
@@ -152,10 +153,11 @@
     let (servers, _discovery, mut node) = with_one("s-long", &[ServerBehavior::NeverRespond]);
     let mut client = node.client();
     client.send(&request_text("a", "pay", "20000m"));
-    let mut got = servers.next_request();
+    let mut received = servers.next_request();
     start_shutdown(&node);
     std::thread::sleep(2 * DRAINED_AFTER);
-    got.stream
+    received
+        .stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
         .expect("the attempt is still in flight");
     assert_eq!(
--- a/crates/edge-node/tests/edge/unexpected_response.rs
+++ b/crates/edge-node/tests/edge/unexpected_response.rs
@@ -23,8 +23,9 @@
         client.exchange(&request_text("b", "pay", "20000m")).body,
         b"ranks"
     );
-    let mut got = servers.next_request();
-    got.stream
+    let mut received = servers.next_request();
+    received
+        .stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
         .expect("it is kept");
     assert_eq!(
@@ -32,7 +33,7 @@
         b"ranks"
     );
     assert_eq!(servers.next_request().connection, 2);
-    assert!(is_closed_in_time(&got));
+    assert!(is_closed_in_time(&received));
 }
 
 /// A response that names its request.
@@ -61,21 +62,26 @@
     // Longer than a connection rests after a response: the second request uses the same connection.
     std::thread::sleep(std::time::Duration::from_millis(100));
     client.send(&request_text("b", "read", "20000m"));
-    let mut got = servers.next_request();
-    assert_eq!(got.connection, 0);
-    got.stream
+    let mut received = servers.next_request();
+    assert_eq!(received.connection, 0);
+    received
+        .stream
         .write_all(first_response.as_bytes())
         .expect("it is out");
-    (client.read_response().expect("an answer"), servers, got)
+    (
+        client.read_response().expect("an answer"),
+        servers,
+        received,
+    )
 }
 
 /// A response that names the previous request is a late copy; it arrives while the next request is
 /// in flight.
 #[test]
 fn a_response_that_names_the_previous_request_is_not_forwarded() {
-    let (answer, servers, got) = second_answer_after_a_copy("named", NAMED_RESPONSE);
+    let (answer, servers, received) = second_answer_after_a_copy("named", NAMED_RESPONSE);
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"ranks"[..]));
-    assert!(is_closed_in_time(&got));
+    assert!(is_closed_in_time(&received));
     let again = servers.next_request();
     assert_eq!(
         (again.message.header("x-request-id"), again.connection),
--- a/crates/edge-node/tests/edge/watch.rs
+++ b/crates/edge-node/tests/edge/watch.rs
@@ -84,7 +84,7 @@
 /// An agent that accepts watches and answers none is tried again, so it has a watch soon after it
 /// is back.
 #[test]
-fn an_agent_that_is_silent_is_tried_again_in_time() {
+fn a_watch_on_a_silent_agent_is_retried_in_time() {
     let release = Release::new();
     let discovery = FakeDiscovery::silent();
     let node = EdgeNode::start_with(
--- a/crates/edge-node/tests/log.rs
+++ b/crates/edge-node/tests/log.rs
@@ -78,10 +78,10 @@
     discovery.next_watch();
     node.wait_for_log("discovery: the watch is back");
     node.reload(|text| text.replacen("attempts = 5", "attempts = 0", 1));
-    let said = node.wait_for_log("the old configuration stays");
+    let rejection_line = node.wait_for_log("the old configuration stays");
     assert!(
-        said.contains("ERROR") && said.contains("requests.max_attempts"),
-        "{said}"
+        rejection_line.contains("ERROR") && rejection_line.contains("requests.max_attempts"),
+        "{rejection_line}"
     );
     node.reload(|text| text.replacen("attempts = 0", "attempts = 5", 1));
     let address = format!(
@@ -107,7 +107,7 @@
     let mut node = EdgeNode::start_with_toml("debug", &config(&discovery, "format = \"json\""));
     assert_eq!(node.client().exchange(&read("unseen")).status(), 200);
     node.reload(|text| text.replacen("[log]", "[log]\nlevel = \"debug\"", 1));
-    let said = node.wait_for_log("reloaded");
+    let reload_line = node.wait_for_log("reloaded");
     assert_eq!(node.client().exchange(&read("seen")).status(), 200);
     node.reload(|text| text.replacen("\"debug\"", "\"warn\"", 1));
     // At this level no line shows that the reload is done; the watch that it opens does.
@@ -140,7 +140,7 @@
         !events.iter().any(|event| event.name == "shutdown_complete"),
         "that is not of level warn"
     );
-    let reloaded = LogEvent::parse(&said);
+    let reloaded = LogEvent::parse(&reload_line);
     assert_eq!(reloaded.name, "config_reloaded");
     assert_eq!(reloaded.fields["level"], "INFO");
 }
@@ -215,22 +215,22 @@
 
 /// The names of all log events in the program.
 fn events_in_code() -> BTreeSet<String> {
-    let mut coded = BTreeSet::new();
+    let mut in_code = BTreeSet::new();
     for file in source_files("src".as_ref()) {
         let text = std::fs::read_to_string(file).expect("it is text");
         let names = text
             .split("event = \"")
             .skip(1)
             .filter_map(|rest| rest.split('"').next());
-        coded.extend(names.map(str::to_owned));
+        in_code.extend(names.map(str::to_owned));
     }
-    coded
+    in_code
 }
 
 /// Each event in the code stands on the page, and the other way round.
 #[test]
-fn the_page_tells_every_event() {
-    let coded = events_in_code();
+fn the_page_documents_every_event() {
+    let in_code = events_in_code();
     let page = std::fs::read_to_string("../../docs/OPERATING.md").expect("the page");
     let page = page
         .split("\n## ")
@@ -239,7 +239,7 @@
     let rows = page
         .lines()
         .filter_map(|line| line.strip_prefix("| `")?.split('`').next());
-    let told = rows.filter(|name| *name != "event").map(str::to_owned);
+    let documented = rows.filter(|name| *name != "event").map(str::to_owned);
     let at_debug = page
         .split("followed by its id:")
         .nth(1)
@@ -250,15 +250,15 @@
         .skip(1)
         .step_by(2)
         .map(str::to_owned);
-    let told: BTreeSet<_> = told.chain(words).collect();
-    assert!(coded.len() > 10);
-    assert_eq!(coded, told);
+    let documented: BTreeSet<_> = documented.chain(words).collect();
+    assert!(in_code.len() > 10);
+    assert_eq!(in_code, documented);
 }
 
 /// Of each event that the page says was renamed, the code has the new name and not the old one.
 #[test]
-fn the_page_tells_under_which_name_an_event_went_before() {
-    let coded = events_in_code();
+fn the_page_documents_the_earlier_name_of_each_renamed_event() {
+    let in_code = events_in_code();
     let page = std::fs::read_to_string("../../docs/OPERATING.md").expect("the page");
     let page = page
         .split("\n## ")
@@ -272,7 +272,7 @@
         .collect();
     assert_eq!(renamed.len(), 16);
     for (before, now) in renamed {
-        assert!(!coded.contains(before), "{before} is still logged");
-        assert!(coded.contains(now), "{now} is not logged");
+        assert!(!in_code.contains(before), "{before} is still logged");
+        assert!(in_code.contains(now), "{now} is not logged");
     }
 }
--- a/crates/edge-node/tests/unit/upstream_attempt.rs
+++ b/crates/edge-node/tests/unit/upstream_attempt.rs
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_response_that_does_not_come_whole_is_a_lost_connection() {
+fn an_incomplete_response_is_a_lost_connection() {
     run(async {
         let (listener, address) = listen().await;
         let upstream = upstream(8, &[(FIRST, address)]);
--- a/crates/edge-node/tests/unit/upstream_connect_error.rs
+++ b/crates/edge-node/tests/unit/upstream_connect_error.rs
@@ -8,7 +8,7 @@
 
 /// The codes of Linux, by number: the names must not change what they stand for.
 #[test]
-fn a_lack_of_local_resources_is_not_blamed_on_the_server() {
+fn a_lack_of_local_resources_is_not_attributed_to_the_server() {
     for code in [24, 23, 99, 105, 12] {
         assert_eq!(outcome(code), AttemptOutcome::NotSent, "{code}");
     }
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_cause_is_kept() {
+fn the_source_error_is_preserved() {
     let error = ConnectError::from(io::Error::from_raw_os_error(libc::EMFILE));
     let source = std::error::Error::source(&error).expect("the error of the operating system");
     let source = source.downcast_ref::<io::Error>().expect("an I/O error");
--- a/crates/simulator-adapter/tests/unit/line.rs
+++ b/crates/simulator-adapter/tests/unit/line.rs
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn the_cause_is_kept() {
+fn the_source_error_is_preserved() {
     let error = line("x").error(LineErrorKind::InvalidSettings(SettingsError::NoPlans));
     let kind = std::error::Error::source(&error).expect("the kind");
     let cause = kind.source().expect("the cause");
