--- a/crates/gateway-core/src/state/mod.rs
+++ b/crates/gateway-core/src/state/mod.rs
@@ -11,5 +11,6 @@
 pub(crate) mod quota_owners;
 pub(crate) mod quota_state;
 pub(crate) mod request;
+pub(crate) mod request_table;
 pub(crate) mod servers;
 pub(crate) mod token_bucket;
--- a/crates/gateway-core/tests/common/request_log.rs
+++ b/crates/gateway-core/tests/common/request_log.rs
@@ -1,6 +1,6 @@
-//! The platform's rules for requests, checked against what a gateway does: every client is answered once and in time
-//! (rule 1), nothing is executed twice that must not be (rule 2), and nothing new goes to a server that drains
-//! (rule 3).
+//! The platform's rules for requests, checked against what a gateway does: every client is answered
+//! once and in time (rule 1), nothing is executed twice that must not be (rule 2), and nothing new
+//! goes to a server that drains (rule 3).
 
 use super::{Micros, MS};
 use gateway_core::*;
@@ -155,7 +155,7 @@
     }
 }
 
-/// Stated here once more, so that a fault in the library does not hide itself.
+/// Stated independently of the library, so that a fault there is found.
 fn possibly_executed(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
