--- a/crates/fleet-lab/src/hybrid/invariant_checker.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_checker.rs
@@ -163,11 +163,7 @@
     }
 
     fn check_quotas(&self) -> InvariantResult {
-        let peaks: Vec<Excess> = self
-            .quotas
-            .values()
-            .filter_map(|usage| usage.peak())
-            .collect();
+        let peaks: Vec<Excess> = self.quotas.values().filter_map(QuotaUsage::peak).collect();
         let by_excess = |one: &Excess, other: &Excess| {
             one.beyond_tolerance().total_cmp(&other.beyond_tolerance())
         };
--- a/crates/gateway-core/src/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/src/policy/fuzzy_controller.rs
@@ -38,7 +38,7 @@
 const ERROR_CHANGE_GAIN: f64 = 2.0;
 /// Output gain that suits an alpha of 1, as a fraction of the attempts in flight.
 const OUTPUT_GAIN_AT_FULL_ALPHA: f64 = 0.15;
-/// Output gain in use (KΔu), as a fraction of the attempts in flight; the design triples the one
+/// Output gain in use (`KΔu`), as a fraction of the attempts in flight; the design triples the one
 /// above.
 const OUTPUT_GAIN: f64 = 3.0 * OUTPUT_GAIN_AT_FULL_ALPHA;
 /// Smallest limit of all gateways together, in attempts.
--- a/crates/gateway-core/tests/gateway_pair/mod.rs
+++ b/crates/gateway-core/tests/gateway_pair/mod.rs
@@ -164,10 +164,7 @@
 
     /// Entries of the list of servers that both gateways have visited so far.
     pub(crate) fn entries_visited(&self) -> u64 {
-        self.gateways
-            .iter()
-            .map(|gateway| gateway.entries_visited())
-            .sum()
+        self.gateways.iter().map(Gateway::entries_visited).sum()
     }
 
     /// Gives a gateway an event, and delivers the messages that follow from it.
