--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,6 +1,7 @@
 //! The simulated gateways, and the endpoint lists that they are notified of.
 
-use crate::line::{Line, LineError, LineErrorKind};
+use crate::line::Line;
+use crate::line_error::{LineError, LineErrorKind};
 use crate::reply;
 use crate::translate::{self, ListedEndpoint};
 use gateway_core::settings::{self, ResolvedSettings};
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -2,7 +2,8 @@
 //! line.
 
 use crate::adapter::Adapter;
-use crate::line::{Line, LineError, LineErrorKind};
+use crate::line::Line;
+use crate::line_error::{LineError, LineErrorKind};
 use crate::translate::{self, ListedEndpoint};
 use gateway_core::Timestamp;
 use std::io::BufRead;
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -4,10 +4,11 @@
 mod adapter;
 mod frame;
 mod line;
+mod line_error;
 mod reply;
 mod translate;
 
-pub use line::{LineError, LineErrorKind};
+pub use line_error::{LineError, LineErrorKind};
 
 use adapter::Adapter;
 use frame::LineReader;
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -1,6 +1,7 @@
 //! Lines of the simulator's protocol as events of a gateway.
 
-use crate::line::{Line, LineError, LineErrorKind};
+use crate::line::Line;
+use crate::line_error::{LineError, LineErrorKind};
 use gateway_core::settings::{self, ResolvedSettings};
 use gateway_core::{
     load_report, AttemptNumber, AttemptOutcome, CellId, ClassId, CustomerId, Endpoint,
--- a/crates/simulator-adapter/tests/unit/line.rs
+++ b/crates/simulator-adapter/tests/unit/line.rs
@@ -1,6 +1,9 @@
 //! The fields of a line, and the text of each error.
 
 use super::*;
+use gateway_core::settings::ParseError;
+use gateway_core::SettingsError;
+use std::io;
 
 fn line(text: &str) -> Line<'_> {
     Line::split(7, text)
