--- a/crates/edge-node/src/upstream/connection.rs
+++ b/crates/edge-node/src/upstream/connection.rs
@@ -1,8 +1,9 @@
 //! One HTTP/1.1 connection to an app server.
 
+use super::connect_error::ConnectError;
 use super::socket::{ObservedStream, OpenSocketGuard, SharedStream};
 use bytes::Bytes;
-use gateway_core::{AttemptOutcome, RequestId};
+use gateway_core::RequestId;
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -15,85 +16,19 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
-use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// Bytes of a response's head that are buffered at the most. A head without end could otherwise use up the memory
-/// limit of the process.
+/// Maximum number of bytes of a response's head that are buffered. A head without end could
+/// otherwise use up the memory limit of the process.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Errors of the operating system by which this process, not the server, lacks something: descriptors of the process
-/// or of the whole system, local addresses, buffers or memory.
-const LOCAL_RESOURCE_ERRORS: [i32; 5] = [
-    libc::EMFILE,
-    libc::ENFILE,
-    libc::EADDRNOTAVAIL,
-    libc::ENOBUFS,
-    libc::ENOMEM,
-];
-
-/// Why there is no connection to a server. Nothing was sent.
-#[derive(Debug, Error)]
-pub(super) enum ConnectError {
-    /// The gateway cancelled the attempt before the connection was up.
-    #[error("cancelled while connecting")]
-    Cancelled,
-    /// The attempt's deadline passed before the connection was up.
-    #[error("the attempt's deadline passed while connecting")]
-    DeadlineExceeded,
-    /// No address is known for the server, or it is not ready.
-    #[error("the server has no address")]
-    UnknownServer,
-    /// All sockets that this process may have are in use, and none is idle.
-    #[error("no socket is left")]
-    SocketLimit,
-    /// This process or its machine lacks something that a connection needs.
-    #[error("too few local resources for a connection")]
-    LocalResources(#[source] io::Error),
-    /// The server, or the way there, refused the connection.
-    #[error("the connection failed")]
-    Failed(#[source] io::Error),
-    /// The connection did not come up within the connect timeout.
-    #[error("the connect timeout passed")]
-    TimedOut,
-    /// The connection came up but cannot carry HTTP.
-    #[error("the HTTP handshake failed")]
-    Handshake(#[source] hyper::Error),
-}
-
-impl ConnectError {
-    /// What the gateway is told: a server is reported as unreachable only if the cause may lie with the server.
-    pub(super) fn outcome(&self) -> AttemptOutcome {
-        match self {
-            ConnectError::Cancelled
-            | ConnectError::UnknownServer
-            | ConnectError::SocketLimit
-            | ConnectError::LocalResources(_) => AttemptOutcome::NotSent,
-            ConnectError::DeadlineExceeded
-            | ConnectError::Failed(_)
-            | ConnectError::TimedOut
-            | ConnectError::Handshake(_) => AttemptOutcome::Unreachable,
-        }
-    }
-}
-
-impl From<io::Error> for ConnectError {
-    fn from(error: io::Error) -> ConnectError {
-        match error.raw_os_error() {
-            Some(code) if LOCAL_RESOURCE_ERRORS.contains(&code) => {
-                ConnectError::LocalResources(error)
-            }
-            _ => ConnectError::Failed(error),
-        }
-    }
-}
-
-/// A connection that carries one request at a time and is kept in a pool in between.
+/// A connection that carries one request at a time and stays in a pool in between.
 ///
-/// A task, the driver, owns the socket. Whoever has the connection ends it by [`close`](Self::close) or
-/// [`close_in_background`](Self::close_in_background). If it is dropped instead, as when the future of an attempt is
-/// dropped, hyper sees that the sender is gone, ends the driver and so closes the socket.
+/// A task, the driver, owns the socket. Whoever has the connection ends it by
+/// [`close`](Self::close) or [`close_in_background`](Self::close_in_background). If it is dropped
+/// instead, as when the future of an attempt is dropped, hyper sees that the sender is gone, ends
+/// the driver and so closes the socket.
 pub(super) struct PooledConnection {
     address: SocketAddr,
     /// Weak, so that the socket is closed as soon as the driver ends.
@@ -111,7 +46,8 @@
     /// Connects to a server. Dropping the future closes the socket, then releases its guard.
     ///
     /// # Errors
-    /// The connection was refused, did not come up within `connect_timeout`, or lacked local resources.
+    /// The connection was refused, did not come up within `connect_timeout`, or lacked local
+    /// resources.
     pub(super) async fn open(
         address: SocketAddr,
         connect_timeout: Duration,
@@ -155,11 +91,12 @@
         self.address
     }
 
-    /// Closes the socket and returns when that is done. If the future is dropped, the socket is still closed, but in
-    /// a later turn of the runtime.
+    /// Closes the socket and returns when that is done. If the future is dropped, the socket is
+    /// still closed, but in a later turn of the runtime.
     pub(super) async fn close(self) {
         self.driver.abort();
-        // An error means that the driver was aborted or had ended: the socket is closed in either case.
+        // An error means that the driver was aborted or had ended: the socket is closed in either
+        // case.
         let _ = self.driver.await;
     }
 
@@ -179,8 +116,9 @@
         can_send && self.idle_time() < idle_timeout
     }
 
-    /// Whether nothing has been received since the last response, not even its end. What stands in the socket would
-    /// be read as the response to the next request. The operating system is asked, as hyper may not have read yet.
+    /// Whether nothing has been received since the last response, not even its end. What stands in
+    /// the socket would be read as the response to the next request. The operating system is asked,
+    /// as hyper may not have read yet.
     pub(super) fn has_received_nothing(&self) -> bool {
         let Some(stream) = self.stream.upgrade() else {
             return false;
@@ -225,8 +163,8 @@
         self.last_answered = Some(id);
     }
 
-    /// Sends a request and returns the head of its response. If the future is dropped, the connection cannot be used
-    /// any more: the response would be read as that of the next request.
+    /// Sends a request and returns the head of its response. If the future is dropped, the
+    /// connection cannot be used any more: the response would be read as that of the next request.
     pub(super) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -238,12 +176,8 @@
 async fn connect_tcp(address: SocketAddr, timeout: Duration) -> Result<TcpStream, ConnectError> {
     let connected = tokio::time::timeout(timeout, TcpStream::connect(address)).await;
     let stream = connected.map_err(|_elapsed| ConnectError::TimedOut)??;
-    // Without this option a request in two segments would wait for an acknowledgement. It also works without it, so
-    // that an error is no reason to give the connection up.
+    // Without this option a request in two segments would wait for an acknowledgement. It also
+    // works without it, so that an error is no reason to give the connection up.
     let _ = stream.set_nodelay(true);
     Ok(stream)
 }
-
-#[cfg(test)]
-#[path = "../../tests/unit/upstream_connect_error.rs"]
-mod tests;
--- a/crates/edge-node/tests/edge/discovery_deadline.rs
+++ b/crates/edge-node/tests/edge/discovery_deadline.rs
@@ -1,7 +1,8 @@
-//! A change has to be known 6 s after discovery had it, whatever failed in between. The drain grace is so long here that
-//! a fraction of it exceeds the timeouts of the tests: only the upper bounds of timeouts and backoffs bring the next
-//! attempt.
+//! A change has to be known 6 s after discovery had it, whatever failed in between. The drain grace
+//! is so long here that a fraction of it exceeds the timeouts of the tests: only the upper bounds
+//! of timeouts and backoffs bring the next attempt.
 
+use super::request_sequence::RequestSequence;
 use super::support::*;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -22,12 +23,7 @@
 impl Setup {
     fn start(tag: &str) -> Setup {
         let servers = FakeServers::new();
-        let entries = vec![endpoint_entry(
-            "s-1",
-            servers.start("s-1", &[RESPONDS_OK]),
-            1,
-            "ready",
-        )];
+        let entries = vec![servers.start_listed("s-1", &[RESPONDS_OK])];
         let discovery = FakeDiscovery::silent();
         let node = EdgeNode::start_with(tag, discovery.address, &entries, with_long_drain_grace);
         Setup {
@@ -54,21 +50,14 @@
         self.wait_for_new_server();
     }
 
-    /// Sends requests until one arrives at the new server.
+    /// Sends requests until one arrives at the new server; from then on all do.
     fn wait_for_new_server(&self) {
-        let mut client = self.node.client();
-        let mut number = 0;
-        let mut next_server = || {
-            number += 1;
-            let request = request_text(&format!("r{number}"), "read", "20000m");
-            assert_eq!(client.exchange(&request).status(), 200);
-            self.servers.next_request().server
-        };
-        while next_server() != "new" {}
+        RequestSequence::new(&self.node, &self.servers).wait_until_received_by("new");
     }
 }
 
-/// Handles two watches in this way, each of which the edge node has to give up; the third one is answered.
+/// Handles two watches in this way, each of which the edge node has to give up; the third one is
+/// answered.
 fn assert_given_up(tag: &str, handle: impl Fn(&mut TcpStream, &[String])) {
     let setup = Setup::start(tag);
     let mut open = Vec::new();
@@ -162,9 +151,10 @@
     setup.next_watch_is_applied();
 }
 
-/// SIGHUP, during an attempt that hangs and during a backoff, opens a watch at the address in the file at once.
+/// SIGHUP, during an attempt that hangs and during a backoff, opens a watch at the address in the
+/// file at once.
 #[test]
-fn sighup_during_an_attempt_or_a_backoff_reconnects_at_once() {
+fn sighup_during_an_attempt_or_a_backoff_reconnects_immediately() {
     let setup = Setup::start("t-hup");
     let (_, hanging) = setup.discovery.next_watch();
     let new = FakeDiscovery::silent();
--- a/crates/edge-node/tests/edge/endpoints.rs
+++ b/crates/edge-node/tests/edge/endpoints.rs
@@ -1,45 +1,11 @@
 //! Endpoint lists from discovery, and a change of the address of discovery.
 
+use super::request_sequence::RequestSequence;
 use super::support::*;
 use super::with_one;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 
-/// Requests that a client sends one after the other, to observe which app server receives each.
-struct RequestSequence<'a> {
-    servers: &'a FakeServers,
-    client: Client,
-    sent: usize,
-}
-
-impl<'a> RequestSequence<'a> {
-    fn new(node: &EdgeNode, servers: &'a FakeServers) -> RequestSequence<'a> {
-        RequestSequence {
-            servers,
-            client: node.client(),
-            sent: 0,
-        }
-    }
-
-    /// Sends a request, which has to succeed; returns the name of the app server that received it.
-    fn next_server(&mut self) -> String {
-        self.sent += 1;
-        let request = request_text(&format!("r{}", self.sent), "read", "20000m");
-        assert_eq!(self.client.exchange(&request).status(), 200);
-        self.servers.next_request().server
-    }
-
-    /// Sends requests until one arrives at this server; from then on all do.
-    fn wait_until_received_by(&mut self, name: &str) {
-        let mut received = 0;
-        while received < 10 {
-            let server = self.next_server();
-            assert!(received == 0 || server == name, "{server} after {name}");
-            received += u32::from(server == name);
-        }
-    }
-}
-
 /// The next watch, which has to ask for a snapshot: it names no list from which to continue.
 fn next_snapshot_watch(discovery: &FakeDiscovery) -> TcpStream {
     let (request_line, watch) = discovery.next_watch();
@@ -107,8 +73,8 @@
     watch.read_to_end(&mut rest).expect("the old watch ends");
 }
 
-/// SIGHUP ends a process that has no handler for it. The new discovery numbers its lists from the start again, and the
-/// last list stays in use until the new discovery has sent one.
+/// SIGHUP ends a process that has no handler for it. The new discovery numbers its lists from the
+/// start again, and the last list stays in use until the new discovery has sent one.
 #[test]
 fn sighup_changes_to_the_discovery_address_in_the_file() {
     let (servers, old, mut node) = with_one("reload", &[RESPONDS_OK]);
@@ -116,7 +82,8 @@
     let mut requests = RequestSequence::new(&node, &servers);
     // An invalid configuration changes nothing.
     node.reload(|text| text.replacen('{', "", 1));
-    // Waits for each reload: a signal that is handled late would read the next file, and change the address twice.
+    // Waits for each reload: a signal that is handled late would read the next file, and change the
+    // address twice.
     node.wait_for_log("the old configuration stays");
     assert_eq!(requests.next_server(), "s-1");
     node.reload(|text| format!("{{{text}"));
--- a/crates/edge-node/tests/edge/main.rs
+++ b/crates/edge-node/tests/edge/main.rs
@@ -1,5 +1,5 @@
-//! The edge node over loopback sockets. Each test covers one way in which clients, servers, peers or discovery can fail;
-//! none asserts on speed.
+//! The edge node over loopback sockets. Each test covers one way in which clients, servers, peers
+//! or discovery can fail; none asserts on speed.
 
 mod client_disconnect;
 mod descriptors;
@@ -9,6 +9,7 @@
 mod invalid_requests;
 mod peers;
 mod rejections;
+mod request_sequence;
 mod retries;
 mod shutdown;
 mod start;
@@ -19,15 +20,11 @@
 
 use support::*;
 
-/// An edge node with one app server, which takes these behaviors in turn; the last one stays in force.
+/// An edge node with one app server, which takes these behaviors in turn; the last one stays in
+/// force.
 fn with_one(tag: &str, behaviors: &[ServerBehavior]) -> (FakeServers, FakeDiscovery, EdgeNode) {
     let servers = FakeServers::new();
-    let entries = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", behaviors),
-        1,
-        "ready",
-    )];
+    let entries = [servers.start_listed("s-1", behaviors)];
     let discovery = FakeDiscovery::start(&entries);
     let node = EdgeNode::start(tag, discovery.address, &entries);
     (servers, discovery, node)
--- a/crates/edge-node/tests/edge/shutdown.rs
+++ b/crates/edge-node/tests/edge/shutdown.rs
@@ -1,5 +1,6 @@
-//! Shutdown on SIGTERM while clients keep sending on every open connection, up to the end. Each request gets its final
-//! answer or a close, each request that reached a server is answered, and so is each new client.
+//! Shutdown on SIGTERM while clients keep sending on every open connection, up to the end. Each
+//! request gets its final answer or a close, each request that reached a server is answered, and so
+//! is each new client.
 
 use super::support::*;
 use super::with_one;
@@ -16,8 +17,8 @@
     while node.client().exchange(READY).status() == 200 {}
 }
 
-/// Requests that arrive at the moment in which the edge node closes its connections: on idle ones, on new ones, and on
-/// ones that are still in the backlog.
+/// Requests that arrive at the moment in which the edge node closes its connections: on idle ones,
+/// on new ones, and on ones that are still in the backlog.
 #[test]
 fn requests_that_arrive_while_connections_are_closed_are_answered() {
     let (servers, _discovery, mut node) = with_one("s-moment", &[RESPONDS_OK]);
@@ -53,12 +54,7 @@
 #[test]
 fn more_clients_than_descriptors_are_answered_while_connections_are_closed() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let mut node = EdgeNode::start_with_descriptor_limit("s-many", discovery.address, &hosts, 64);
     start_shutdown(&node);
@@ -80,20 +76,21 @@
     assert_eq!(servers.unseen_requests().len(), clients.len());
 }
 
-/// A client pipelines requests behind its open one, long after idle connections were closed: the open request is
-/// answered, and none behind it is forwarded.
+/// A client pipelines requests behind its open one, long after idle connections were closed: the
+/// open request is answered, and none behind it is forwarded.
 #[test]
 fn nothing_is_forwarded_behind_the_last_answer_of_a_connection() {
     let (servers, _discovery, mut node) =
         with_one("s-behind", &[ServerBehavior::NeverRespond, RESPONDS_OK]);
     let mut client = node.client();
     client.send(&request_text("a", "pay", "20000m"));
-    let mut got = servers.next_request();
+    let mut received = servers.next_request();
     start_shutdown(&node);
     client.send(&request_text("b", "pay", "20000m"));
     std::thread::sleep(DRAINED_AFTER);
     client.send(&request_text("c", "pay", "20000m"));
-    got.stream
+    received
+        .stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
         .expect("the attempt is still in flight");
     let answer = client.read_response().expect("an answer");
@@ -107,8 +104,9 @@
     servers.assert_no_more_requests();
 }
 
-/// The first part of a request is sent this long after SIGTERM, well before idle connections are closed at 600 ms, and
-/// the rest this much later: after that, and inside the 600 ms that a body has.
+/// The first part of a request is sent this long after SIGTERM, well before idle connections are
+/// closed at 600 ms, and the rest this much later: after that, and inside the 600 ms that a body
+/// has.
 const FIRST_PART_AFTER: Duration = Duration::from_millis(300);
 const REST_AFTER: Duration = Duration::from_millis(450);
 
@@ -155,10 +153,11 @@
     let (servers, _discovery, mut node) = with_one("s-long", &[ServerBehavior::NeverRespond]);
     let mut client = node.client();
     client.send(&request_text("a", "pay", "20000m"));
-    let mut got = servers.next_request();
+    let mut received = servers.next_request();
     start_shutdown(&node);
     std::thread::sleep(2 * DRAINED_AFTER);
-    got.stream
+    received
+        .stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
         .expect("the attempt is still in flight");
     assert_eq!(
--- a/crates/edge-node/tests/edge/start.rs
+++ b/crates/edge-node/tests/edge/start.rs
@@ -1,5 +1,5 @@
-//! Start-up: nine in ten restarted processes have to be ready within 10 s, whatever discovery does and whichever process
-//! still holds their addresses.
+//! Start-up: nine in ten restarted processes have to be ready within 10 s, whatever discovery does
+//! and whichever process still holds their addresses.
 
 use super::support::*;
 use std::io::Write;
@@ -26,15 +26,11 @@
     address
 }
 
-/// All processes have to be ready within the limit. The drain grace is so long that a fraction of it would exceed it.
+/// All processes have to be ready within the limit. The drain grace is so long that a fraction of
+/// it would exceed it.
 fn assert_ready_in_time(tag: &str, discovery: std::net::SocketAddr) {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let long = |config: String| {
         config.replace(r#""drainGraceUs":20000000"#, r#""drainGraceUs":600000000"#)
     };
@@ -93,20 +89,16 @@
             let _ = stream.write_all(busy);
         }),
     );
-    let nobody = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
-    assert_ready_in_time("s-down", nobody.expect("an address"));
+    let nobody = RefusingAddress::reserve();
+    assert_ready_in_time("s-down", nobody.address);
 }
 
-/// A process that ended because its address is still in use would count as a crash, so it waits for the address.
+/// A process that ended because its address is still in use would count as a crash, so it waits for
+/// the address.
 #[test]
 fn a_process_waits_for_addresses_in_use() {
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let mut before = EdgeNode::start("s-before", discovery.address, &hosts);
     let (listen, datagrams) = (before.address.to_string(), before.datagrams.to_string());
@@ -123,7 +115,8 @@
     std::thread::scope(|scope| {
         let after =
             scope.spawn(|| EdgeNode::start_with("s-after", discovery.address, &hosts, taken));
-        // By now the new process has found the addresses in use, or it binds them only after the old one has ended.
+        // By now the new process has found the addresses in use, or it binds them only after the
+        // old one has ended.
         std::thread::sleep(Duration::from_millis(300));
         before.terminate();
         assert!(before.wait().success());
@@ -145,12 +138,7 @@
     let holds = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = holds.local_addr().expect("an address");
     let servers = FakeServers::new();
-    let hosts = [endpoint_entry(
-        "s-1",
-        servers.start("s-1", &[RESPONDS_OK]),
-        1,
-        "ready",
-    )];
+    let hosts = [servers.start_listed("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let free = EdgeNode::start("s-free", discovery.address, &hosts);
     let config = free
--- a/crates/edge-node/tests/support/fake_discovery.rs
+++ b/crates/edge-node/tests/support/fake_discovery.rs
@@ -1,6 +1,7 @@
 //! A stand-in for the agent of discovery, and lists in the form in which it sends them.
 
 use super::http::HttpMessage;
+use super::refusing_address::RefusingAddress;
 use super::TEST_TIMEOUT;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -32,14 +33,15 @@
         FakeDiscovery::listen_anywhere(Some(endpoint_list(1, true, entries)))
     }
 
-    /// Starts one that sends nothing by itself: the response to a watch, with its head, is for the test to write.
+    /// Starts one that sends nothing by itself: the response to a watch, with its head, is for the
+    /// test to write.
     pub(crate) fn silent() -> FakeDiscovery {
         FakeDiscovery::listen_anywhere(None)
     }
 
-    /// Starts one at the address of an earlier one, with this list.
-    pub(crate) fn restart_at(address: SocketAddr, list: String) -> FakeDiscovery {
-        FakeDiscovery::listen(TcpListener::bind(address).expect("its port"), Some(list))
+    /// Starts one at an address that has refused connections so far, with this list.
+    pub(crate) fn start_at(address: RefusingAddress, list: String) -> FakeDiscovery {
+        FakeDiscovery::listen(address.listen(), Some(list))
     }
 
     fn listen_anywhere(initial_list: Option<String>) -> FakeDiscovery {
@@ -67,7 +69,8 @@
         *self.initial_list.lock().expect("no panic") = Some(list);
     }
 
-    /// Waits for the next watch that the edge node opens: its request line, and the connection to respond on.
+    /// Waits for the next watch that the edge node opens: its request line, and the connection to
+    /// respond on.
     pub(crate) fn next_watch(&self) -> OpenedWatch {
         self.watches
             .recv_timeout(TEST_TIMEOUT)
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,6 +1,7 @@
-//! The simulated gateways, and the endpoint lists that they are told of.
+//! The simulated gateways, and the endpoint lists that they are notified of.
 
-use crate::line::{Line, LineError, LineErrorKind};
+use crate::line::Line;
+use crate::line_error::{LineError, LineErrorKind};
 use crate::reply;
 use crate::translate::{self, ListedEndpoint};
 use gateway_core::settings::{self, ResolvedSettings};
@@ -18,17 +19,19 @@
 pub(crate) struct Adapter {
     lists: BTreeMap<u8, Vec<ListedEndpoint>>,
     gateways: BTreeMap<u64, GatewayInstance>,
-    /// The actions of the last event; kept so that their memory is used again.
+    /// The actions of the last event; retained so that their memory is used again.
     actions: Vec<Action>,
 }
 
 impl Adapter {
-    /// Keeps an endpoint list for updates to refer to. It replaces the list that had its number before.
+    /// Stores an endpoint list for updates to refer to. It replaces the list that had its number
+    /// before.
     pub(crate) fn register_list(&mut self, list: u8, endpoints: Vec<ListedEndpoint>) {
         self.lists.insert(list, endpoints);
     }
 
-    /// Handles a line that is for one gateway, at `now` in µs. The gateway's actions are appended to the reply.
+    /// Handles a line that is for one gateway, at `now` in µs. The gateway's actions are appended
+    /// to the reply.
     ///
     /// # Errors
     /// The line is malformed, or its gateway was never started.
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,13 +1,14 @@
-//! Connects the simulator to the decision library: reads the simulator's lines from an input, and writes the
-//! gateways' actions as lines to an output. It makes no decisions.
+//! Connects the simulator to the decision library: reads the simulator's lines from an input, and
+//! writes the gateways' actions as lines to an output. It makes no decisions.
 
 mod adapter;
 mod frame;
 mod line;
+mod line_error;
 mod reply;
 mod translate;
 
-pub use line::{LineError, LineErrorKind};
+pub use line_error::{LineError, LineErrorKind};
 
 use adapter::Adapter;
 use frame::LineReader;
