--- a/crates/edge-node/tests/library/request_head.rs
+++ b/crates/edge-node/tests/library/request_head.rs
@@ -4,7 +4,7 @@
 use edge_node::clients::request_error::RequestError;
 use edge_node::clients::request_head::RequestHead;
 use gateway_core::settings::{self, ResolvedSettings};
-use gateway_core::{ClassId, CustomerId, GatewayId, GatewaySet, PlanId, RequestId};
+use gateway_core::{ClassId, CustomerId, GatewayId, GatewaySet, PlanId, RequestId, Units};
 use hyper::Request;
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
         plan: PlanId(1),
         customer: CustomerId(0xb4d6_5521),
         terms: CallTerms {
-            units: 2.5,
+            units: Units::new(2.5),
             gateways: GatewaySet {
                 first: GatewayId(2),
                 count: 3,
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -5,7 +5,7 @@
 use gateway_core::{
     Action, CellId, Class, ClassId, CustomerId, Endpoint, EndpointDiscovery, EndpointState, Event,
     Gateway, GatewayId, GatewaySet, Idempotency, Permissions, Plan, PlanId, RequestId, Rules,
-    ServerId, Settings, Timestamp, ZoneId,
+    ServerId, Settings, Timestamp, Units, ZoneId,
 };
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -56,7 +56,7 @@
         discovery: EndpointDiscovery::Pushed,
         event_period: Duration::from_millis(2),
         peer_messages_per_second: 40.0,
-        max_request_units: 8.0,
+        max_request_units: Units::new(8.0),
     }
 }
 
@@ -73,7 +73,7 @@
 fn plan() -> Plan {
     Plan {
         rate: 20.0,
-        burst: 100.0,
+        burst: Units::new(100.0),
         max_concurrent: None,
         weight: 1.0,
         over_quota_weight: 0.2,
@@ -134,7 +134,7 @@
         class: ClassId(0),
         plan: PlanId(0),
         customer,
-        units: 1.0,
+        units: Units::new(1.0),
         gateways: GatewaySet {
             first: PAIR[0],
             count: sizes.effective_gateways_per_customer(),
--- a/crates/fleet-lab/src/scaling/gateway_pair/mod.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair/mod.rs
@@ -10,7 +10,7 @@
 use anyhow::{bail, Result};
 use gateway_core::{
     Action, AttemptNumber, AttemptOutcome, ClassId, Endpoint, EndpointState, EndpointUpdate, Event,
-    GatewaySet, PlanId, RequestId, Timestamp,
+    GatewaySet, PlanId, RequestId, Timestamp, Units,
 };
 use member::Member;
 use rand::{Rng, SeedableRng};
@@ -117,7 +117,7 @@
             class: ClassId((self.last_request / 3 % 2) as usize),
             plan: PlanId(0),
             customer: customer.id,
-            units: 1.0,
+            units: Units::new(1.0),
             gateways: GatewaySet {
                 first: customer.first_gateway,
                 count,
--- a/crates/fleet-lab/src/scaling/measure/memory.rs
+++ b/crates/fleet-lab/src/scaling/measure/memory.rs
@@ -8,7 +8,7 @@
 use anyhow::{ensure, Result};
 use gateway_core::{
     ClassId, CustomerId, EndpointUpdate, Event, Gateway, GatewayId, GatewaySet, PlanId, RequestId,
-    Timestamp,
+    Timestamp, Units,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -65,7 +65,7 @@
             class: ClassId(0),
             plan: PlanId(0),
             customer: CustomerId(number),
-            units: 1.0,
+            units: Units::new(1.0),
             gateways: GatewaySet {
                 first: GatewayId(0),
                 count: sizes.effective_gateways_per_customer(),
--- a/crates/gateway-core/src/gateway/control_tick.rs
+++ b/crates/gateway-core/src/gateway/control_tick.rs
@@ -2,8 +2,7 @@
 //! updated, servers that are warming up get their credit, and what has been idle is evicted.
 
 use super::Gateway;
-use crate::policy::quota::PARTITIONED;
-use crate::state::quota_state::silent_gateways;
+use crate::policy::quota_sharing::account::PARTITIONED;
 use crate::time::Timestamp;
 use crate::Action;
 
@@ -30,14 +29,7 @@
     /// Evicts idle customers and servers: otherwise memory would grow with every one ever seen.
     fn evict_idle(&mut self, now: Timestamp) {
         let plans = &self.deployment.settings.plans;
-        let last_heard = &self.quotas.last_heard;
-        let silent = |gateways| silent_gateways(last_heard, gateways, now, PARTITIONED);
-        self.quotas
-            .local
-            .retain(|_, bucket| !bucket.is_idle(now, &plans[bucket.plan.0], silent));
-        self.quotas
-            .owned
-            .retain(|_, bucket| !bucket.is_idle(now, &plans[bucket.plan.0], |_| 0.0));
+        self.quotas.evict_idle(now, plans, &PARTITIONED);
         self.servers.evict_idle(now);
     }
 }
--- a/crates/gateway-core/src/gateway/dispatch.rs
+++ b/crates/gateway-core/src/gateway/dispatch.rs
@@ -19,7 +19,11 @@
             return; // sorting the queue at each event would exhaust the processor in an overload
         }
         let lowest_class = self.deployment.lowest_class;
-        let mut pass = DispatchPass::new(lowest_class, self.attempts.count_of(lowest_class));
+        let mut pass = DispatchPass::new(
+            self.quota_sharing,
+            lowest_class,
+            self.attempts.count_of(lowest_class),
+        );
         for id in dispatch::dispatch_order(self.context(now), self.requests.queued()) {
             if selectable.is_empty() {
                 break;
@@ -51,7 +55,7 @@
         match pass.decide(context, request, limit, &mut self.quotas) {
             DispatchDecision::Send => {
                 let server = self.pick_server(now, id, selectable)?;
-                pass.attempt_sent(class, self.control_loop.in_flight_limit());
+                pass.record_attempt_sent(class, self.control_loop.in_flight_limit());
                 Some(server)
             }
             DispatchDecision::SkipForQuota => {
@@ -105,13 +109,13 @@
             return;
         };
         let is_first_attempt = !request.was_sent();
-        if let Some(bucket) = self.quotas.local.get_mut(&request.customer()) {
-            bucket.attempt_sent(now, request.units(), is_first_attempt);
+        if let Some(account) = self.quotas.account_mut(request.customer()) {
+            account.attempt_sent(now, request.units(), is_first_attempt);
         }
         if is_first_attempt {
-            self.retry_budget.first_attempt_sent();
+            self.retry_budget.record_first_attempt();
         }
-        let number = request.attempt_sent(server_id);
+        let number = request.record_attempt_sent(server_id);
         let attempt = request.attempt_record(server_id, now, server_in_flight);
         let key = AttemptKey {
             request: id.clone(),
--- a/crates/gateway-core/src/gateway/final_answer.rs
+++ b/crates/gateway-core/src/gateway/final_answer.rs
@@ -21,8 +21,8 @@
         };
         self.rejections.record(reason, request.plan());
         if retry::may_reject(&self.deployment, request) {
-            let bucket = self.quotas.local.get(&request.customer());
-            let retry_after = deadlines::retry_after(self.context(now), bucket, request);
+            let account = self.quotas.account(request.customer());
+            let retry_after = deadlines::retry_after(self.context(now), account, request);
             actions.push(Action::Reject {
                 id: id.clone(),
                 retry_after,
@@ -41,14 +41,14 @@
             return;
         };
         if !request.was_sent() {
-            if let Some(bucket) = self.quotas.local.get_mut(&request.customer()) {
-                bucket.tokens += request.units();
+            if let Some(account) = self.quotas.account_mut(request.customer()) {
+                account.refund(request.units());
             }
         }
-        if let Some(pending) = request.quota.pending {
-            self.quotas.pending.remove(&pending.sequence);
+        if let Some(pending) = request.quota.pending() {
+            self.quotas.remove_pending(pending.sequence);
         }
-        if let Some(grant) = request.quota.grant {
+        if let Some(grant) = request.quota.grant() {
             self.release_permit(grant, request.customer(), actions);
         }
         if !self.deployment.settings.permissions.cancel_attempts {
--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -1,17 +1,21 @@
-//! The lease protocol: requests to quota owners, their answers, and what is done while there is none.
+//! The lease protocol of a large fleet: lease requests to quota owners, their responses, and what
+//! is done while there is none. What is decided stands in
+//! [`quota_sharing`](crate::policy::quota_sharing).
 
 use super::Gateway;
-use crate::message::{
-    self, LeaseAnswer, LeaseDecision, LeaseGrant, LeaseRequest, Message, PermitRelease,
+use crate::message::{self, LeaseDecision, LeaseRequest, LeaseResponse, Message, PermitRelease};
+use crate::policy::quota_sharing::lease::{
+    self as policy, AfterMiss, ResponseDecision, UnsentDecision,
 };
-use crate::policy::lease as policy;
-use crate::policy::quota_owner::{lease_lifetime, owners_of, OwnerRequest};
-use crate::state::deployment::FleetMode;
-use crate::state::lease::Lease;
-use crate::state::permits::PermitHolder;
-use crate::state::request::{PendingLeaseRequest, QuotaGrant, QuotaOwner};
+use crate::policy::quota_sharing::owner::{lease_lifetime, owners_of, OwnerRequest};
+use crate::state::deployment::Context;
+use crate::state::quota::{
+    CustomerAccount, HeldLease, PendingLease, PermitHolder, QuotaOwner, RequestGrant,
+};
+use crate::state::request::Request;
 use crate::time::Timestamp;
-use crate::types::{CustomerId, GatewayId, GatewaySet, RejectReason, RequestId};
+use crate::types::{CustomerId, GatewayId, RejectReason, RequestId};
+use crate::units::Units;
 use crate::Action;
 
 impl Gateway {
@@ -25,7 +29,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(bucket) = self.quotas.local.get(&request.customer()) else {
+        let Some(account) = self.quotas.account(request.customer()) else {
             return;
         };
         let plan = self.deployment.plan_of(request);
@@ -33,29 +37,20 @@
             &self.deployment.settings,
             request.customer(),
             plan,
-            bucket.gateways(),
+            account.gateways(),
         );
         let owner = policy::next_owner(&self.quotas, now, owners, request, &mut self.random);
         let sequence = self.quotas.next_sequence();
-        let Some(bucket) = self.quotas.local.get_mut(&request.customer()) else {
+        let Some(account) = self.quotas.account_mut(request.customer()) else {
             return;
         };
-        let renewal = policy::renew(bucket, now, request.units(), owner.index);
-        let lease_request = LeaseRequest {
-            sequence,
-            customer: request.customer(),
-            plan: request.plan(),
-            gateways: bucket.gateways(),
-            owner_index: owner.index,
-            units: request.units(),
-            requested_units: renewal.requested_units,
-            returned: renewal.returned,
-        };
-        request.quota.ask(now, sequence, owner);
-        self.quotas.pending.insert(sequence, id);
+        let lease_request = policy::lease_request(account, now, request, owner, sequence);
+        request.quota.record_lease_request(now, sequence, owner);
+        self.quotas.insert_pending(sequence, id);
         self.send_lease_request(now, owner, lease_request, actions);
     }
 
+    /// Sends a lease request to its owner; if that is this gateway, it responds immediately.
     fn send_lease_request(
         &mut self,
         now: Timestamp,
@@ -73,233 +68,228 @@
                 bytes,
             });
         }
-        let grant = self.decide_lease_request(now, owner.gateway, &request);
-        let grant = grant.unwrap_or(LeaseGrant::REJECTED);
-        self.on_lease_answer(
-            now,
-            LeaseAnswer {
-                sequence: request.sequence,
-                grant,
-            },
-            actions,
-        );
+        let response = self
+            .decide_lease_request(now, owner.gateway, &request)
+            .unwrap_or(LeaseResponse::rejected(request.sequence));
+        self.on_lease_response(now, response, actions);
     }
 
-    /// As an owner: what is granted. `None` if this gateway is not the owner meant.
-    pub(super) fn decide_lease_request(
+    /// As an owner: responds to a lease request of another gateway.
+    pub(super) fn on_lease_request(
         &mut self,
         now: Timestamp,
         from: GatewayId,
         request: &LeaseRequest,
-    ) -> Option<LeaseGrant> {
-        let settings = &self.deployment.settings;
-        let plan = settings.plans.get(request.plan.0)?;
-        let count = request.gateways.count.clamp(1, settings.gateway_count);
-        let gateways = GatewaySet {
-            count,
-            ..request.gateways
-        };
-        let owners = owners_of(settings, request.customer, plan, gateways);
-        let request = OwnerRequest {
-            from,
-            request,
-            owners,
-            plan,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(response) = self.decide_lease_request(now, from, request) else {
+            return;
         };
-        if !request.is_for(settings.gateway_id) {
-            return None;
-        }
-        let bucket = self.quotas.owned.entry(request.request.customer);
-        let bucket = bucket.or_insert_with(|| request.new_bucket(settings, now));
-        Some(request.decide(settings, now, bucket))
+        let response = Message::LeaseResponse(response, self.servers.digest(now, &mut self.random));
+        actions.push(Action::SendToPeer {
+            to: from,
+            bytes: message::encode(&response),
+        });
     }
 
-    pub(super) fn on_lease_answer(
+    /// As an owner: the response to a lease request. `None` if this gateway is not the owner that
+    /// is asked.
+    fn decide_lease_request(
         &mut self,
         now: Timestamp,
-        answer: LeaseAnswer,
+        from: GatewayId,
+        request: &LeaseRequest,
+    ) -> Option<LeaseResponse> {
+        let settings = &self.deployment.settings;
+        let request = OwnerRequest::received(settings, from, request)?;
+        let owned = self
+            .quotas
+            .owned_or_insert(request.customer(), || request.new_part(settings, now));
+        Some(request.decide(settings, now, owned))
+    }
+
+    /// Takes in an owner's response: it updates the customer's account, and decides what becomes of
+    /// the request.
+    pub(super) fn on_lease_response(
+        &mut self,
+        now: Timestamp,
+        response: LeaseResponse,
         actions: &mut Vec<Action>,
     ) {
-        let LeaseAnswer { sequence, grant } = answer;
-        let Some(id) = self.quotas.pending.remove(&sequence) else {
+        let Some(id) = self.quotas.remove_pending(response.sequence) else {
             return;
         };
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(pending) = request
-            .quota
-            .pending
-            .take_if(|pending| pending.sequence == sequence)
-        else {
+        let Some(pending) = request.quota.take_pending(response.sequence) else {
             return;
         };
-        let owner = request.quota.owner;
-        self.quotas.unresponsive.remove(&owner.gateway);
-        let hard_limit = self.deployment.plan_of(request).hard_limit;
-        let expires_at = pending.sent_at + lease_lifetime(hard_limit.as_ref());
-        if let Some(bucket) = self.quotas.local.get_mut(&request.customer()) {
-            bucket.lease_request_probability = grant.request_probability;
-            bucket.probability_set_at = now;
-            if grant.leased_units > 0.0 {
-                let requested_at = bucket.lease.requested_at;
-                let units = grant.leased_units;
-                bucket.lease = Lease {
-                    units,
-                    expires_at,
-                    owner_index: owner.index,
-                    sequence,
-                    requested_at,
-                };
-            }
+        let hard_limit = self.deployment.plan_of(request).hard_limit.as_ref();
+        let expires_at = pending.sent_at + lease_lifetime(hard_limit);
+        let owner = request.quota.owner();
+        self.quotas.record_response(owner.gateway);
+        if let Some(account) = self.quotas.account_mut(request.customer()) {
+            record_response(account, now, owner, &response, expires_at);
         }
-        match grant.decision {
-            LeaseDecision::Granted if policy::has_expired(hard_limit.as_ref(), expires_at, now) => {
-                self.request_lease(now, id, actions);
-            }
-            LeaseDecision::Granted => {
-                request.quota.grant = Some(QuotaGrant {
+        if response.decision == LeaseDecision::QuotaExceeded {
+            request.quota.record_rejection();
+        }
+        let context = Context::new(now, &self.deployment, self.servers.estimates());
+        match policy::on_response(context, request, &response, expires_at) {
+            ResponseDecision::Send => {
+                let grant = RequestGrant {
                     owner: owner.gateway,
-                    sequence,
-                });
-                request.quota.grant_expires_at = expires_at;
-                request.delayed_by_quota_until(now);
+                    sequence: response.sequence,
+                    expires_at,
+                };
+                grant_request(now, request, grant);
                 self.requests.enqueue(id);
             }
-            LeaseDecision::QuotaExceeded => self.on_lease_rejected(now, id, grant, actions),
-        }
-    }
-
-    fn on_lease_rejected(
-        &mut self,
-        now: Timestamp,
-        id: RequestId,
-        grant: LeaseGrant,
-        actions: &mut Vec<Action>,
-    ) {
-        let Some(request) = self.requests.get_mut(&id) else {
-            return;
-        };
-        request.quota.rejections += 1;
-        let Some(request) = self.requests.get(&id) else {
-            return;
-        };
-        if policy::asks_another_owner(self.context(now), request, grant) {
-            self.request_lease(now, id, actions);
-        } else {
-            self.reject_or_fail(now, &id, RejectReason::QuotaExceeded, actions);
+            ResponseDecision::AskAgain => self.request_lease(now, id, actions),
+            ResponseDecision::Reject => {
+                self.reject_or_fail(now, &id, RejectReason::QuotaExceeded, actions);
+            }
         }
     }
 
-    /// Looks after requests that were never sent: their owner is silent, or their grant has expired.
-    pub(super) fn check_lease_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        if self.deployment.mode != FleetMode::Leases {
+    /// Checks the requests that were never sent: whether their owner has failed to respond, or
+    /// their grant has expired.
+    pub(super) fn check_unsent_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        if !self.quota_sharing.uses_leases() {
             return;
         }
-        let unsent = self
+        let unsent: Vec<_> = self
             .requests
             .iter()
-            .filter(|(_, request)| !request.was_sent());
-        let unsent: Vec<_> = unsent.map(|(id, _)| id.clone()).collect();
+            .filter(|(_, request)| !request.was_sent())
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in unsent {
-            let Some(request) = self.requests.get(&id) else {
-                continue;
-            };
-            if let Some(grant) = request.quota.grant {
-                self.check_grant(now, id, grant, actions);
-            } else if let Some(pending) = request.quota.pending {
-                self.check_pending(now, id, pending, actions);
-            } else {
-                self.request_lease(now, id, actions);
+            self.check_unsent_request(now, id, actions);
+        }
+    }
+
+    fn check_unsent_request(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        match policy::check_unsent(&self.deployment, &self.quotas, now, request) {
+            UnsentDecision::Wait => {}
+            UnsentDecision::RequestLease => self.request_lease(now, id, actions),
+            UnsentDecision::RenewGrant(grant) => self.renew_grant(now, id, grant, actions),
+            UnsentDecision::Missed { pending, next } => {
+                self.record_miss(now, &id, pending);
+                self.continue_after_miss(now, id, pending, next, actions);
             }
         }
     }
 
-    fn check_grant(
+    /// Gives up a grant that has expired, and asks again.
+    fn renew_grant(
         &mut self,
         now: Timestamp,
         id: RequestId,
-        grant: QuotaGrant,
+        grant: RequestGrant,
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let hard_limit = self.deployment.plan_of(request).hard_limit.as_ref();
-        if !policy::has_expired(hard_limit, request.quota.grant_expires_at, now) {
-            return;
-        }
-        request.quota.grant = None;
+        request.quota.drop_grant();
         let customer = request.customer();
         self.requests.dequeue(&id);
         self.release_permit(grant, customer, actions);
         self.request_lease(now, id, actions);
     }
 
-    fn check_pending(
+    /// Notes that an owner has not responded to a request in time.
+    fn record_miss(&mut self, now: Timestamp, id: &RequestId, pending: PendingLease) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        request.quota.record_miss();
+        self.quotas.remove_pending(pending.sequence);
+        let owner = request.quota.owner().gateway;
+        self.quotas.record_miss(owner, now + policy::OWNER_COOLDOWN);
+    }
+
+    /// Asks again, or carries out what this gateway has decided alone.
+    fn continue_after_miss(
         &mut self,
         now: Timestamp,
         id: RequestId,
-        pending: PendingLeaseRequest,
+        pending: PendingLease,
+        next: AfterMiss,
         actions: &mut Vec<Action>,
     ) {
-        let Some(request) = self.requests.get_mut(&id) else {
-            return;
-        };
-        if !policy::is_missed(request, pending, now) {
-            return;
-        }
-        request.quota.misses += 1;
-        request.quota.pending = None;
-        self.quotas.pending.remove(&pending.sequence);
-        let misses = self
-            .quotas
-            .unresponsive
-            .entry(request.quota.owner.gateway)
-            .or_default();
-        misses.record(now + policy::OWNER_COOLDOWN);
-        let hard_limit = self.deployment.plan_of(request).hard_limit.as_ref();
-        if !policy::decides_alone(request, hard_limit) {
+        if matches!(next, AfterMiss::AskAgain) {
             return self.request_lease(now, id, actions);
         }
-        let owner = self.deployment.settings.gateway_id;
-        request.quota.grant = Some(QuotaGrant {
-            owner,
-            sequence: pending.sequence,
-        });
-        request.delayed_by_quota_until(now);
-        if policy::is_covered(self.quotas.local.get(&request.customer())) {
-            self.requests.enqueue(id);
+        if let Some(request) = self.requests.get_mut(&id) {
+            let own_grant = RequestGrant {
+                owner: self.deployment.settings.gateway_id,
+                sequence: pending.sequence,
+                expires_at: Timestamp::MAX,
+            };
+            grant_request(now, request, own_grant);
+        }
+        if let AfterMiss::Reject(reason) = next {
+            self.reject_or_fail(now, &id, reason, actions);
         } else {
-            self.reject_or_fail(now, &id, RejectReason::OwnerUnreachable, actions);
+            self.requests.enqueue(id);
         }
     }
 
     /// Releases the concurrency permit that an owner granted.
     pub(super) fn release_permit(
         &mut self,
-        grant: QuotaGrant,
+        grant: RequestGrant,
         customer: CustomerId,
         actions: &mut Vec<Action>,
     ) {
-        let QuotaGrant { owner, sequence } = grant;
-        if owner == self.deployment.settings.gateway_id {
-            if let Some(bucket) = self.quotas.owned.get_mut(&customer) {
-                bucket.permits.release(PermitHolder {
-                    gateway: owner,
+        let sequence = grant.sequence;
+        match policy::permit_release(&self.deployment, &self.quotas, customer, grant) {
+            policy::PermitReleaseTarget::OwnPart => {
+                let holder = PermitHolder {
+                    gateway: grant.owner,
                     sequence,
+                };
+                self.quotas.release_permit(customer, holder);
+            }
+            policy::PermitReleaseTarget::SendTo(owner) => {
+                let release = Message::PermitRelease(PermitRelease { sequence, customer });
+                actions.push(Action::SendToPeer {
+                    to: owner,
+                    bytes: message::encode(&release),
                 });
             }
-            return;
-        }
-        let bucket = self.quotas.local.get(&customer);
-        let plan = bucket.map(|bucket| &self.deployment.settings.plans[bucket.plan.0]);
-        if plan.is_some_and(|plan| plan.max_concurrent.is_some()) {
-            let release = Message::PermitRelease(PermitRelease { sequence, customer });
-            actions.push(Action::SendToPeer {
-                to: owner,
-                bytes: message::encode(&release),
-            });
+            policy::PermitReleaseTarget::Unneeded => {}
         }
     }
 }
+
+/// Notes the request probability and the lease of an owner's response in the customer's account.
+fn record_response(
+    account: &mut CustomerAccount,
+    now: Timestamp,
+    owner: QuotaOwner,
+    response: &LeaseResponse,
+    expires_at: Timestamp,
+) {
+    account.set_request_probability(now, response.request_probability);
+    if response.leased_units > Units::ZERO {
+        account.hold_lease(HeldLease::new(
+            response.leased_units,
+            expires_at,
+            owner.index,
+            response.sequence,
+        ));
+    }
+}
+
+/// From now on only the servers delay a request.
+fn grant_request(now: Timestamp, request: &mut Request, grant: RequestGrant) {
+    request.quota.set_grant(grant);
+    request.delayed_by_quota_until(now);
+}
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -21,6 +21,7 @@
 mod statistics;
 mod time;
 mod types;
+mod units;
 mod warning;
 
 pub use action::Action;
@@ -32,4 +33,5 @@
 };
 pub use time::Timestamp;
 pub use types::*;
+pub use units::Units;
 pub use warning::Warning;
--- a/crates/gateway-core/src/message/decode.rs
+++ b/crates/gateway-core/src/message/decode.rs
@@ -1,9 +1,11 @@
 //! Decoding. What comes from the network may be malformed: nothing here panics.
 
+use super::layout::*;
 use super::*;
 use crate::types::GatewayId;
 
-/// Decodes a message; `None` for one that is empty, cut short, too long, of another version or malformed.
+/// Decodes a message; `None` for one that is empty, cut short, too long, of another version or
+/// malformed.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Message> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return None;
@@ -18,8 +20,8 @@
             reader.lease_request()?,
             reader.digest()?,
         )),
-        KIND_LEASE_ANSWER => Some(Message::LeaseAnswer(
-            reader.lease_answer()?,
+        KIND_LEASE_RESPONSE => Some(Message::LeaseResponse(
+            reader.lease_response()?,
             reader.digest()?,
         )),
         KIND_PERMIT_RELEASE => Some(Message::PermitRelease(reader.permit_release()?)),
@@ -59,6 +61,10 @@
         Some(f64::from(self.u16()?) / FRACTION_STEPS)
     }
 
+    fn units(&mut self) -> Option<Units> {
+        Some(Units::new(self.fraction()?))
+    }
+
     fn customer(&mut self) -> Option<CustomerId> {
         Some(CustomerId(self.number(CUSTOMER_BYTES)?))
     }
@@ -86,11 +92,11 @@
         let owner_index = u32::from(self.byte()?);
         let first = GatewayId(u32::from(self.u16()?));
         let count = u32::from(self.u16()?);
-        let units = self.fraction()?;
-        let requested_units = self.fraction()?;
+        let units = self.units()?;
+        let requested_units = self.units()?;
         let returned = ReturnedLease {
             sequence: self.u16()?,
-            units: self.fraction()?,
+            units: self.units()?,
         };
         let gateways = GatewaySet { first, count };
         Some(LeaseRequest {
@@ -105,7 +111,7 @@
         })
     }
 
-    fn lease_answer(&mut self) -> Option<LeaseAnswer> {
+    fn lease_response(&mut self) -> Option<LeaseResponse> {
         let sequence = self.u16()?;
         let decision = match self.byte()? {
             DECISION_GRANTED => LeaseDecision::Granted,
@@ -113,14 +119,12 @@
             _ => return None,
         };
         let request_probability = f64::from(self.byte()?) / f64::from(u8::MAX);
-        let leased_units = self.fraction()?;
-        Some(LeaseAnswer {
+        let leased_units = self.units()?;
+        Some(LeaseResponse {
             sequence,
-            grant: LeaseGrant {
-                decision,
-                request_probability,
-                leased_units,
-            },
+            decision,
+            request_probability,
+            leased_units,
         })
     }
 
--- a/crates/gateway-core/src/policy/controller_inputs.rs
+++ b/crates/gateway-core/src/policy/controller_inputs.rs
@@ -11,6 +11,7 @@
 //! 3. The means of attempts in flight include this gateway's counts
 //!    ([`ControllerInputs::in_flight_weight`]).
 
+use crate::state::deployment::FleetMode;
 use crate::state::request::Request;
 
 /// Weight of one gateway's sample in the latency ratios of a large fleet.
@@ -23,7 +24,8 @@
 /// The rules by which a gateway observes latency and load for its controller.
 pub(crate) trait ControllerInputs {
     /// Whether an open request counts as a latency sample at this control tick. `latency_ratio` is
-    /// its age relative to its latency objective, `mean` the mean of its class's samples so far.
+    /// its age relative to its latency objective, `mean` the mean of its class's samples so far. A
+    /// rule by which a request counts only once records that in the request.
     fn counts_open_request(
         &self,
         request: &mut Request,
@@ -44,8 +46,16 @@
     fn warns_of_missed_objectives(&self) -> bool;
 }
 
+/// The rules for a fleet of this mode.
+pub(crate) fn controller_inputs(mode: FleetMode) -> &'static dyn ControllerInputs {
+    match mode {
+        FleetMode::Gossip => &SmallFleetInputs,
+        FleetMode::Leases => &LargeFleetInputs,
+    }
+}
+
 /// The rules of a small fleet: a gateway sees enough requests to judge by each control tick alone.
-pub(crate) struct SmallFleetInputs;
+struct SmallFleetInputs;
 
 impl ControllerInputs for SmallFleetInputs {
     /// An open request counts at every tick at which it raises the mean or has missed its
@@ -79,7 +89,7 @@
 
 /// The rules of a large fleet: a gateway sees few requests, and its latency ratios are means over
 /// the fleet, updated by gossip.
-pub(crate) struct LargeFleetInputs;
+struct LargeFleetInputs;
 
 impl ControllerInputs for LargeFleetInputs {
     /// An open request counts once, after it has missed its objective. Counted at every tick, a few
@@ -92,7 +102,9 @@
         latency_ratio: f64,
         _mean: Option<f64>,
     ) -> bool {
-        request.quota.grant.is_some() && latency_ratio > OBJECTIVE_RATIO && request.count_as_late()
+        request.quota.grant().is_some()
+            && latency_ratio > OBJECTIVE_RATIO
+            && request.count_as_late()
     }
 
     fn latency_ratio_weight(&self) -> f64 {
--- a/crates/gateway-core/src/policy/dispatch.rs
+++ b/crates/gateway-core/src/policy/dispatch.rs
@@ -9,9 +9,9 @@
 
 use super::in_flight_limit::InFlightLimit;
 use super::priority::remaining_priority;
-use super::quota;
+use super::quota_sharing::QuotaSharing;
 use crate::state::deployment::Context;
-use crate::state::quota_state::QuotaState;
+use crate::state::quota::QuotaState;
 use crate::state::request::Request;
 use crate::types::{ClassId, RequestId};
 
@@ -41,6 +41,7 @@
 
 /// One scan of the queue.
 pub(crate) struct DispatchPass {
+    quota_sharing: QuotaSharing,
     lowest_class: ClassId,
     /// Attempts of the lowest class in flight, with those sent by this scan.
     lowest_in_flight: f64,
@@ -48,8 +49,13 @@
 
 impl DispatchPass {
     /// A scan that starts with so many attempts of the lowest class in flight.
-    pub(crate) fn new(lowest_class: ClassId, lowest_in_flight: f64) -> Self {
+    pub(crate) fn new(
+        quota_sharing: QuotaSharing,
+        lowest_class: ClassId,
+        lowest_in_flight: f64,
+    ) -> Self {
         DispatchPass {
+            quota_sharing,
             lowest_class,
             lowest_in_flight,
         }
@@ -70,7 +76,11 @@
                 context.fleet.mean_latency_us(),
             );
         let is_first_attempt = !request.was_sent();
-        if is_first_attempt && !quota::allows_attempt(quotas, context, request) {
+        if is_first_attempt
+            && !self
+                .quota_sharing
+                .allows_first_attempt(quotas, context, request)
+        {
             DispatchDecision::SkipForQuota
         } else if is_limited {
             DispatchDecision::SkipForInFlightLimit
@@ -80,7 +90,7 @@
     }
 
     /// Records that an attempt of a request is being sent.
-    pub(crate) fn attempt_sent(&mut self, class: ClassId, limit: &mut InFlightLimit) {
+    pub(crate) fn record_attempt_sent(&mut self, class: ClassId, limit: &mut InFlightLimit) {
         if class == self.lowest_class {
             self.lowest_in_flight += 1.0;
             limit.consume_pacing_token();
--- a/crates/gateway-core/src/state/mod.rs
+++ b/crates/gateway-core/src/state/mod.rs
@@ -5,12 +5,7 @@
 pub(crate) mod attempt;
 pub(crate) mod deployment;
 pub(crate) mod latency_samples;
-pub(crate) mod lease;
-pub(crate) mod peer_usage;
-pub(crate) mod permits;
-pub(crate) mod quota_owners;
-pub(crate) mod quota_state;
+pub(crate) mod quota;
 pub(crate) mod request;
 pub(crate) mod request_table;
 pub(crate) mod servers;
-pub(crate) mod token_bucket;
--- a/crates/gateway-core/src/state/quota_owners.rs
+++ b/crates/gateway-core/src/state/quota/owners.rs
@@ -3,18 +3,21 @@
 use crate::hash::fibonacci_hash;
 use crate::types::{CustomerId, GatewayId, GatewaySet};
 
-/// The owners of one customer's quota, numbered from 0. The one after the last is the standby owner.
+/// The owners of one customer's quota, numbered from 0. The one after the last is the standby
+/// owner.
 #[derive(Clone, Copy)]
 pub(crate) struct QuotaOwners {
-    pub(crate) count: u32,
+    count: u32,
+    /// The gateways that the customer's requests come through.
     gateways: GatewaySet,
     /// Gateways in the fleet.
     gateway_count: u32,
+    /// Places the first owner among them.
     hash: u32,
 }
 
 impl QuotaOwners {
-    /// `count` owners among the customer's gateways, one of them at the least.
+    /// `count` owners among the customer's gateways; at least one.
     pub(crate) fn new(
         customer: CustomerId,
         gateways: GatewaySet,
@@ -30,6 +33,11 @@
         }
     }
 
+    /// How many there are, without the standby owner.
+    pub(crate) fn count(&self) -> u32 {
+        self.count
+    }
+
     /// The owner of that index, or the standby owner.
     pub(crate) fn gateway(&self, index: u32) -> GatewayId {
         let members = self.gateways.count;
@@ -40,5 +48,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/quota_owners.rs"]
+#[path = "../../../tests/unit/quota_owners.rs"]
 mod tests;
--- a/crates/gateway-core/src/state/request.rs
+++ b/crates/gateway-core/src/state/request.rs
@@ -2,10 +2,12 @@
 //! owners.
 
 use super::attempt::Attempt;
+use super::quota::QuotaProgress;
 use crate::time::Timestamp;
 use crate::types::{
-    AttemptNumber, AttemptOutcome, ClassId, CustomerId, Endpoint, GatewayId, PlanId, ServerId,
+    AttemptNumber, AttemptOutcome, ClassId, CustomerId, Endpoint, PlanId, ServerId,
 };
+use crate::units::Units;
 use std::time::Duration;
 
 /// Where and when an attempt was sent that may have been executed.
@@ -27,7 +29,7 @@
     /// The customer.
     pub(crate) customer: CustomerId,
     /// Quota units that the request consumes.
-    pub(crate) units: f64,
+    pub(crate) units: Units,
 }
 
 /// The attempt of a request that is in flight.
@@ -89,7 +91,7 @@
     }
 
     /// Quota units that it consumes.
-    pub(crate) fn units(&self) -> f64 {
+    pub(crate) fn units(&self) -> Units {
         self.details.units
     }
 
@@ -166,7 +168,7 @@
     }
 
     /// Records that a new attempt is in flight at this server.
-    pub(crate) fn attempt_sent(&mut self, server: ServerId) -> AttemptNumber {
+    pub(crate) fn record_attempt_sent(&mut self, server: ServerId) -> AttemptNumber {
         let number = AttemptNumber(self.attempt_count);
         self.attempt_count += 1;
         self.last_server = Some(server);
@@ -178,13 +180,13 @@
     }
 
     /// Records that the attempt in flight was cancelled; that it has ended is reported later.
-    pub(crate) fn attempt_cancelled(&mut self) {
+    pub(crate) fn record_cancellation(&mut self) {
         self.forbid_cancellation();
     }
 
     /// Records that the answer streams to the client: there is no deadline any more, and the
     /// attempt must not be cancelled.
-    pub(crate) fn stream_started(&mut self) {
+    pub(crate) fn record_stream_start(&mut self) {
         self.deadline = Timestamp::MAX;
         self.forbid_cancellation();
     }
@@ -196,14 +198,14 @@
     }
 
     /// Records that the attempt in flight has ended.
-    pub(crate) fn attempt_finished(&mut self, outcome: AttemptOutcome) {
+    pub(crate) fn record_attempt_finished(&mut self, outcome: AttemptOutcome) {
         self.in_flight = None;
         self.has_reached_server |= outcome.reached_server();
     }
 
     /// Records where and when an attempt was sent that may have been executed; the first one
     /// counts.
-    pub(crate) fn possibly_executed(&mut self, execution: Option<PossibleExecution>) {
+    pub(crate) fn record_possible_execution(&mut self, execution: Option<PossibleExecution>) {
         self.possible_execution = self.possible_execution.or(execution);
     }
 
@@ -226,60 +228,6 @@
     }
 }
 
-/// One of a customer's quota owners.
-#[derive(Clone, Copy, Default)]
-pub(crate) struct QuotaOwner {
-    /// Its index among the customer's owners.
-    pub(crate) index: u32,
-    /// The gateway.
-    pub(crate) gateway: GatewayId,
-}
-
-/// A lease request without an answer.
-#[derive(Clone, Copy)]
-pub(crate) struct PendingLeaseRequest {
-    pub(crate) sequence: u16,
-    pub(crate) sent_at: Timestamp,
-}
-
-/// Who granted a request its quota, and under which lease request.
-#[derive(Clone, Copy)]
-pub(crate) struct QuotaGrant {
-    pub(crate) owner: GatewayId,
-    pub(crate) sequence: u16,
-}
-
-/// How a request fares with its customer's quota owners.
-#[derive(Default)]
-pub(crate) struct QuotaProgress {
-    /// The owner asked last.
-    pub(crate) owner: QuotaOwner,
-    pub(crate) pending: Option<PendingLeaseRequest>,
-    /// Answers that the quota is exceeded.
-    pub(crate) rejections: u32,
-    /// Lease requests without an answer.
-    pub(crate) misses: u32,
-    pub(crate) grant: Option<QuotaGrant>,
-    /// Until when the grant may be used under a hard limit.
-    pub(crate) grant_expires_at: Timestamp,
-}
-
-impl QuotaProgress {
-    /// Notes that an owner has been asked.
-    pub(crate) fn ask(&mut self, now: Timestamp, sequence: u16, owner: QuotaOwner) {
-        self.owner = owner;
-        self.pending = Some(PendingLeaseRequest {
-            sequence,
-            sent_at: now,
-        });
-    }
-
-    /// Whether no owner has rejected it or kept silent so far.
-    pub(crate) fn is_first_try(&self) -> bool {
-        self.rejections + self.misses == 0
-    }
-}
-
 #[cfg(test)]
 #[path = "../../tests/unit/request.rs"]
 mod tests;
--- a/crates/gateway-core/tests/policy/lease.rs
+++ b/crates/gateway-core/tests/policy/lease.rs
@@ -13,21 +13,23 @@
     }
 }
 
-/// Hazard: lease requests are lost among too many, and each lost one causes one more. What a gateway takes in is
-/// bounded, so a busy one must not exchange messages with an owner for each request.
+/// Hazard: lease requests are lost among too many, and each lost one causes one more. What a
+/// gateway takes in is bounded, so a busy one must not exchange messages with an owner for each
+/// request.
 #[test]
 fn a_busy_gateway_sends_fewer_lease_requests_than_it_has_requests() {
     let mut fleet = Fleet::new(60, 40, |settings| {
         let hard_limit = HardLimit {
             rate: 120.0,
-            capacity: 120.0,
+            capacity: Units::new(120.0),
         };
         settings
             .rate(HARD_LIMITED, 60.0)
             .burst(HARD_LIMITED, 60.0)
             .hard_limit(HARD_LIMITED, hard_limit)
     });
-    fleet.drive_through(HARD_LIMITED, 30, 1, mostly_one); // an owner's part of the hard limit starts empty
+    // an owner's part of the hard limit starts empty
+    fleet.drive_through(HARD_LIMITED, 30, 1, mostly_one);
     let messages_before = fleet.messages_sent;
     let requests = 30 * 6;
     let sent = fleet.drive_through(HARD_LIMITED, 30, 6, mostly_one);
@@ -77,7 +79,7 @@
             HARD_LIMITED,
             HardLimit {
                 rate: 20.0,
-                capacity: 40.0,
+                capacity: Units::new(40.0),
             },
         )
         .build()
@@ -112,8 +114,8 @@
         scenario
     }
 
-    /// One request at the gateway. Its lease request reaches the owner `copies` times. Returns whether the request
-    /// was sent at once, without an answer of the owner.
+    /// One request at the gateway. Its lease request reaches the owner `copies` times. Returns
+    /// whether the request was sent immediately, without a response of the owner.
     fn request(&mut self, copies: usize) -> bool {
         let actions_before = self.gateway.actions.len();
         let id = self
@@ -180,7 +182,8 @@
     }
 }
 
-/// How many requests are sent until the owner is short, where an expired lease is returned `copies` times.
+/// How many requests are sent until the owner is short, where an expired lease is returned `copies`
+/// times.
 fn sent_until_owner_is_short(copies: usize) -> usize {
     let mut scenario = LeaseScenario::new();
     scenario.let_lease_expire();
@@ -202,8 +205,8 @@
         twice <= once,
         "{once} requests were sent, and {twice} where the lease was returned twice"
     );
-    // The owner's part of 40 units, a quarter kept back, and of 20 a second over 1.72 s is 0.7. What was on lease and
-    // not used goes to others.
+    // The owner's part of 40 units, a quarter reserved, and of 20 a second over 1.72 s is 0.7. What
+    // was on lease and not used goes to others.
     let most = 0.7 * (0.75 * 40.0 + 20.0 * 1.72);
     assert!(
         (most - 3.0..=most).contains(&(once as f64)),
@@ -244,13 +247,13 @@
     actions.iter().filter_map(message).collect()
 }
 
-/// Only misses on end make an owner unresponsive: a few messages are always lost.
+/// Only consecutive misses make an owner unresponsive: a few messages are always lost.
 #[test]
 fn an_owner_that_answers_in_between_is_asked_again_and_not_its_standby() {
     let settings = |gateway| {
         let nothing_to_grant = HardLimit {
             rate: 0.1,
-            capacity: 12.0,
+            capacity: Units::new(12.0),
         };
         SettingsBuilder::new(gateway, LARGE_FLEET)
             .rate(HARD_LIMITED, 20.0)
--- a/crates/gateway-core/tests/unit/message.rs
+++ b/crates/gateway-core/tests/unit/message.rs
@@ -1,5 +1,7 @@
-//! The layout of messages between gateways: fixed bytes that every version of this layout has to read and write.
+//! The layout of messages between gateways: fixed bytes that every version of this layout has to
+//! read and write.
 
+use super::layout::*;
 use super::*;
 use crate::types::GatewayId;
 
@@ -14,15 +16,13 @@
     }
 }
 
-fn granted(sequence: u16, request_probability: f64, leased_units: f64) -> LeaseAnswer {
+fn granted(sequence: u16, request_probability: f64, leased_units: f64) -> LeaseResponse {
     let decision = LeaseDecision::Granted;
-    LeaseAnswer {
+    LeaseResponse {
         sequence,
-        grant: LeaseGrant {
-            decision,
-            request_probability,
-            leased_units,
-        },
+        decision,
+        request_probability,
+        leased_units: Units::new(leased_units),
     }
 }
 
@@ -33,9 +33,10 @@
         reports,
         ..GossipDigest::default()
     };
-    let bytes = encode(&Message::LeaseAnswer(granted(7, 1.0, 0.0), digest));
-    let Some(Message::LeaseAnswer(LeaseAnswer { sequence: 7, .. }, digest)) = decode(&bytes) else {
-        panic!("an answer")
+    let bytes = encode(&Message::LeaseResponse(granted(7, 1.0, 0.0), digest));
+    let Some(Message::LeaseResponse(LeaseResponse { sequence: 7, .. }, digest)) = decode(&bytes)
+    else {
+        panic!("a response")
     };
     let classes: Vec<_> = digest.reports.iter().map(|report| report.class.0).collect();
     assert_eq!(classes, [1]);
@@ -51,8 +52,9 @@
 
 /// Version, kind, incarnation; then customer and units of each.
 const USAGE_COUNTS: &str = "04 00 0df0adde 0504030201 e803 ffffffffff ffff 0000000000 0000";
-/// Version, kind, sequence, customer, plan, owner, first gateway, gateway count, units, requested units, the returned
-/// lease's sequence and its units; then the gossip digest: throughput, latencies, health reports.
+/// Version, kind, sequence, customer, plan, owner, first gateway, gateway count, units, requested
+/// units, the returned lease's sequence and its units; then the gossip digest: throughput,
+/// latencies, health reports.
 const LEASE_REQUEST: &str = "04 01 3412 0504030201 01 02 0301 2c01 2800 4406 3012 0800 \
     38 03 08 ff 14 efbe 5f 0a 07 0a 0100 e0 00 ff 00";
 /// Version, kind, sequence, decision, probability, units of the lease, the gossip digest.
@@ -85,11 +87,11 @@
             count: 300,
         },
         owner_index: 2,
-        units: 2.5,
-        requested_units: 100.25,
+        units: Units::new(2.5),
+        requested_units: Units::new(100.25),
         returned: ReturnedLease {
             sequence: 0x1230,
-            units: 0.5,
+            units: Units::new(0.5),
         },
     }
 }
@@ -172,22 +174,19 @@
     assert_eq!(*returned, expected.returned);
 }
 
-fn assert_same_answer(decoded: &LeaseAnswer, expected: &LeaseAnswer) {
-    let LeaseAnswer {
+fn assert_same_response(decoded: &LeaseResponse, expected: &LeaseResponse) {
+    let LeaseResponse {
         sequence,
-        grant:
-            LeaseGrant {
-                decision,
-                request_probability,
-                leased_units,
-            },
+        decision,
+        request_probability,
+        leased_units,
     } = decoded;
     assert_eq!(
         (*sequence, *decision),
-        (expected.sequence, expected.grant.decision)
+        (expected.sequence, expected.decision)
     );
-    assert_eq!(*request_probability, expected.grant.request_probability);
-    assert_eq!(*leased_units, expected.grant.leased_units);
+    assert_eq!(*request_probability, expected.request_probability);
+    assert_eq!(*leased_units, expected.leased_units);
 }
 
 #[test]
@@ -224,12 +223,12 @@
 #[test]
 fn a_lease_grant_has_fixed_bytes() {
     let bytes = bytes_of(LEASE_GRANT);
-    let answer = granted(0x1234, 1.0, 20.25);
-    assert_eq!(encode(&Message::LeaseAnswer(answer, digest())), bytes);
-    let Some(Message::LeaseAnswer(decoded, decoded_digest)) = decode(&bytes) else {
+    let response = granted(0x1234, 1.0, 20.25);
+    assert_eq!(encode(&Message::LeaseResponse(response, digest())), bytes);
+    let Some(Message::LeaseResponse(decoded, decoded_digest)) = decode(&bytes) else {
         panic!("a grant")
     };
-    assert_same_answer(&decoded, &answer);
+    assert_same_response(&decoded, &response);
     assert_same_digest(&decoded_digest, &digest());
 }
 
@@ -237,23 +236,20 @@
 fn a_refusal_of_a_lease_has_fixed_bytes() {
     let bytes = bytes_of(LEASE_REFUSAL);
     let decision = LeaseDecision::QuotaExceeded;
-    let grant = LeaseGrant {
+    let response = LeaseResponse {
+        sequence: u16::MAX,
         decision,
         request_probability: 0.2,
-        leased_units: 0.0,
-    };
-    let answer = LeaseAnswer {
-        sequence: u16::MAX,
-        grant,
+        leased_units: Units::new(0.0),
     };
     assert_eq!(
-        encode(&Message::LeaseAnswer(answer, GossipDigest::default())),
+        encode(&Message::LeaseResponse(response, GossipDigest::default())),
         bytes
     );
-    let Some(Message::LeaseAnswer(decoded, decoded_digest)) = decode(&bytes) else {
+    let Some(Message::LeaseResponse(decoded, decoded_digest)) = decode(&bytes) else {
         panic!("a refusal")
     };
-    assert_same_answer(&decoded, &answer);
+    assert_same_response(&decoded, &response);
     assert_same_digest(&decoded_digest, &GossipDigest::default());
 }
 
@@ -271,7 +267,8 @@
     assert_eq!(decoded, release);
 }
 
-/// What does not fit its field is clamped to the nearest value that does; classes past the eighth are left out.
+/// What does not fit its field is clamped to the nearest value that does; classes past the eighth
+/// are left out.
 #[test]
 fn values_out_of_range_have_fixed_bytes() {
     let extreme = |class: usize, failure_rate: f64| HealthReport {
@@ -292,14 +289,14 @@
         "04 02 0700 00 ff 0f00 ff 08 fe 00 ff 00 01 10 20 fe 0900 1f ff fe ff 0900 30 ff fe ff",
     );
     assert_eq!(
-        encode(&Message::LeaseAnswer(granted(7, 2.0, 0.99), digest)),
+        encode(&Message::LeaseResponse(granted(7, 2.0, 0.99), digest)),
         bytes
     );
 
-    let Some(Message::LeaseAnswer(decoded, decoded_digest)) = decode(&bytes) else {
+    let Some(Message::LeaseResponse(decoded, decoded_digest)) = decode(&bytes) else {
         panic!("a grant")
     };
-    assert_same_answer(&decoded, &granted(7, 1.0, 0.9375));
+    assert_same_response(&decoded, &granted(7, 1.0, 0.9375));
     let nearest = |class: usize, failure_rate: f64| HealthReport {
         wait: 2_040_000.0,
         load: Some(254.0),
@@ -363,7 +360,8 @@
     );
 }
 
-/// Lengths at which a message that is cut short still reads as a shorter one: after a whole count or health report.
+/// Lengths at which a message that is cut short still reads as a shorter one: after a whole count
+/// or health report.
 fn lengths_that_decode(message: &[u8]) -> Vec<usize> {
     (0..message.len())
         .filter(|length| decode(&message[..*length]).is_some())
