--- a/crates/gateway-core/src/state/quota/peer_usage.rs
+++ b/crates/gateway-core/src/state/quota/peer_usage.rs
@@ -88,13 +88,20 @@
         delta
     }
 
-    /// Adds units that the peer has just reported as forwarded.
+    /// Adds units that the peer has just reported as forwarded. What has expired is dropped, so that
+    /// memory stays bounded where nobody asks for the recent units.
     pub(super) fn add(&mut self, now: Timestamp, units: Units) {
+        self.drop_expired(now);
         self.recent.push_back(Usage { at: now, units });
     }
 
     /// Units within the last window.
     pub(super) fn recent_units(&mut self, now: Timestamp) -> Units {
+        self.drop_expired(now);
+        self.recent.iter().map(|usage| usage.units).sum()
+    }
+
+    fn drop_expired(&mut self, now: Timestamp) {
         while self
             .recent
             .front()
@@ -102,7 +109,6 @@
         {
             self.recent.pop_front();
         }
-        self.recent.iter().map(|usage| usage.units).sum()
     }
 }
 
--- a/crates/gateway-core/tests/unit/peer_usage.rs
+++ b/crates/gateway-core/tests/unit/peer_usage.rs
@@ -54,3 +54,18 @@
     assert_eq!(peer.recent_units(at(1) + USAGE_WINDOW), Units::new(3.0));
     assert_eq!(peer.recent_units(at(1001) + USAGE_WINDOW), Units::new(0.0));
 }
+
+/// Gateways of a large fleet take in usage that peers broadcast before a change of the fleet's size,
+/// and never ask for the recent units.
+#[test]
+fn expired_usage_is_dropped_where_nobody_asks_for_it() {
+    let mut peer = PeerUsage::default();
+    for seconds in 0..10 {
+        peer.add(at(seconds * 1_000_000), Units::new(1.0));
+    }
+    assert_eq!(
+        peer.recent.len(),
+        3,
+        "the last window's, with both its ends"
+    );
+}
