--- a/crates/fleet-lab/src/hybrid/node_settings.rs
+++ b/crates/fleet-lab/src/hybrid/node_settings.rs
@@ -3,7 +3,7 @@
 use super::customers::{CLASSES, MAX_UNITS, PLANS};
 use super::plan_quotas::{PlanQuotas, ACCEPTED_MESSAGES_PER_SECOND};
 use super::scenario::{CLIENT_TIMEOUT, DRAIN_GRACE};
-use crate::time::DurationExt;
+use gateway_core::DurationExt;
 use gateway_core::{GatewayId, PlanId};
 use serde_json::json;
 use std::time::Duration;
--- a/crates/fleet-lab/src/hybrid/node_totals.rs
+++ b/crates/fleet-lab/src/hybrid/node_totals.rs
@@ -2,8 +2,8 @@
 
 use super::figure::Figure;
 use super::observed_request::ReceivedAnswer;
-use crate::time::DurationExt;
 use crate::world::final_answer::FinalAnswer;
+use gateway_core::DurationExt;
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
--- a/crates/fleet-lab/src/hybrid/plan_quotas.rs
+++ b/crates/fleet-lab/src/hybrid/plan_quotas.rs
@@ -3,7 +3,8 @@
 use super::customers::{Customer, Plan, MAX_UNITS, PLANS};
 use super::quotas::{CustomerQuota, Quota};
 use super::scenario::{ScenarioSize, DEMAND_RATIOS};
-use crate::time::{DurationExt, MICROS_PER_SECOND};
+use crate::time::MICROS_PER_SECOND;
+use gateway_core::DurationExt;
 use gateway_core::PlanId;
 use std::time::Duration;
 
--- a/crates/fleet-lab/src/simulate/experiment.rs
+++ b/crates/fleet-lab/src/simulate/experiment.rs
@@ -3,11 +3,12 @@
 use super::fault::Fault;
 use super::fault_schedule::FaultSchedule;
 use super::fault_scheduler::FaultScheduler;
-use crate::time::{DurationExt, MICROSECOND};
+use crate::time::MICROSECOND;
 use crate::world::machine::Machine;
 use crate::world::{random_stream, Rng};
 use crate::Failure;
 use gateway_core::settings::{self, ResolvedSettings};
+use gateway_core::DurationExt;
 use gateway_core::{CellId, Endpoint, EndpointState, ServerId, Settings, Timestamp, ZoneId};
 use rand::Rng as _;
 use std::collections::BTreeSet;
--- a/crates/fleet-lab/src/simulate/fault_scheduler.rs
+++ b/crates/fleet-lab/src/simulate/fault_scheduler.rs
@@ -9,9 +9,11 @@
     LATEST_END_FRACTION, OUTAGE_TO_DRAIN, PARTITION, PARTITION_LOSS_FRACTION, SERVER_DOWN_SECONDS,
     SERVER_STOP_FRACTION, SLOWNESS, SURGE, SURGE_RATIO,
 };
-use crate::time::{draw_timestamp, DurationExt};
+use crate::time::draw_timestamp;
+use crate::time::duration_from_seconds;
 use crate::world::datagrams::{Partition, Temporary};
 use crate::world::{Rng, TimeSpan, START};
+use gateway_core::DurationExt;
 use gateway_core::{Endpoint, GatewayId, ServerId, Timestamp, ZoneId};
 use rand::seq::SliceRandom;
 use rand::Rng as _;
@@ -149,7 +151,7 @@
         let killed_at = self.at(KILL_FRACTION);
         for gateway in gateways.into_iter().map(GatewayId) {
             let restarted_at =
-                killed_at + Duration::from_seconds(self.rng.random_range(GATEWAY_DOWN_SECONDS));
+                killed_at + duration_from_seconds(self.rng.random_range(GATEWAY_DOWN_SECONDS));
             self.add(killed_at, FaultAction::KillGateway(gateway));
             self.add(restarted_at, FaultAction::RestartGateway(gateway));
         }
@@ -185,7 +187,7 @@
         for endpoint in self.take_servers(AFFECTED_ONE_OF) {
             self.add(stopped_at, FaultAction::StopServer(endpoint.server));
             let restarted_at =
-                stopped_at + Duration::from_seconds(self.rng.random_range(SERVER_DOWN_SECONDS));
+                stopped_at + duration_from_seconds(self.rng.random_range(SERVER_DOWN_SECONDS));
             self.add(restarted_at, FaultAction::RestartServer(endpoint.server));
         }
     }
--- a/crates/fleet-lab/src/simulate/host.rs
+++ b/crates/fleet-lab/src/simulate/host.rs
@@ -1,8 +1,9 @@
 //! What a simulation uses of the machine that it runs on. None of this is compared between simulations.
 
 use super::report::Report;
-use crate::time::{DurationExt, MICROS_PER_SECOND};
+use crate::time::MICROS_PER_SECOND;
 use crate::world::seconds_since_start;
+use gateway_core::DurationExt;
 use gateway_core::Timestamp;
 use std::fs;
 use std::io::{stderr, IsTerminal, Write};
--- a/crates/fleet-lab/src/simulate/table.rs
+++ b/crates/fleet-lab/src/simulate/table.rs
@@ -1,8 +1,8 @@
 //! A report as text.
 
 use super::report::{ColdServer, Report};
-use crate::time::DurationExt;
 use crate::world::request_counts::RequestCounts;
+use gateway_core::DurationExt;
 use std::fmt::{Display, Formatter, Result};
 
 /// Maximum number of cold servers that the text lists.
--- a/crates/fleet-lab/src/time.rs
+++ b/crates/fleet-lab/src/time.rs
@@ -3,7 +3,7 @@
 //! Instants are [`Timestamp`]s and durations are [`Duration`]s everywhere. All of them are whole microseconds, since
 //! those are what gateways calculate with.
 
-use gateway_core::Timestamp;
+use gateway_core::{DurationExt, Timestamp};
 use rand::Rng;
 use std::ops::Range;
 use std::time::Duration;
@@ -13,46 +13,9 @@
 /// Microseconds in a second.
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Durations as numbers.
-///
-/// Unlike [`Duration::as_secs_f64`], which adds two rounded parts, these round once.
-pub trait DurationExt {
-    /// Whole microseconds.
-    fn whole_micros(&self) -> u64;
-
-    /// Whole microseconds, to be calculated with.
-    fn as_micros_f64(&self) -> f64;
-
-    /// Seconds, from whole microseconds.
-    fn as_seconds(&self) -> f64;
-
-    /// A duration of a number of microseconds, rounded down; negative numbers count as 0.
-    fn from_micros_f64(micros: f64) -> Self;
-
-    /// A duration of a number of seconds, rounded to whole microseconds.
-    fn from_seconds(seconds: f64) -> Self;
-}
-
-impl DurationExt for Duration {
-    fn whole_micros(&self) -> u64 {
-        u64::try_from(self.as_micros()).unwrap_or(u64::MAX)
-    }
-
-    fn as_micros_f64(&self) -> f64 {
-        self.whole_micros() as f64
-    }
-
-    fn as_seconds(&self) -> f64 {
-        self.as_micros_f64() / MICROS_PER_SECOND
-    }
-
-    fn from_micros_f64(micros: f64) -> Duration {
-        Duration::from_micros(micros as u64)
-    }
-
-    fn from_seconds(seconds: f64) -> Duration {
-        Duration::from_micros((seconds * MICROS_PER_SECOND).round() as u64)
-    }
+/// A duration of a number of seconds, rounded to whole microseconds.
+pub(crate) fn duration_from_seconds(seconds: f64) -> Duration {
+    Duration::from_micros((seconds * MICROS_PER_SECOND).round() as u64)
 }
 
 /// Seconds from one point in time to another; 0 if that is not later.
--- a/crates/fleet-lab/src/world/cold_start.rs
+++ b/crates/fleet-lab/src/world/cold_start.rs
@@ -1,6 +1,7 @@
 //! The warm-up of a server after its start, and the load that it bears meanwhile.
 
-use crate::time::{serialize_whole_micros, DurationExt};
+use crate::time::serialize_whole_micros;
+use gateway_core::DurationExt;
 use gateway_core::{Rules, Timestamp};
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/fleet-lab/src/world/customers.rs
+++ b/crates/fleet-lab/src/world/customers.rs
@@ -3,11 +3,10 @@
 use super::demand_pattern::{DemandPattern, Phase};
 use super::request_size::mean_units;
 use super::Rng;
-use crate::time::DurationExt;
+use crate::time::duration_from_seconds;
 use gateway_core::{CustomerId, GatewayId, PlanId, Settings, Timestamp};
 use rand::Rng as _;
 use std::ops::Range;
-use std::time::Duration;
 
 /// Requests a second of a customer whose plan has no quota.
 const UNLIMITED_RATE_PER_SECOND: f64 = 5.0;
@@ -103,7 +102,7 @@
         if now < self.preferred.until {
             return;
         }
-        let until = now + Duration::from_seconds(rng.random_range(PREFERENCE_SECONDS));
+        let until = now + duration_from_seconds(rng.random_range(PREFERENCE_SECONDS));
         let offset = rng.random_range(0..self.gateway_count);
         self.preferred = PreferredGateway { offset, until };
     }
--- a/crates/fleet-lab/src/world/demand_pattern.rs
+++ b/crates/fleet-lab/src/world/demand_pattern.rs
@@ -1,10 +1,9 @@
 //! How customers use their quotas over time: steadily, in long phases beyond the quota, or in short bursts.
 
 use super::{Rng, START};
-use crate::time::DurationExt;
+use crate::time::duration_from_seconds;
 use gateway_core::Timestamp;
 use rand::Rng as _;
-use std::time::Duration;
 
 /// What a customer uses of its quota between two bursts.
 const BETWEEN_BURSTS_RATIO: f64 = 0.4;
@@ -66,7 +65,7 @@
         };
         Phase {
             is_peak,
-            until: now + Duration::from_seconds(rng.random_range(seconds)),
+            until: now + duration_from_seconds(rng.random_range(seconds)),
         }
     }
 
--- a/crates/fleet-lab/src/world/invariant_checker/mod.rs
+++ b/crates/fleet-lab/src/world/invariant_checker/mod.rs
@@ -9,7 +9,6 @@
 mod answers;
 mod attempts;
 
-use crate::time::DurationExt;
 use crate::world::client_request::ClientRequest;
 use crate::world::cold_start::ColdStartLoad;
 use crate::world::customer_account::{CustomerAccount, CustomerPlan};
@@ -19,6 +18,7 @@
 use crate::world::request_record::{RequestRecord, SimulatedRequestRecord};
 use crate::world::request_statistics::RequestStatistics;
 use crate::world::{seconds_since_start, RequestNumber};
+use gateway_core::DurationExt;
 use gateway_core::{Endpoint, GatewayId, Idempotency, ServerId, Settings, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/fleet-lab/src/world/machine.rs
+++ b/crates/fleet-lab/src/world/machine.rs
@@ -1,6 +1,7 @@
 //! The kind of machine that servers are.
 
-use crate::time::{DurationExt, MICROS_PER_SECOND};
+use crate::time::MICROS_PER_SECOND;
+use gateway_core::DurationExt;
 use std::ops::Range;
 use std::time::Duration;
 
--- a/crates/fleet-lab/src/world/mod.rs
+++ b/crates/fleet-lab/src/world/mod.rs
@@ -27,7 +27,8 @@
 pub mod token_bucket;
 pub mod usage_limit;
 
-use crate::time::{seconds_between, DurationExt, MICROSECOND};
+use crate::time::duration_from_seconds;
+use crate::time::{seconds_between, MICROSECOND};
 use gateway_core::{RequestId, Timestamp};
 use rand::Rng as _;
 use rand::SeedableRng;
@@ -93,7 +94,7 @@
 /// Time to the next event of a Poisson process at `rate` events a second; `None` at rate 0.
 pub fn time_to_next_event(rng: &mut Rng, rate: f64) -> Option<Duration> {
     (rate > 0.0).then(|| {
-        Duration::from_seconds(seconds_to_next_event(rng, rate)).max(MIN_TIME_TO_NEXT_EVENT)
+        duration_from_seconds(seconds_to_next_event(rng, rate)).max(MIN_TIME_TO_NEXT_EVENT)
     })
 }
 
--- a/crates/fleet-lab/src/world/request_statistics.rs
+++ b/crates/fleet-lab/src/world/request_statistics.rs
@@ -2,7 +2,7 @@
 
 use super::request_counts::{RequestCounts, SecondCounts};
 use super::START;
-use crate::time::DurationExt;
+use gateway_core::DurationExt;
 use gateway_core::{ClassId, PlanId, Settings, Timestamp};
 use hdrhistogram::Histogram;
 use std::time::Duration;
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -31,7 +31,7 @@
     Class, DeduplicationScope, EndpointDiscovery, HardLimit, Idempotency, Permissions, Plan,
     ResolvedSettings, Rules, Settings, SettingsError,
 };
-pub use time::Timestamp;
+pub use time::{DurationExt, Timestamp};
 pub use types::*;
 pub use units::Units;
 pub use warning::Warning;
--- a/crates/gateway-core/src/message/decode.rs
+++ b/crates/gateway-core/src/message/decode.rs
@@ -169,7 +169,7 @@
             server,
             class: ClassId(usize::from(class_and_rate / (FAILURE_RATE_STEPS + 1))),
             failure_rate: f64::from(failure_rate) / f64::from(FAILURE_RATE_STEPS),
-            wait: f64::from(self.byte()?) * WAIT_STEP,
+            latency_us: f64::from(self.byte()?) * LATENCY_STEP_US,
             load: Some(self.byte()?)
                 .filter(|load| *load < UNKNOWN)
                 .map(f64::from),
--- a/crates/gateway-core/src/message/encode.rs
+++ b/crates/gateway-core/src/message/encode.rs
@@ -88,7 +88,7 @@
     let failure_rate = report.failure_rate.clamp(0.0, 1.0) * f64::from(FAILURE_RATE_STEPS);
     bytes.extend_from_slice(&report.server.0.to_le_bytes());
     bytes.push(report.class.0 as u8 * (FAILURE_RATE_STEPS + 1) + failure_rate.round() as u8);
-    bytes.push(rounded_byte(report.wait / WAIT_STEP));
+    bytes.push(rounded_byte(report.latency_us / LATENCY_STEP_US));
     bytes.push(report.load.map_or(UNKNOWN, known_byte));
     bytes.push((report.age.whole_micros() / AGE_STEP.whole_micros()).min(u64::from(u8::MAX)) as u8);
 }
--- a/crates/gateway-core/src/message/layout.rs
+++ b/crates/gateway-core/src/message/layout.rs
@@ -32,8 +32,8 @@
 
 /// Steps into which one is divided in encoded latency ratios, units and throughputs.
 pub(super) const FRACTION_STEPS: f64 = 16.0;
-/// Microseconds of wait that one step of a health report stands for.
-pub(super) const WAIT_STEP: f64 = 8_000.0;
+/// Microseconds of expected latency that one step of a health report stands for.
+pub(super) const LATENCY_STEP_US: f64 = 8_000.0;
 /// Age that one step of a health report stands for.
 pub(super) const AGE_STEP: Duration = Duration::from_millis(32);
 /// Stands for an unknown latency ratio or load.
--- a/crates/gateway-core/src/policy/health_reports.rs
+++ b/crates/gateway-core/src/policy/health_reports.rs
@@ -30,7 +30,7 @@
 /// `median_latency_us`.
 fn reports_problem(report: &HealthReport, median_latency_us: f64) -> bool {
     report.failure_rate > EJECTION_FAILURE_RATE * UNHEALTHY_THRESHOLD_FRACTION
-        || report.wait > SLOW_LATENCY_RATIO * median_latency_us
+        || report.latency_us > SLOW_LATENCY_RATIO * median_latency_us
 }
 
 /// Selects the reports that a message carries: a random choice of those that report a problem, then
--- a/crates/gateway-core/src/policy/mod.rs
+++ b/crates/gateway-core/src/policy/mod.rs
@@ -5,15 +5,15 @@
 //! The concerns, in the order in which they apply to a request:
 //!
 //! 1. At the start: `fleet_mode` chooses how gateways share quotas and observations.
-//! 2. Arrival: `admission`, with `quota` (the gateway's own token buckets), `lease` and
-//!    `quota_owner` (both sides of the lease protocol) and `load_shedding`.
+//! 2. Arrival: `admission`, by one of the two ways of `quota_sharing` (the gateway's own token
+//!    buckets, or leases from quota owners), and `load_shedding`.
 //! 3. In the queue: `dispatch`, by `priority` and within the `in_flight_limit`, which the
 //!    `fuzzy_controller` moves by its `controller_inputs`.
 //! 4. The choice of a server: `load_balancing`, with `slow_start` and `outlier_detection`.
 //! 5. After an attempt: `retry`, within the `retry_budget`.
 //! 6. As time passes: `deadlines`.
-//! 7. Between gateways: `gossip` of usage, and `health_reports` on servers, which contribute to the
-//!    `fleet_estimates`.
+//! 7. Between gateways: gossip of usage (`quota_sharing`), and `health_reports` on servers, which
+//!    contribute to the `fleet_estimates`.
 
 pub(crate) mod admission;
 pub(crate) mod controller_inputs;
--- a/crates/gateway-core/src/state/mod.rs
+++ b/crates/gateway-core/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! What a gateway remembers, each type with its methods in a file. Nothing is decided here: thresholds,
-//! choices and refusals are in [`policy`](crate::policy), which passes in the weights and durations that it
-//! wants applied.
+//! What a gateway remembers. Each type keeps its own invariants; nothing is decided here. The
+//! thresholds and choices are in [`policy`](crate::policy), which passes in the weights and
+//! durations that are to be applied.
 
 pub(crate) mod attempt;
 pub(crate) mod deployment;
--- a/crates/gateway-core/src/state/servers/server.rs
+++ b/crates/gateway-core/src/state/servers/server.rs
@@ -183,7 +183,7 @@
         }
         health.record_observation(observed_at);
         health.observe_failure_rate(report.failure_rate, weight);
-        self.observe_latency(observed_at, report.wait, weight, initial_latency_us);
+        self.observe_latency(observed_at, report.latency_us, weight, initial_latency_us);
         self.observe_load(observed_at, report.load);
         true
     }
--- a/crates/gateway-core/src/state/servers/server_table/reports.rs
+++ b/crates/gateway-core/src/state/servers/server_table/reports.rs
@@ -32,7 +32,7 @@
             server: short_id(id),
             class,
             failure_rate: health.failure_rate(),
-            wait: server.observed_latency_us().unwrap_or(0.0),
+            latency_us: server.observed_latency_us().unwrap_or(0.0),
             load: server.reported_load(),
             age: now.duration_since(health.observed_at()),
         })
--- a/crates/gateway-core/src/time.rs
+++ b/crates/gateway-core/src/time.rs
@@ -5,6 +5,8 @@
 
 /// Microseconds in a second.
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
+/// The same as a whole number.
+const WHOLE_MICROS_PER_SECOND: u64 = 1_000_000;
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLISECOND: u64 = 1_000;
 
@@ -79,8 +81,8 @@
 /// Conversions between durations and the numbers that rules calculate with.
 ///
 /// They round once, unlike [`Duration::as_secs_f64`], which adds two rounded parts.
-pub(crate) trait DurationExt {
-    /// Whole microseconds.
+pub trait DurationExt {
+    /// Whole microseconds, at most [`u64::MAX`].
     fn whole_micros(&self) -> u64;
 
     /// Whole microseconds, for calculations.
@@ -95,7 +97,10 @@
 
 impl DurationExt for Duration {
     fn whole_micros(&self) -> u64 {
-        u64::try_from(self.as_micros()).unwrap_or(u64::MAX)
+        // In 64 bits throughout: rules convert durations for each server and request.
+        self.as_secs()
+            .saturating_mul(WHOLE_MICROS_PER_SECOND)
+            .saturating_add(u64::from(self.subsec_micros()))
     }
 
     fn as_micros_f64(&self) -> f64 {
--- a/crates/gateway-core/tests/unit/message.rs
+++ b/crates/gateway-core/tests/unit/message.rs
@@ -10,7 +10,7 @@
         server: ShortServerId(9),
         class: ClassId(class),
         failure_rate: 1.0,
-        wait: 0.0,
+        latency_us: 0.0,
         load: None,
         age: Duration::ZERO,
     }
@@ -102,7 +102,7 @@
         server: ShortServerId(0xbeef),
         class: ClassId(2),
         failure_rate: 1.0,
-        wait: 80_000.0,
+        latency_us: 80_000.0,
         load: Some(7.0),
         age: Duration::from_micros(320_000),
     };
@@ -135,14 +135,14 @@
             server,
             class,
             failure_rate,
-            wait,
+            latency_us,
             load,
             age,
         } = decoded;
         assert_eq!((*server, *class), (expected.server, expected.class));
         assert_eq!(
-            (*failure_rate, *wait),
-            (expected.failure_rate, expected.wait)
+            (*failure_rate, *latency_us),
+            (expected.failure_rate, expected.latency_us)
         );
         assert_eq!((*load, *age), (expected.load, expected.age));
     }
@@ -273,7 +273,7 @@
 fn values_out_of_range_have_fixed_bytes() {
     let extreme = |class: usize, failure_rate: f64| HealthReport {
         failure_rate,
-        wait: 1e9,
+        latency_us: 1e9,
         load: Some(1e6),
         age: Duration::MAX,
         ..report(class)
@@ -298,7 +298,7 @@
     };
     assert_same_response(&decoded, &granted(7, 1.0, 0.9375));
     let nearest = |class: usize, failure_rate: f64| HealthReport {
-        wait: 2_040_000.0,
+        latency_us: 2_040_000.0,
         load: Some(254.0),
         age: Duration::from_micros(8_160_000),
         ..extreme(class, failure_rate)
