--- a/crates/gateway-core/src/policy/health_reports.rs
+++ b/crates/gateway-core/src/policy/health_reports.rs
@@ -44,17 +44,33 @@
     median_latency_us: f64,
     random: &mut fastrand::Rng,
 ) -> Vec<HealthReport> {
-    let (mut selected, mut healthy): (Vec<_>, Vec<_>) = reports
+    let (mut selected, healthy): (Vec<_>, Vec<_>) = reports
         .into_iter()
         .partition(|report| reports_problem(report, median_latency_us));
     random.shuffle(&mut selected);
     selected.truncate(MAX_UNHEALTHY_REPORTS);
-    healthy.sort_by_key(|report| report.age);
-    healthy.truncate(MAX_HEALTHY_REPORTS);
-    selected.append(&mut healthy);
+    append_newest(&mut selected, healthy, MAX_HEALTHY_REPORTS);
     selected
 }
 
+/// Appends the newest of some reports, at most `count`; of the same age, the first.
+fn append_newest(selected: &mut Vec<HealthReport>, mut reports: Vec<HealthReport>, count: usize) {
+    for _ in 0..count {
+        let Some(index) = index_of_newest(&reports) else {
+            return;
+        };
+        selected.push(reports.remove(index));
+    }
+}
+
+fn index_of_newest(reports: &[HealthReport]) -> Option<usize> {
+    let by_age = reports
+        .iter()
+        .enumerate()
+        .min_by_key(|(_, report)| report.age);
+    by_age.map(|(index, _)| index)
+}
+
 /// Maximum number of recent observations that reports are selected from: all of them in a small
 /// table, and only the newest where not all servers are scanned.
 pub(crate) fn max_considered_observations(scans_all_servers: bool) -> usize {
--- a/crates/gateway-core/src/policy/load_balancing/mod.rs
+++ b/crates/gateway-core/src/policy/load_balancing/mod.rs
@@ -102,11 +102,13 @@
 
     /// All ready servers with capacity: the candidates where all servers are scanned.
     pub(crate) fn all_with_capacity(&self) -> Vec<ServerId> {
-        self.servers
-            .iter_ready()
-            .filter(|server| self.has_capacity(server))
-            .map(Server::id)
-            .collect()
+        let mut candidates = Vec::new();
+        for server in self.servers.iter_ready() {
+            if self.has_capacity(server) {
+                candidates.push(server.id());
+            }
+        }
+        candidates
     }
 
     /// The subset to sample candidates from; `None` while so few servers are ready that all are
--- a/crates/gateway-core/src/state/quota/liveness.rs
+++ b/crates/gateway-core/src/state/quota/liveness.rs
@@ -1,6 +1,6 @@
 //! When usage of each gateway of the fleet was last received.
 
-use crate::time::Timestamp;
+use crate::time::{DurationExt, Timestamp};
 use crate::types::{GatewayId, GatewaySet};
 use std::ops::Range;
 use std::time::Duration;
@@ -31,12 +31,13 @@
         now: Timestamp,
         range: &Range<Duration>,
     ) -> f64 {
+        let range_us = range.start.whole_micros()..range.end.whole_micros();
         let first = gateways.first.0 as usize;
         let fleet_size = self.last_received_at.len();
         (0..gateways.count as usize)
             .map(|step| (first + step) % fleet_size)
-            .map(|member| now.duration_since(self.last_received_at[member]))
-            .filter(|silence| range.contains(silence))
+            .map(|member| now.whole_micros_since(self.last_received_at[member]))
+            .filter(|silence_us| range_us.contains(silence_us))
             .count() as f64
     }
 }
--- a/crates/gateway-core/src/state/servers/latency_estimates.rs
+++ b/crates/gateway-core/src/state/servers/latency_estimates.rs
@@ -48,6 +48,7 @@
     /// Expected latency per concurrent request at a server, in µs: the larger of what was observed
     /// and what its reported load lets expect. An unknown server counts as the median one, by how
     /// far it has warmed up.
+    #[inline] // it is called for each server at each choice
     pub(crate) fn expected_latency_us(&self, server: &Server) -> f64 {
         let median_us = self.fleet.median_latency_us();
         let half_life_us = self.decay.latency_half_life_us;
--- a/crates/gateway-core/src/time.rs
+++ b/crates/gateway-core/src/time.rs
@@ -51,6 +51,11 @@
         (self.0 / MICROS_PER_MILLISECOND) as u32
     }
 
+    /// Whole microseconds since an earlier instant; zero if that instant is later.
+    pub(crate) const fn whole_micros_since(self, earlier: Timestamp) -> u64 {
+        self.0.saturating_sub(earlier.0)
+    }
+
     /// Microseconds since an earlier instant; zero if that instant is later.
     pub(crate) fn micros_since(self, earlier: Timestamp) -> f64 {
         self.0.saturating_sub(earlier.0) as f64
