--- a/crates/edge-node/tests/library/call_terms.rs
+++ b/crates/edge-node/tests/library/call_terms.rs
@@ -1,7 +1,7 @@
 //! Call terms: all three, once each, within the settings.
 
 use edge_node::clients::call_terms::CallTerms;
-use gateway_core::{settings, GatewayId, GatewaySet, Settings};
+use gateway_core::{settings, GatewayId, GatewaySet, Settings, Units};
 
 /// Settings of three gateways, with 8 units for a request at most.
 fn settings() -> Settings {
@@ -20,7 +20,7 @@
         count: 3,
     };
     let expected = Some(CallTerms {
-        units: 2.5,
+        units: Units::new(2.5),
         gateways,
     });
     for text in [
--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -10,7 +10,7 @@
 use anyhow::{Context, Result};
 use gateway_core::{
     Action, AttemptNumber, AttemptOutcome, ClassId, EndpointUpdate, Event, Gateway, GatewayId,
-    GatewaySet, RequestId, ServerId, Timestamp,
+    GatewaySet, RequestId, ServerId, Timestamp, Units,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -268,7 +268,7 @@
         class: ClassId(request.class),
         plan: customer.plan,
         customer: customer.id,
-        units: f64::from(request.units),
+        units: Units::new(f64::from(request.units)),
         gateways: GatewaySet {
             first: customer.first_node,
             count: customer.node_count,
--- a/crates/fleet-lab/src/world/clients.rs
+++ b/crates/fleet-lab/src/world/clients.rs
@@ -74,7 +74,7 @@
             idempotent: classes
                 .map(|class| class.idempotency == Idempotency::Idempotent)
                 .collect(),
-            max_request_units: settings.max_request_units,
+            max_request_units: settings.max_request_units.as_f64(),
             max_deadline: demand.max_deadline,
             surges: demand.surges.clone(),
             flood: demand.flood.map(|flood| flood.span),
--- a/crates/fleet-lab/src/world/customers.rs
+++ b/crates/fleet-lab/src/world/customers.rs
@@ -163,7 +163,7 @@
 fn quota_rate(settings: &Settings, plan: PlanId) -> f64 {
     let quota = settings.plans[plan.0].rate;
     if quota > 0.0 {
-        quota / mean_units(settings.max_request_units)
+        quota / mean_units(settings.max_request_units.as_f64())
     } else {
         UNLIMITED_RATE_PER_SECOND
     }
--- a/crates/gateway-core/src/event.rs
+++ b/crates/gateway-core/src/event.rs
@@ -4,6 +4,7 @@
     AttemptNumber, AttemptOutcome, ClassId, CustomerId, Endpoint, EndpointUpdate, GatewayId,
     GatewaySet, PlanId, RequestId,
 };
+use crate::units::Units;
 use std::time::Duration;
 
 /// Something that has happened; the input of [`Gateway::handle`](crate::Gateway::handle).
@@ -30,7 +31,7 @@
         /// Its customer, whose quota it consumes.
         customer: CustomerId,
         /// Quota units that it consumes; a negative number counts as 0.
-        units: f64,
+        units: Units,
         /// The gateways that receive the customer's requests.
         gateways: GatewaySet,
         /// How long the client waits for its answer, from the time of this event on.
--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -36,13 +36,13 @@
         let Some(request) = self.requests.get_mut(&key.request) else {
             return;
         };
-        request.attempt_finished(result.outcome);
+        request.record_attempt_finished(result.outcome);
         if result.is_request_closed {
             return self.remove_request(&key.request, actions);
         }
         if result.outcome.may_have_executed() && request.possible_execution().is_none() {
             let endpoint = self.servers.endpoint(&attempt.server);
-            request.possibly_executed(endpoint.map(|endpoint| PossibleExecution {
+            request.record_possible_execution(endpoint.map(|endpoint| PossibleExecution {
                 endpoint,
                 sent_at: attempt.sent_at,
             }));
@@ -53,8 +53,8 @@
     fn remove_attempt(&mut self, key: &AttemptKey) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         self.servers.record_attempt_finished(&attempt.server);
-        if let Some(bucket) = self.quotas.local.get_mut(&attempt.customer) {
-            bucket.attempt_finished();
+        if let Some(account) = self.quotas.account_mut(attempt.customer) {
+            account.attempt_finished();
         }
         Some(attempt)
     }
--- a/crates/gateway-core/src/gateway/gossip.rs
+++ b/crates/gateway-core/src/gateway/gossip.rs
@@ -1,17 +1,15 @@
-//! Messages between gateways: usage, lease requests and answers.
+//! Messages between gateways: usage counts, lease requests and responses, and permit releases.
 
 use super::Gateway;
-use crate::message::{self, LeaseAnswer, Message, UsageCounts, MAX_USAGE_COUNTS};
-use crate::policy::fleet_mode::broadcast_interval;
-use crate::policy::gossip as policy;
-use crate::policy::quota::{observe_incarnation, PARTITIONED};
-use crate::state::permits::PermitHolder;
-use crate::state::quota_state::silent_gateways;
+use crate::message::{self, Message, UsageCounts, MAX_USAGE_COUNTS};
+use crate::policy::quota_sharing::gossip::{merge_usage, USAGE_LIFETIME};
+use crate::state::quota::PermitHolder;
 use crate::time::Timestamp;
 use crate::types::GatewayId;
 use crate::Action;
 
 impl Gateway {
+    /// Handles a message of another gateway. Messages that make no sense are ignored.
     pub(super) fn on_peer_message(
         &mut self,
         now: Timestamp,
@@ -27,75 +25,38 @@
             return;
         }
         match message {
-            Message::UsageCounts(usage) => self.merge_usage(now, from, &usage),
+            Message::UsageCounts(usage) => {
+                merge_usage(&mut self.quotas, settings, now, from, &usage);
+            }
             Message::LeaseRequest(request, digest) => {
                 self.servers.merge_digest(now, digest, &mut self.random);
-                let Some(grant) = self.decide_lease_request(now, from, &request) else {
-                    return;
-                };
-                let answer = LeaseAnswer {
-                    sequence: request.sequence,
-                    grant,
-                };
-                let answer =
-                    Message::LeaseAnswer(answer, self.servers.digest(now, &mut self.random));
-                actions.push(Action::SendToPeer {
-                    to: from,
-                    bytes: message::encode(&answer),
-                });
+                self.on_lease_request(now, from, &request, actions);
             }
-            Message::LeaseAnswer(answer, digest) => {
+            Message::LeaseResponse(response, digest) => {
                 self.servers.merge_digest(now, digest, &mut self.random);
-                self.on_lease_answer(now, answer, actions);
+                self.on_lease_response(now, response, actions);
             }
             Message::PermitRelease(release) => {
-                if let Some(bucket) = self.quotas.owned.get_mut(&release.customer) {
-                    bucket.permits.release(PermitHolder {
-                        gateway: from,
-                        sequence: release.sequence,
-                    });
-                }
-            }
-        }
-    }
-
-    /// Drains buckets by what a peer has used since its last message.
-    fn merge_usage(&mut self, now: Timestamp, from: GatewayId, usage: &UsageCounts) {
-        let settings = &self.deployment.settings;
-        self.quotas.last_heard[from.0 as usize] = now;
-        observe_incarnation(&mut self.quotas, settings, now, usage.incarnation);
-        for usage_count in &usage.counts {
-            let Some(bucket) = self.quotas.local.get_mut(&usage_count.customer) else {
-                continue;
-            };
-            let silent =
-                silent_gateways(&self.quotas.last_heard, bucket.gateways(), now, PARTITIONED);
-            bucket.refill(now, &settings.plans[bucket.plan.0], silent);
-            let steps = bucket
-                .peer_usage(from)
-                .delta(now, usage.incarnation, usage_count.count);
-            if steps > 0 {
-                let units = f64::from(steps) * policy::USAGE_STEP;
-                bucket.peer_usage(from).add(now, units);
-                bucket.tokens = (bucket.tokens - units).max(-bucket.capacity);
+                let holder = PermitHolder {
+                    gateway: from,
+                    sequence: release.sequence,
+                };
+                self.quotas.release_permit(release.customer, holder);
             }
         }
     }
 
-    /// Tells the peers what was forwarded of late, also when that is nothing: they hear that this gateway
-    /// lives.
+    /// Notifies the peers of what was forwarded recently, also when that is nothing: it shows that
+    /// this gateway is alive.
     pub(super) fn broadcast_usage(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let Some(broadcasts) = self.quota_sharing.usage_broadcasts() else {
+            return;
+        };
         if !self.timers.is_broadcast_due(now) {
             return;
         }
-        let Some(interval) = broadcast_interval(&self.deployment.settings) else {
-            return;
-        };
-        self.timers
-            .schedule_broadcast(now + policy::MIN_BROADCAST_INTERVAL.max(interval));
-        let mut counts = self
-            .quotas
-            .usage_counts(now, policy::USAGE_LIFETIME, policy::USAGE_STEP);
+        self.timers.schedule_broadcast(broadcasts.next_after(now));
+        let mut counts = self.quotas.usage_counts(now, USAGE_LIFETIME);
         counts.truncate(MAX_USAGE_COUNTS);
         let usage = UsageCounts {
             incarnation: self.quotas.incarnation(),
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -24,16 +24,19 @@
 use self::rejections::RejectionCounts;
 use self::servers::Servers;
 use self::timers::Timers;
+use crate::policy::controller_inputs::controller_inputs;
 use crate::policy::fleet_mode::mode_of;
+use crate::policy::quota_sharing::QuotaSharing;
 use crate::policy::retry_budget::RetryBudget;
 use crate::settings::{EndpointDiscovery, Settings, SettingsError};
 use crate::state::attempt::{AttemptKey, AttemptTable};
 use crate::state::deployment::{Context, Deployment};
-use crate::state::quota_state::QuotaState;
+use crate::state::quota::QuotaState;
 use crate::state::request::{Request, RequestDetails};
 use crate::state::request_table::RequestTable;
 use crate::time::Timestamp;
-use crate::types::{PlanId, RejectReason};
+use crate::types::{PlanId, RejectReason, RequestId};
+use crate::units::Units;
 use crate::{Action, Event};
 
 /// The decisions of one gateway. It does no input or output, and reads no clock.
@@ -46,6 +49,7 @@
     attempts: AttemptTable,
     retry_budget: RetryBudget,
     servers: Servers,
+    quota_sharing: QuotaSharing,
     quotas: QuotaState,
     control_loop: ControlLoop,
     rejections: RejectionCounts,
@@ -62,6 +66,7 @@
         let class_count = settings.classes.len();
         let mode = mode_of(&settings);
         let quotas = QuotaState::new(now, settings.gateway_id, settings.gateway_count);
+        let quota_sharing = QuotaSharing::for_mode(mode, &settings);
         let deployment = Deployment::new(settings, mode);
         let servers = Servers::new(&deployment);
         Ok(Gateway {
@@ -71,10 +76,11 @@
             watch_requested: false,
             requests: RequestTable::default(),
             attempts: AttemptTable::default(),
-            retry_budget: mode.retry_budget(),
+            retry_budget: RetryBudget::new(mode),
             servers,
+            quota_sharing,
             quotas,
-            control_loop: ControlLoop::new(class_count, mode.controller_inputs()),
+            control_loop: ControlLoop::new(class_count, controller_inputs(mode)),
             rejections: RejectionCounts::default(),
         })
     }
@@ -83,11 +89,27 @@
     /// The actions that follow are appended to `actions`, to be carried out in this order.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.watch_endpoints_at_first_event(actions);
+        if let Some(id) = self.request_outside_settings(&event) {
+            // No queued request is sent and no timer is set because of it.
+            return actions.push(Action::Fail { id });
+        }
         self.handle_event(now, event, actions);
         self.dispatch(now, actions);
         self.rearm_timer(now, actions);
     }
 
+    /// The request that has arrived, if its class or plan is not one of the settings.
+    fn request_outside_settings(&self, event: &Event) -> Option<RequestId> {
+        let Event::RequestReceived {
+            id, class, plan, ..
+        } = event
+        else {
+            return None;
+        };
+        let is_inside = self.deployment.has_class_and_plan(*class, *plan);
+        (!is_inside).then(|| id.clone())
+    }
+
     fn handle_event(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsUpdated { kind, endpoints } => {
@@ -107,7 +129,7 @@
                     class,
                     plan,
                     customer,
-                    units: units.max(0.0),
+                    units: units.max(Units::ZERO),
                 };
                 let request = Request::arriving(now, client_timeout, details);
                 self.on_request(now, id, request, gateways, actions);
@@ -143,9 +165,9 @@
             return;
         }
         self.detect_stalled_servers(now, actions);
-        self.timers.timer_fired();
+        self.timers.record_timer_fired();
         self.expire_requests(now, actions);
-        self.check_lease_requests(now, actions);
+        self.check_unsent_requests(now, actions);
         self.on_control_tick(now, actions);
         self.broadcast_usage(now, actions);
     }
@@ -182,7 +204,7 @@
 
     /// How many servers and customers are held in memory.
     pub fn tracked_entries(&self) -> usize {
-        self.servers.tracked_entries() + self.quotas.local.len() + self.quotas.owned.len()
+        self.servers.tracked_entries() + self.quotas.tracked_entries()
     }
 
     /// How many entries of servers were visited since the start, as a measure of work.
--- a/crates/gateway-core/src/gateway/requests.rs
+++ b/crates/gateway-core/src/gateway/requests.rs
@@ -3,11 +3,9 @@
 use super::Gateway;
 use crate::policy::admission::{self, Admission};
 use crate::policy::deadlines::{self, Expiry};
-use crate::policy::quota;
+use crate::policy::quota_sharing::account::account_on_arrival;
 use crate::state::deployment::Context;
-use crate::state::quota_state::{silent_gateways, QuotaState};
-use crate::state::request::{QuotaGrant, Request};
-use crate::state::token_bucket::{BucketConfig, TokenBucket};
+use crate::state::request::Request;
 use crate::time::Timestamp;
 use crate::types::{AttemptNumber, GatewaySet, RequestId};
 use crate::Action;
@@ -18,41 +16,8 @@
     expiry: Expiry,
 }
 
-/// The bucket of a request's customer, refilled up to now.
-fn refilled_bucket<'a>(
-    quotas: &'a mut QuotaState,
-    context: Context<'_>,
-    request: &Request,
-    gateways: GatewaySet,
-) -> &'a mut TokenBucket {
-    let now = context.now;
-    let settings = &context.deployment.settings;
-    let config = BucketConfig {
-        plan_id: request.plan(),
-        plan: context.deployment.plan_of(request),
-        gateways: GatewaySet {
-            count: gateways.count.clamp(1, settings.gateway_count),
-            ..gateways
-        },
-        max_request_units: settings.max_request_units,
-    };
-    let uptime = quotas.uptime(now);
-    let restarted = quotas.restarted_recently;
-    let bucket = quotas.local.entry(request.customer());
-    let bucket = bucket.or_insert_with(|| quota::new_bucket(now, uptime, restarted, config));
-    quota::follow_hints(settings, bucket, now, config);
-    let silent = silent_gateways(
-        &quotas.last_heard,
-        bucket.gateways(),
-        now,
-        quota::PARTITIONED,
-    );
-    bucket.refill(now, &settings.plans[bucket.plan.0], silent);
-    bucket
-}
-
 impl Gateway {
-    /// A client's request has arrived. One of an unknown class or plan fails.
+    /// A client's request has arrived, of a class and a plan that the settings have.
     pub(super) fn on_request(
         &mut self,
         now: Timestamp,
@@ -61,24 +26,21 @@
         gateways: GatewaySet,
         actions: &mut Vec<Action>,
     ) {
-        if !self.deployment.is_known(&request) {
-            return actions.push(Action::Fail { id });
-        }
         let context = Context::new(now, &self.deployment, self.servers.estimates());
-        let bucket = refilled_bucket(&mut self.quotas, context, &request, gateways);
-        let admission = admission::decide(context, bucket, &request, &mut self.random);
-        let lease_sequence = bucket.lease.sequence;
+        let account = account_on_arrival(&mut self.quotas, context, &request, gateways);
+        let admission = admission::decide(
+            self.quota_sharing,
+            context,
+            account,
+            &request,
+            &mut self.random,
+        );
         self.requests.insert(id.clone(), request);
         match admission {
             Admission::Admit => self.requests.enqueue(id),
-            Admission::AdmitOnLease { expires_at } => {
-                let owner = self.deployment.settings.gateway_id;
+            Admission::AdmitOnLease(grant) => {
                 if let Some(request) = self.requests.get_mut(&id) {
-                    request.quota.grant = Some(QuotaGrant {
-                        owner,
-                        sequence: lease_sequence,
-                    });
-                    request.quota.grant_expires_at = expires_at;
+                    request.quota.set_grant(grant);
                 }
                 self.requests.enqueue(id);
             }
@@ -90,7 +52,7 @@
     /// The answer of a server has begun to stream to the client.
     pub(super) fn on_stream_started(&mut self, id: &RequestId) {
         if let Some(request) = self.requests.get_mut(id) {
-            request.stream_started();
+            request.record_stream_start();
         }
     }
 
@@ -130,7 +92,7 @@
         actions: &mut Vec<Action>,
     ) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.attempt_cancelled();
+            request.record_cancellation();
         }
         actions.push(Action::CancelAttempt { id, attempt });
     }
--- a/crates/gateway-core/src/message/encode.rs
+++ b/crates/gateway-core/src/message/encode.rs
@@ -1,5 +1,6 @@
 //! Encoding: little-endian numbers, one after the other. What does not fit is left out.
 
+use super::layout::*;
 use super::*;
 use crate::time::DurationExt;
 
@@ -12,8 +13,8 @@
             encode_lease_request(request, &mut bytes);
             encode_digest(digest, &mut bytes);
         }
-        Message::LeaseAnswer(answer, digest) => {
-            encode_lease_answer(answer, &mut bytes);
+        Message::LeaseResponse(response, digest) => {
+            encode_lease_response(response, &mut bytes);
             encode_digest(digest, &mut bytes);
         }
         Message::PermitRelease(release) => {
@@ -42,25 +43,23 @@
     bytes.push(request.owner_index as u8);
     bytes.extend_from_slice(&(request.gateways.first.0 as u16).to_le_bytes());
     bytes.extend_from_slice(&(request.gateways.count as u16).to_le_bytes());
-    bytes.extend_from_slice(&fraction_bytes(request.units));
-    bytes.extend_from_slice(&fraction_bytes(request.requested_units));
+    bytes.extend_from_slice(&units_bytes(request.units));
+    bytes.extend_from_slice(&units_bytes(request.requested_units));
     bytes.extend_from_slice(&request.returned.sequence.to_le_bytes());
-    bytes.extend_from_slice(&fraction_bytes(request.returned.units));
+    bytes.extend_from_slice(&units_bytes(request.returned.units));
 }
 
-fn encode_lease_answer(answer: &LeaseAnswer, bytes: &mut Vec<u8>) {
-    bytes.push(KIND_LEASE_ANSWER);
-    bytes.extend_from_slice(&answer.sequence.to_le_bytes());
-    bytes.push(match answer.grant.decision {
+fn encode_lease_response(response: &LeaseResponse, bytes: &mut Vec<u8>) {
+    bytes.push(KIND_LEASE_RESPONSE);
+    bytes.extend_from_slice(&response.sequence.to_le_bytes());
+    bytes.push(match response.decision {
         LeaseDecision::Granted => DECISION_GRANTED,
         LeaseDecision::QuotaExceeded => DECISION_QUOTA_EXCEEDED,
     });
     bytes.push(rounded_byte(
-        answer.grant.request_probability * f64::from(u8::MAX),
+        response.request_probability * f64::from(u8::MAX),
     ));
-    // Rounded down: no more is announced than was granted.
-    let leased = (answer.grant.leased_units * FRACTION_STEPS).floor() as u16;
-    bytes.extend_from_slice(&leased.to_le_bytes());
+    bytes.extend_from_slice(&leased_units_bytes(response.leased_units));
 }
 
 fn encode_digest(digest: &GossipDigest, bytes: &mut Vec<u8>) {
@@ -72,7 +71,7 @@
             _ => UNKNOWN,
         });
     }
-    // A class beyond those that a report can name would pass for another one.
+    // A class that a report can't name would be decoded as another one.
     for report in digest
         .reports
         .iter()
@@ -99,8 +98,13 @@
     [a, b, c, d, e]
 }
 
-fn fraction_bytes(value: f64) -> [u8; 2] {
-    ((value * FRACTION_STEPS).round() as u16).to_le_bytes()
+fn units_bytes(units: Units) -> [u8; 2] {
+    ((units.as_f64() * FRACTION_STEPS).round() as u16).to_le_bytes()
+}
+
+/// Rounded down: no more is announced than was granted.
+fn leased_units_bytes(units: Units) -> [u8; 2] {
+    ((units.as_f64() * FRACTION_STEPS).floor() as u16).to_le_bytes()
 }
 
 fn rounded_byte(value: f64) -> u8 {
--- a/crates/gateway-core/src/message/mod.rs
+++ b/crates/gateway-core/src/message/mod.rs
@@ -1,52 +1,22 @@
-//! Messages between gateways: their types, and their layout in at most 256 bytes. The layout is written out by hand:
-//! gateways of two releases talk to each other, so it must not follow the types as a serde codec's would.
+//! Messages between gateways: their types, and their layout in at most 256 bytes.
+//!
+//! The layout is written by hand: gateways of two releases exchange messages, so it must not follow
+//! the types as a serde codec's would.
 
 mod decode;
 mod encode;
+mod layout;
 
 pub(crate) use decode::decode;
 pub(crate) use encode::encode;
+pub(crate) use layout::MAX_USAGE_COUNTS;
 
 use crate::hash::fibonacci_hash;
 use crate::types::{ClassId, CustomerId, GatewaySet, PlanId, ServerId};
+use crate::units::Units;
 use std::time::Duration;
 
-const VERSION: u8 = 4;
-/// Kinds of messages, as encoded.
-const KIND_USAGE: u8 = 0;
-const KIND_LEASE_REQUEST: u8 = 1;
-const KIND_LEASE_ANSWER: u8 = 2;
-const KIND_PERMIT_RELEASE: u8 = 3;
-/// Decisions on lease requests, as encoded.
-const DECISION_GRANTED: u8 = 0;
-const DECISION_QUOTA_EXCEEDED: u8 = 1;
-
-/// Bytes of a datagram.
-const MAX_MESSAGE_BYTES: usize = 256;
-/// Version, kind and incarnation.
-const USAGE_HEADER_BYTES: usize = 6;
-const CUSTOMER_BYTES: usize = 5;
-const USAGE_COUNT_BYTES: usize = CUSTOMER_BYTES + 2;
-const HEALTH_REPORT_BYTES: usize = 6;
-
-/// Steps in which small numbers are encoded: latency ratios, units and throughput ...
-const FRACTION_STEPS: f64 = 16.0;
-/// ... µs of wait ...
-const WAIT_STEP: f64 = 8_000.0;
-/// ... and µs of age.
-const AGE_STEP: Duration = Duration::from_millis(32);
-/// Encodes an unknown latency ratio, or an unknown load.
-const UNKNOWN: u8 = 255;
-/// Steps in which a failure rate is encoded.
-const FAILURE_RATE_STEPS: u8 = 31;
-/// How many classes a health report can name.
-const MAX_CLASSES: usize = 8;
-
-/// Customers whose usage fits into one message.
-pub(crate) const MAX_USAGE_COUNTS: usize =
-    (MAX_MESSAGE_BYTES - USAGE_HEADER_BYTES) / USAGE_COUNT_BYTES;
-
-/// The name by which health reports call a server. Two servers may share one.
+/// The short name of a server in health reports. Two servers may share one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ShortServerId(pub(crate) u16);
 
@@ -57,106 +27,144 @@
 
 /// A server as the sender sees it for one class.
 pub(crate) struct HealthReport {
+    /// The server.
     pub(crate) server: ShortServerId,
+    /// The class of requests.
     pub(crate) class: ClassId,
+    /// Fraction of attempts that fail, 0 to 1.
     pub(crate) failure_rate: f64,
-    /// µs of wait for one place, 0 while unknown.
+    /// Microseconds of wait for one in-flight slot; 0 while unknown.
     pub(crate) wait: f64,
     /// Requests that it has in flight, if that is known.
     pub(crate) load: Option<f64>,
-    /// µs since it was observed.
+    /// Time since it was observed.
     pub(crate) age: Duration,
 }
 
-/// How the fleet fares as the sender sees it; rides on lease requests and answers.
+/// How the fleet is doing as the sender sees it; appended to lease requests and responses.
 #[derive(Default)]
 pub(crate) struct GossipDigest {
     /// Answers a second at one gateway.
     pub(crate) throughput: f64,
     /// By class: mean latency relative to the latency objective; `None` while unknown.
     pub(crate) latency_ratios: Vec<Option<f64>>,
+    /// Reports on servers.
     pub(crate) reports: Vec<HealthReport>,
 }
 
-/// A customer's usage: the sender's running count of units, in steps of which sender and recipient agree.
+/// Units by which a usage count rises in one step, so that fractions of units are counted too.
+const USAGE_STEP: Units = Units::new(1.0 / 8.0);
+
+/// The running count that stands for so many forwarded units; it wraps round.
+pub(crate) fn usage_count_of(forwarded: Units) -> u16 {
+    (forwarded.as_f64() / USAGE_STEP.as_f64()).round() as u64 as u16
+}
+
+/// The units that a usage count rose by in so many steps.
+pub(crate) fn units_of_usage_steps(steps: u16) -> Units {
+    Units::new(f64::from(steps) * USAGE_STEP.as_f64())
+}
+
+/// A customer's usage: the sender's running count of units, in steps on which sender and recipient
+/// agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct UsageCount {
+    /// The customer.
     pub(crate) customer: CustomerId,
+    /// The running count; it wraps round.
     pub(crate) count: u16,
 }
 
-/// Usage counts, broadcast to all peers.
+/// Usage counts, broadcast to all peers; also without any, as a heartbeat.
 pub(crate) struct UsageCounts {
     /// When the sender started, in ms.
     pub(crate) incarnation: u32,
+    /// The customers whose usage rose recently.
     pub(crate) counts: Vec<UsageCount>,
 }
 
-/// What is left of an ended lease, by the lease request that it was granted under.
+/// What remains of an ended lease, by the lease request that it was granted under.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ReturnedLease {
+    /// Sequence number of that lease request.
     pub(crate) sequence: u16,
-    pub(crate) units: f64,
+    /// Units that were not used.
+    pub(crate) units: Units,
 }
 
-/// A request that asks one of its customer's quota owners for its units, and for a lease beyond them.
+/// A request that asks one of its customer's quota owners for its units, and for a lease beyond
+/// them.
 pub(crate) struct LeaseRequest {
+    /// Sequence number, for the response.
     pub(crate) sequence: u16,
+    /// The customer.
     pub(crate) customer: CustomerId,
+    /// The customer's plan.
     pub(crate) plan: PlanId,
+    /// The gateways that the customer's requests come through.
     pub(crate) gateways: GatewaySet,
-    /// Which of the customer's owners is meant.
+    /// Index of the owner that is asked among the customer's owners.
     pub(crate) owner_index: u32,
-    pub(crate) units: f64,
+    /// Units of the request that asks.
+    pub(crate) units: Units,
     /// Units that the sender is likely to use beyond this request's within a lease's lifetime.
-    pub(crate) requested_units: f64,
+    pub(crate) requested_units: Units,
+    /// The rest of the sender's last lease.
     pub(crate) returned: ReturnedLease,
 }
 
-/// An owner's decision.
+/// An owner's decision on a request's own units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseDecision {
+    /// The request may be sent.
     Granted,
+    /// Units, permits or the hard limit do not allow it.
     QuotaExceeded,
 }
 
-/// What an owner answers.
+/// An owner's response to one lease request.
 #[derive(Clone, Copy)]
-pub(crate) struct LeaseGrant {
+pub(crate) struct LeaseResponse {
+    /// The sequence number of the lease request.
+    pub(crate) sequence: u16,
+    /// What the owner decided.
     pub(crate) decision: LeaseDecision,
-    /// The share of the customer's requests that may ask.
+    /// Probability with which the customer's requests may ask.
     pub(crate) request_probability: f64,
-    pub(crate) leased_units: f64,
-}
-
-impl LeaseGrant {
-    /// What stands in for an answer that can't be had.
-    pub(crate) const REJECTED: LeaseGrant = LeaseGrant {
-        decision: LeaseDecision::QuotaExceeded,
-        request_probability: 1.0,
-        leased_units: 0.0,
-    };
+    /// Units that the sender of the lease request may use beyond the request's own.
+    pub(crate) leased_units: Units,
 }
 
-/// An owner's answer to one lease request.
-#[derive(Clone, Copy)]
-pub(crate) struct LeaseAnswer {
-    pub(crate) sequence: u16,
-    pub(crate) grant: LeaseGrant,
+impl LeaseResponse {
+    /// A rejection that lets the customer's requests go on asking.
+    pub(crate) const fn rejected(sequence: u16) -> Self {
+        LeaseResponse {
+            sequence,
+            decision: LeaseDecision::QuotaExceeded,
+            request_probability: 1.0,
+            leased_units: Units::ZERO,
+        }
+    }
 }
 
 /// Releases the concurrency permit that was granted under a lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PermitRelease {
+    /// Sequence number of that lease request.
     pub(crate) sequence: u16,
+    /// The customer.
     pub(crate) customer: CustomerId,
 }
 
 /// A message between two gateways.
 pub(crate) enum Message {
+    /// What the sender has forwarded.
     UsageCounts(UsageCounts),
+    /// Asks a quota owner.
     LeaseRequest(LeaseRequest, GossipDigest),
-    LeaseAnswer(LeaseAnswer, GossipDigest),
+    /// Responds to a lease request.
+    LeaseResponse(LeaseResponse, GossipDigest),
+    /// Returns a concurrency permit.
     PermitRelease(PermitRelease),
 }
 
--- a/crates/gateway-core/src/policy/deadlines.rs
+++ b/crates/gateway-core/src/policy/deadlines.rs
@@ -11,8 +11,8 @@
 //! 4. A rejection carries a `Retry-After` ([`retry_after`]).
 
 use crate::state::deployment::Context;
+use crate::state::quota::CustomerAccount;
 use crate::state::request::Request;
-use crate::state::token_bucket::TokenBucket;
 use crate::time::DurationExt;
 use crate::types::{AttemptNumber, RejectReason};
 use std::time::Duration;
@@ -95,7 +95,7 @@
 fn timeout_reason(context: Context<'_>, request: &Request) -> RejectReason {
     if request.was_sent() {
         RejectReason::RetriesExhausted
-    } else if context.deployment.quota_owners_grant() && request.quota.grant.is_none() {
+    } else if context.deployment.quota_owners_grant() && request.quota.grant().is_none() {
         RejectReason::QuotaTimeout
     } else {
         RejectReason::QueueTimeout
@@ -103,19 +103,21 @@
 }
 
 /// The `Retry-After` of a rejected client: how long it should wait before it retries. That is until
-/// its customer's bucket is likely to hold the units of the request, within limits. `None` where
+/// its customer's account is likely to hold the units of the request, within limits. `None` where
 /// the settings allow no `Retry-After`.
 pub(crate) fn retry_after(
     context: Context<'_>,
-    bucket: Option<&TokenBucket>,
+    account: Option<&CustomerAccount>,
     request: &Request,
 ) -> Option<Duration> {
     let deployment = context.deployment;
     let max_retry_after = deployment.settings.permissions.max_retry_after?;
     let shortest_us = deployment.shortest_objective_us * MIN_RETRY_AFTER_OBJECTIVE_FRACTION;
     let longest_us = deployment.shortest_objective_us * MAX_RETRY_AFTER_OBJECTIVE_FRACTION;
-    let available_in_us = match bucket {
-        Some(bucket) => bucket.time_until_available(deployment.plan_of(request), request.units()),
+    let available_in_us = match account {
+        Some(account) => {
+            account.time_until_available_us(deployment.plan_of(request), request.units())
+        }
         None => shortest_us,
     };
     let retry_after = Duration::from_micros_f64(available_in_us.clamp(shortest_us, longest_us));
--- a/crates/gateway-core/tests/policy/quota_owner.rs
+++ b/crates/gateway-core/tests/policy/quota_owner.rs
@@ -1,4 +1,4 @@
-//! Quotas of customers with hundreds of gateways, kept by few owners among them.
+//! Quotas of customers with hundreds of gateways, owned by few of them.
 
 use crate::common::fleet::Fleet;
 use crate::common::*;
@@ -112,13 +112,14 @@
 fn the_permit_of_an_expired_grant_is_released_before_the_request_asks_again() {
     let hard_limit = HardLimit {
         rate: 8.0,
-        capacity: 12.0,
+        capacity: Units::new(12.0),
     };
     let settings = SettingsBuilder::new(0, LARGE_FLEET)
         .hard_limit(TWO_CONCURRENT, hard_limit)
         .build();
     let mut gateway = GatewayHarness::sole_gateway(1, settings, S, 0);
-    gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 4 * S); // the owner's part of the hard limit starts empty
+    // the owner's part of the hard limit starts empty
+    gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 4 * S);
     gateway.advance(2 * S);
     let refused = gateway.rejected_or_failed_count();
     for _ in 0..2 {
