--- a/crates/edge-node/src/clients/request.rs
+++ b/crates/edge-node/src/clients/request.rs
@@ -22,7 +22,7 @@
 const READINESS_PATH: &str = "/-/ready";
 /// Part of a client's timeout that is reserved for the transfer of the response.
 const RESPONSE_DELIVERY_TIME: Duration = Duration::from_millis(5);
-/// Time after its deadline at which a request fails if the decision module has not ended it.
+/// Time after its deadline at which a request fails if the decision library has not ended it.
 const ANSWER_GRACE: Duration = Duration::from_millis(2);
 /// Maximum time from the head of a request to the end of its body. Without a limit, clients whose
 /// bodies stop half-way would hold memory and connections.
@@ -58,11 +58,11 @@
     request.method() == Method::GET && request.uri().path() == READINESS_PATH
 }
 
-/// A request that is complete, in the forms for the decision module and for the servers.
+/// A request that is complete, in the forms for the decision library and for the servers.
 struct AdmittedRequest {
-    /// For the decision module.
+    /// For the decision library.
     event: Event,
-    /// For the servers, once the decision module sends it.
+    /// For the servers, once the decision library sends it.
     upstream_request: UpstreamRequest,
 }
 
@@ -160,7 +160,7 @@
         answered = tokio::time::timeout_at(last_moment, answer) => match answered {
             Ok(Ok(answer)) => Ok(answer),
             // No request may stay open without end: past its last moment it fails, whatever the
-            // decision module does.
+            // decision library does.
             _ => Ok(Answer::Failed),
         },
         // Attempts for a client that has disconnected are wasted work. hyper does not notice a
--- a/crates/edge-node/src/clients/request_error.rs
+++ b/crates/edge-node/src/clients/request_error.rs
@@ -1,4 +1,4 @@
-//! Why a client's request is rejected before the decision module sees it.
+//! Why a client's request is rejected before the decision library sees it.
 
 use hyper::StatusCode;
 
--- a/crates/edge-node/src/config/mod.rs
+++ b/crates/edge-node/src/config/mod.rs
@@ -42,7 +42,7 @@
     pub peers: Option<PeerAddresses>,
     /// The endpoint list as the platform last held it, which may be outdated.
     pub initial_endpoints: Option<EndpointList>,
-    /// The settings of the decision module.
+    /// The settings of the decision library.
     pub settings: ResolvedSettings,
     /// What only operators' files can configure.
     pub operator: OperatorOptions,
--- a/crates/edge-node/src/metrics/gauges.rs
+++ b/crates/edge-node/src/metrics/gauges.rs
@@ -22,7 +22,7 @@
     pub(crate) open_descriptors: usize,
     /// Servers that the endpoint list calls ready.
     pub(crate) servers_ready: usize,
-    /// Servers and customers that the decision module keeps state of.
+    /// Servers and customers that the decision library keeps state of.
     pub(crate) tracked_entries: usize,
     /// Time since the last endpoint list was applied; `None` before the first.
     pub(crate) list_age: Option<Duration>,
--- a/crates/edge-node/src/node/attempts.rs
+++ b/crates/edge-node/src/node/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight: how they are started, cancelled and reported to the decision module.
+//! Attempts in flight: how they are started, cancelled and reported to the decision library.
 
 use super::pending_requests::NextAttempt;
 use super::{Answer, Node};
@@ -69,7 +69,7 @@
         server: ServerId,
         timeout: Option<Duration>,
     ) {
-        // The decision module is notified when a request is answered or abandoned, and sends no
+        // The decision library is notified when a request is answered or abandoned, and sends no
         // such request.
         let Some(NextAttempt { request, number }) = self.requests.next_attempt(&id) else {
             return;
@@ -88,7 +88,7 @@
         let cancelled = self.attempts.insert(id.clone(), number);
         let node = Rc::clone(self);
         // The task ends by itself: when the attempt has its answer, at its deadline, or when its
-        // entry is removed. It is never aborted, so each attempt is reported to the decision module
+        // entry is removed. It is never aborted, so each attempt is reported to the decision library
         // once.
         tokio::task::spawn_local(async move {
             let is_open = || node.requests.contains(&id);
--- a/crates/edge-node/src/node/clock.rs
+++ b/crates/edge-node/src/node/clock.rs
@@ -1,4 +1,4 @@
-//! The clock by which the decision module is called.
+//! The clock by which the decision library is called.
 
 use gateway_core::Timestamp;
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/crates/edge-node/src/node/endpoints.rs
+++ b/crates/edge-node/src/node/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists of discovery: how they reach the connection pools and the decision module, and
+//! Endpoint lists of discovery: how they reach the connection pools and the decision library, and
 //! what is known of the watch that brings them.
 
 use super::Node;
@@ -55,7 +55,7 @@
 }
 
 impl Node {
-    /// Applies endpoints: first to the connection pools, then to the decision module. In this order
+    /// Applies endpoints: first to the connection pools, then to the decision library. In this order
     /// no request that waits for a connection is sent to a server that has left.
     pub(crate) fn apply_endpoints(self: &Rc<Self>, kind: EndpointUpdate, hosts: &[EndpointEntry]) {
         let zones = &self.settings.zone_names;
@@ -112,7 +112,7 @@
     }
 }
 
-/// An entry of discovery's list in the decision module's terms.
+/// An entry of discovery's list in the decision library's terms.
 fn endpoint(host: &EndpointEntry, zone_names: &[String]) -> Endpoint {
     Endpoint {
         server: server_id(&host.name),
--- a/crates/edge-node/src/node/mod.rs
+++ b/crates/edge-node/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! The node: owner of the decision module, its clock, and the tables of open requests and attempts
+//! The node: owner of the decision library, its clock, and the tables of open requests and attempts
 //! in flight.
 //!
-//! Only [`Node::dispatch`] calls the decision module, and what the module asks for is done in the
+//! Only [`Node::dispatch`] calls the decision library, and what the module asks for is done in the
 //! order in which it asks. All tasks run on one thread and share the node as an `Rc`; no cell is
 //! borrowed across an `await`.
 
@@ -32,7 +32,7 @@
 
 /// What a node is built from.
 pub(crate) struct NodeParts {
-    /// Seed of the decision module's random numbers.
+    /// Seed of the decision library's random numbers.
     pub(crate) seed: u64,
     /// The settings, with the names of classes, plans and zones.
     pub(crate) settings: ResolvedSettings,
@@ -44,7 +44,7 @@
     pub(crate) metrics: Option<Rc<Metrics>>,
 }
 
-/// The owner of the decision module and of all that the module's events and actions refer to.
+/// The owner of the decision library and of all that the module's events and actions refer to.
 pub(crate) struct Node {
     /// The settings, with the names of classes, plans and zones.
     pub(crate) settings: ResolvedSettings,
@@ -53,7 +53,7 @@
     peers: Option<Peers>,
     metrics: Option<Rc<Metrics>>,
     clock: Clock,
-    /// The decision module.
+    /// The decision library.
     gateway: RefCell<Gateway>,
     requests: PendingRequests,
     attempts: InFlightAttempts,
@@ -84,7 +84,7 @@
         }))
     }
 
-    /// Hands an event to the decision module and executes the actions that it returns.
+    /// Hands an event to the decision library and executes the actions that it returns.
     ///
     /// No action waits, and none dispatches an event before it returns: the module is never entered
     /// twice.
--- a/crates/edge-node/src/node/peer_messages.rs
+++ b/crates/edge-node/src/node/peer_messages.rs
@@ -1,15 +1,15 @@
-//! Messages of other edge nodes on their way to the decision module, and back.
+//! Messages of other edge nodes on their way to the decision library, and back.
 
 use super::Node;
 use crate::peers::Datagram;
 use gateway_core::{Event, GatewayId};
 use std::rc::Rc;
 
-/// Hands each message of a peer to the decision module, without end; returns immediately where no
+/// Hands each message of a peer to the decision library, without end; returns immediately where no
 /// peers are configured.
 ///
 /// The task ends with the process. The sender is known by its address alone; the messages may be
-/// late, lost or forged, which the decision module has to tolerate.
+/// late, lost or forged, which the decision library has to tolerate.
 pub(crate) async fn receive_peer_messages(node: Rc<Node>) {
     let Some(peers) = &node.peers else { return };
     loop {
--- a/crates/edge-node/src/node/pending_requests.rs
+++ b/crates/edge-node/src/node/pending_requests.rs
@@ -16,7 +16,7 @@
 pub(crate) enum Answer {
     /// A server answered; this is the body of its answer.
     Served(Bytes),
-    /// The decision module rejected the request; how long the client should wait before it tries
+    /// The decision library rejected the request; how long the client should wait before it tries
     /// again, if known.
     Rejected(Option<Duration>),
     /// No server could answer the request.
--- a/crates/edge-node/src/node/requests.rs
+++ b/crates/edge-node/src/node/requests.rs
@@ -16,7 +16,7 @@
         self.requests.len()
     }
 
-    /// Puts a request into the table and hands it to the decision module; the receiver gets its
+    /// Puts a request into the table and hands it to the decision library; the receiver gets its
     /// final answer.
     ///
     /// `None` if the id is in use, also by an attempt whose request has been answered: two requests
--- a/crates/edge-node/src/peers.rs
+++ b/crates/edge-node/src/peers.rs
@@ -1,5 +1,5 @@
 //! Datagrams between edge nodes. They may be late, lost or forged: what they say is the decision
-//! module's concern.
+//! library's concern.
 
 use crate::bind;
 use crate::config::PeerAddresses;
--- a/crates/edge-node/tests/unit/endpoints.rs
+++ b/crates/edge-node/tests/unit/endpoints.rs
@@ -1,4 +1,4 @@
-//! Entries of discovery's list in the decision module's terms.
+//! Entries of discovery's list in the decision library's terms.
 
 use super::*;
 
--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -1,4 +1,4 @@
-//! A hollow node: the decision module with the lab in place of its sockets. It exchanges requests and attempts with
+//! A hollow node: the decision library with the lab in place of its sockets. It exchanges requests and attempts with
 //! clients and servers by calls, and messages with other nodes, real ones too, by datagrams.
 
 use super::customers::PlannedRequest;
@@ -66,7 +66,7 @@
         Ok(node)
     }
 
-    /// Time inside the decision module so far.
+    /// Time inside the decision library so far.
     pub(super) fn decision_time(&self) -> Duration {
         self.decision_time.get()
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Gives the decision module an event, and carries out the resulting actions.
+    /// Gives the decision library an event, and carries out the resulting actions.
     fn post(self: &Rc<Self>, event: Event) {
         let now = self.environment.clock.now();
         let mut actions = Vec::new();
--- a/crates/fleet-lab/src/hybrid/node_totals.rs
+++ b/crates/fleet-lab/src/hybrid/node_totals.rs
@@ -31,7 +31,7 @@
     pub bytes: u64,
     /// Datagrams longer than the protocol allows.
     pub too_long: u64,
-    /// Processor time of the processes, or time inside the decision module, µs.
+    /// Processor time of the processes, or time inside the decision library, µs.
     pub cost_us: f64,
 }
 
--- a/crates/fleet-lab/src/hybrid/nodes.rs
+++ b/crates/fleet-lab/src/hybrid/nodes.rs
@@ -20,13 +20,13 @@
 pub(super) enum Node {
     /// A process.
     Real(Box<RealNode>),
-    /// A decision module in this process.
+    /// A decision library in this process.
     Hollow(Rc<HollowNode>),
 }
 
 /// What a node has used so far.
 pub(super) struct NodeUsage {
-    /// Processor time of a real node, or time inside the decision module of a hollow one.
+    /// Processor time of a real node, or time inside the decision library of a hollow one.
     pub(super) cost: Duration,
     /// Its messages.
     pub(super) sent: SentMessages,
--- a/crates/fleet-lab/src/hybrid/plan_quotas.rs
+++ b/crates/fleet-lab/src/hybrid/plan_quotas.rs
@@ -15,11 +15,11 @@
 /// Maximum time from a quota decision to the arrival of the first attempt at its server: a connection may have to be
 /// opened.
 const FIRST_SEND_TIME: Duration = Duration::from_millis(250);
-/// As in the decision module: fraction of the messages that a node accepts which may be usage counts of its peers.
+/// As in the decision library: fraction of the messages that a node accepts which may be usage counts of its peers.
 const USAGE_MESSAGE_FRACTION: f64 = 0.7;
-/// As in the decision module: minimum time between two usage counts, s.
+/// As in the decision library: minimum time between two usage counts, s.
 const MIN_USAGE_INTERVAL_SECONDS: f64 = 0.2;
-/// As in the decision module: from this time between usage counts on, quotas have owners, s.
+/// As in the decision library: from this time between usage counts on, quotas have owners, s.
 const OWNERS_FROM_INTERVAL_SECONDS: f64 = 0.5;
 /// Owners of a quota in a large fleet, without the standby owner.
 const OWNERS_PER_QUOTA: f64 = 2.0;
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -13,7 +13,7 @@
 
 /// A millisecond.
 pub(super) const MILLISECOND: Duration = Duration::from_millis(1);
-/// Interval of the control ticks of the decision module.
+/// Interval of the control ticks of the decision library.
 pub(super) const CONTROL_TICK: Duration = Duration::from_millis(500);
 /// When measured gateways start.
 pub(super) const START: Timestamp = Timestamp::from_micros(5_000_000);
--- a/crates/fleet-lab/src/scaling/gateway_pair/member.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair/member.rs
@@ -9,7 +9,7 @@
 
 /// A gateway, its customers and its timer.
 pub(super) struct Member {
-    /// The decision module.
+    /// The decision library.
     pub(super) gateway: Gateway,
     /// Customers that take turns in sending requests to it.
     pub(super) customers: Vec<Customer>,
--- a/crates/fleet-lab/src/scaling/mod.rs
+++ b/crates/fleet-lab/src/scaling/mod.rs
@@ -1,4 +1,4 @@
-//! `fleet-lab scaling`: what the decision module costs as the fleet grows. Each cost is measured over a range of sizes,
+//! `fleet-lab scaling`: what the decision library costs as the fleet grows. Each cost is measured over a range of sizes,
 //! with its statistics over some repeats.
 //!
 //! Processor time is that of the measuring thread alone, so that other work on the machine influences it little. What
--- a/crates/fleet-lab/src/simulate/engine/decision_module.rs
+++ b/crates/fleet-lab/src/simulate/engine/decision_module.rs
@@ -2,7 +2,7 @@
 
 use gateway_core::{Action, Event, Gateway, Settings, SettingsError, Timestamp};
 
-/// What makes the decisions of one gateway: the decision module, or a wrapper that a test puts around it.
+/// What makes the decisions of one gateway: the decision library, or a wrapper that a test puts around it.
 pub trait DecisionModule {
     /// Handles one event at a simulated time, and adds the resulting actions.
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>);
@@ -14,8 +14,8 @@
     }
 }
 
-/// A new decision module, or why its settings are invalid.
+/// A new decision library, or why its settings are invalid.
 pub type NewModule = Result<Box<dyn DecisionModule>, SettingsError>;
 
-/// Makes the decision module of a gateway from a seed, its settings and the time of its start.
+/// Makes the decision library of a gateway from a seed, its settings and the time of its start.
 pub(super) type ModuleFactory<'a> = dyn FnMut(u64, Settings, Timestamp) -> NewModule + 'a;
--- a/crates/fleet-lab/src/simulate/engine/mod.rs
+++ b/crates/fleet-lab/src/simulate/engine/mod.rs
@@ -63,7 +63,7 @@
     log: &'a mut dyn FnMut(&str),
 }
 
-/// Simulates an experiment to the end of its last request. `new_module` makes the decision module of a gateway,
+/// Simulates an experiment to the end of its last request. `new_module` makes the decision library of a gateway,
 /// `progress` is called with the simulated time about once a simulated second, and `log` with what gateways log.
 ///
 /// # Errors
--- a/crates/fleet-lab/src/simulate/host.rs
+++ b/crates/fleet-lab/src/simulate/host.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// What was used since the start, as lines; `decision_time` is the time inside the decision modules.
+    /// What was used since the start, as lines; `decision_time` is the time inside the decision librarys.
     pub(super) fn summary(&self, report: &Report, decision_time: Duration) -> String {
         let mut lines = vec![format!(
             "host: {:.1} s on the clock",
--- a/crates/fleet-lab/src/simulate/mod.rs
+++ b/crates/fleet-lab/src/simulate/mod.rs
@@ -1,4 +1,4 @@
-//! `fleet-lab simulate`: a fleet of hollow nodes, each with the real decision module, in one process and in simulated
+//! `fleet-lab simulate`: a fleet of hollow nodes, each with the real decision library, in one process and in simulated
 //! time.
 
 mod engine;
--- a/crates/fleet-lab/src/world/invariant_checker/mod.rs
+++ b/crates/fleet-lab/src/world/invariant_checker/mod.rs
@@ -1,5 +1,5 @@
 //! The invariant checker of the simulation: the lab's own records of every request and customer. It knows nothing of
-//! the internals of the decision module, and sees the true state without delay.
+//! the internals of the decision library, and sees the true state without delay.
 //!
 //! - `attempts` checks what gateways send: only what a client asked for and before the request's end, idempotency,
 //!   drains and hard limits.
--- a/crates/fleet-lab/tests/simulate/defective_module.rs
+++ b/crates/fleet-lab/tests/simulate/defective_module.rs
@@ -35,7 +35,7 @@
     received_at: Timestamp,
 }
 
-/// The decision module, with some of its actions replaced.
+/// The decision library, with some of its actions replaced.
 pub(crate) struct DefectiveModule {
     inner: Gateway,
     settings: Settings,
--- a/crates/gateway-core/src/action.rs
+++ b/crates/gateway-core/src/action.rs
@@ -56,7 +56,8 @@
     SetTimer {
         /// The delay.
         after: Duration,
-        /// To be returned with the event.
+        /// To be returned with the event. It is always 0: a timer that was replaced is recognised by
+        /// its time.
         token: u64,
     },
     /// Start to watch the endpoint list, and report it with an
--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -67,14 +67,14 @@
         result: AttemptResult,
     ) {
         let request = self.requests.get(&key.request);
-        let was_cancelled = request.is_some_and(Request::is_cancelled_or_streaming);
-        let was_stalled = was_cancelled && result.outcome == AttemptOutcome::Cancelled;
+        let is_cancelled = request.is_some_and(Request::is_cancelled_or_streaming);
+        let was_cancelled_here = is_cancelled && result.outcome == AttemptOutcome::Cancelled;
         self.servers.observe_attempt(
             now,
             &self.deployment,
             attempt,
             &result,
-            was_stalled,
+            was_cancelled_here,
             &mut self.random,
         );
         if result.outcome == AttemptOutcome::Success {
--- a/crates/gateway-core/src/gateway/control_loop.rs
+++ b/crates/gateway-core/src/gateway/control_loop.rs
@@ -123,7 +123,7 @@
         }
         Some(Warning::ObjectiveMissed {
             latency_ratio: latency_ratio?,
-            in_flight: fleet.lowest_in_flight(),
+            in_flight: fleet.lowest_class_in_flight(),
         })
     }
 }
--- a/crates/gateway-core/src/gateway/control_tick.rs
+++ b/crates/gateway-core/src/gateway/control_tick.rs
@@ -2,7 +2,7 @@
 //! updated, servers that are warming up get their credit, and what has been idle is evicted.
 
 use super::Gateway;
-use crate::policy::quota_sharing::account::PARTITIONED;
+use crate::policy::quota_sharing::account::PARTITION_SILENCE;
 use crate::time::Timestamp;
 use crate::Action;
 
@@ -29,7 +29,7 @@
     /// Evicts idle customers and servers: otherwise memory would grow with every one ever seen.
     fn evict_idle(&mut self, now: Timestamp) {
         let plans = &self.deployment.settings.plans;
-        self.quotas.evict_idle(now, plans, &PARTITIONED);
+        self.quotas.evict_idle(now, plans, &PARTITION_SILENCE);
         self.servers.evict_idle(now);
     }
 }
--- a/crates/gateway-core/src/gateway/servers/health.rs
+++ b/crates/gateway-core/src/gateway/servers/health.rs
@@ -35,14 +35,15 @@
 
 impl Servers {
     /// Merges what an attempt that ended reveals of its server, its zone and the fleet.
-    /// `was_stalled`: it was cancelled as stalled.
+    /// `was_cancelled_here`: this gateway cancelled it, as stalled or past its objective, while its
+    /// request was open.
     pub(in crate::gateway) fn observe_attempt(
         &mut self,
         now: Timestamp,
         deployment: &Deployment,
         attempt: &Attempt,
         result: &AttemptResult,
-        was_stalled: bool,
+        was_cancelled_here: bool,
         random: &mut fastrand::Rng,
     ) {
         let Some(mut server) = self.table.get_mut(now, &attempt.server) else {
@@ -54,7 +55,7 @@
             return;
         }
         let class = attempt.class;
-        let has_failed = outliers::is_failure(&server, attempt, result.outcome, was_stalled);
+        let has_failed = outliers::is_failure(&server, attempt, result.outcome, was_cancelled_here);
         server.observe_failure(
             class,
             has_failed,
--- a/crates/gateway-core/src/message/mod.rs
+++ b/crates/gateway-core/src/message/mod.rs
@@ -33,7 +33,7 @@
     pub(crate) class: ClassId,
     /// Fraction of attempts that fail, 0 to 1.
     pub(crate) failure_rate: f64,
-    /// Expected latency for each in-flight slot, in µs; 0 while unknown.
+    /// Expected latency per concurrent request, in µs; 0 while unknown.
     pub(crate) latency_us: f64,
     /// Requests that it has in flight, if that is known.
     pub(crate) load: Option<f64>,
--- a/crates/gateway-core/src/policy/dispatch.rs
+++ b/crates/gateway-core/src/policy/dispatch.rs
@@ -69,6 +69,7 @@
         limit: &mut InFlightLimit,
         quotas: &mut QuotaState,
     ) -> DispatchDecision {
+        // Asked before the quota, for each request of the class: it accumulates pacing tokens.
         let is_limited = self.is_of_lowest_class(request)
             && !limit.allows(
                 self.lowest_in_flight,
--- a/crates/gateway-core/src/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/src/policy/fuzzy_controller.rs
@@ -6,7 +6,7 @@
 //! 2. The change of the limit is inferred from the error and its change by two rule bases: one
 //!    gives the direction and size, the other one, alpha, how much of it is made
 //!    ([`infer_change`]).
-//! 3. The limit stays between a minimum, at which its class still shows in the latency ratio, and a
+//! 3. The limit stays between a minimum, which lets some attempts of the class through, and a
 //!    maximum near what is in flight.
 //!
 //! The design's terms beside the code's:
@@ -38,8 +38,8 @@
 const ERROR_CHANGE_GAIN: f64 = 2.0;
 /// Output gain that suits an alpha of 1, as a fraction of the attempts in flight.
 const OUTPUT_GAIN_AT_FULL_ALPHA: f64 = 0.15;
-/// Output gain in use (`KΔu`), as a fraction of the attempts in flight; the design triples the one
-/// above.
+/// Output gain in use (`KΔu`), as a fraction of the attempts in flight: three times the one above, as
+/// the design prescribes.
 const OUTPUT_GAIN: f64 = 3.0 * OUTPUT_GAIN_AT_FULL_ALPHA;
 /// Smallest limit of all gateways together, in attempts.
 const MIN_FLEET_LIMIT_ATTEMPTS: f64 = 6.0;
@@ -49,8 +49,9 @@
 const MAX_LEAD_FRACTION: f64 = 0.5;
 /// Largest limit, as a multiple of the lowest class's recent peak in flight, before the lead.
 const MAX_LIMIT_PEAK_RATIO: f64 = 2.0;
-/// Smallest number of attempts that a change is a fraction of, as a fraction of the minimum limit.
-const MIN_BASE_LIMIT_FRACTION: f64 = 0.5;
+/// A change of the limit is a fraction of the attempts in flight, but at least of this fraction of
+/// the minimum limit.
+const MIN_STEP_BASE_FRACTION: f64 = 0.5;
 /// Outermost output level of the rule base of the change.
 const LARGEST_CHANGE_LEVEL: i32 = 3;
 /// Outermost output level of the rule base of alpha.
@@ -127,11 +128,11 @@
         fleet: &FleetEstimates,
         fleet_fraction: f64,
     ) {
-        self.peak_in_flight = self.peak_in_flight.max(fleet.lowest_in_flight());
+        self.peak_in_flight = self.peak_in_flight.max(fleet.lowest_class_in_flight());
         if let Some(latency_ratio) = latency_ratio {
             self.adjust_limit(latency_ratio, fleet, fleet_fraction);
         }
-        self.peak_in_flight = fleet.lowest_in_flight();
+        self.peak_in_flight = fleet.lowest_class_in_flight();
     }
 
     fn adjust_limit(&mut self, latency_ratio: f64, fleet: &FleetEstimates, fleet_fraction: f64) {
@@ -142,7 +143,7 @@
         let Some(limit) = self.limit.maximum() else {
             if latency_ratio > TARGET_LATENCY_RATIO {
                 self.limit
-                    .set_maximum(fleet.lowest_in_flight().max(minimum));
+                    .set_maximum(fleet.lowest_class_in_flight().max(minimum));
             }
             return;
         };
@@ -150,7 +151,7 @@
         let reduction = inference.alpha * OUTPUT_GAIN * inference.change;
         let base = fleet
             .total_in_flight()
-            .max(minimum * MIN_BASE_LIMIT_FRACTION);
+            .max(minimum * MIN_STEP_BASE_FRACTION);
         let maximum = self.largest_limit(fleet, fleet_fraction).max(minimum);
         self.limit
             .set_maximum((limit - reduction * base).clamp(minimum, maximum));
@@ -161,7 +162,7 @@
     fn largest_limit(&self, fleet: &FleetEstimates, fleet_fraction: f64) -> f64 {
         let lead = (MAX_FLEET_LEAD_ATTEMPTS * fleet_fraction)
             .max(fleet.total_in_flight() * MAX_LEAD_FRACTION);
-        self.peak_in_flight.max(fleet.lowest_in_flight()) * MAX_LIMIT_PEAK_RATIO + lead
+        self.peak_in_flight.max(fleet.lowest_class_in_flight()) * MAX_LIMIT_PEAK_RATIO + lead
     }
 }
 
--- a/crates/gateway-core/src/policy/load_balancing/all_servers.rs
+++ b/crates/gateway-core/src/policy/load_balancing/all_servers.rs
@@ -21,8 +21,9 @@
 /// same of equal servers.
 const JITTER_FRACTION: f64 = 0.1;
 
-/// The server of the lowest cost with jitter, or the first one whose probe is due. Only a first
-/// attempt probes, as a probe may fail.
+/// The server of the lowest cost with jitter, or the first of the ejected ones that are eligible:
+/// those whose probe is due and, while ejection is ignored, all of them. Only a first attempt probes,
+/// as a probe may fail.
 pub(super) fn choose(
     selector: &Selector<'_>,
     choice: &Choice<'_>,
--- a/crates/gateway-core/src/policy/load_balancing/eligibility.rs
+++ b/crates/gateway-core/src/policy/load_balancing/eligibility.rs
@@ -16,7 +16,7 @@
 pub(super) struct Choice<'a> {
     /// The request that a server is chosen for.
     pub(super) request: &'a Request,
-    /// Whether ejected servers may be chosen like others.
+    /// Whether servers are eligible although they are ejected and their probe is not due.
     pub(super) ignores_ejection: bool,
     /// Whether there is more than one candidate.
     has_alternatives: bool,
--- a/crates/gateway-core/src/policy/outlier_detection/failures.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/failures.rs
@@ -17,16 +17,16 @@
 /// Whether an attempt that ended counts as a failure of its server.
 ///
 /// An attempt that was cancelled or timed out does not, if the server has answered another one of
-/// its class since and this one was not cancelled as stalled (`was_stalled`): the request may have
-/// been the slow part.
+/// its class since and this gateway did not cancel the attempt while its request was open
+/// (`was_cancelled_here`): the request may have been the slow part.
 pub(crate) fn is_failure(
     server: &Server,
     attempt: &Attempt,
     outcome: AttemptOutcome,
-    was_stalled: bool,
+    was_cancelled_here: bool,
 ) -> bool {
     let answered_at = server.class_health(attempt.class).answered_at();
-    let has_answered_since = answered_at > attempt.sent_at && !was_stalled;
+    let has_answered_since = answered_at > attempt.sent_at && !was_cancelled_here;
     match outcome {
         AttemptOutcome::Success => false,
         AttemptOutcome::Cancelled | AttemptOutcome::TimedOut => !has_answered_since,
--- a/crates/gateway-core/src/policy/quota_sharing/account.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/account.rs
@@ -3,7 +3,7 @@
 //! 1. [`account_on_arrival`] finds, reconfigures and refills the account of a request.
 //! 2. [`new_account`]: what the account of a customer holds that is seen for the first time.
 //! 3. [`follow_hints`]: when an account takes over another plan or gateway set that requests name.
-//! 4. [`PARTITIONED`]: when a silent gateway counts as partitioned, so that its part is not
+//! 4. [`PARTITION_SILENCE`]: when a silent gateway counts as partitioned, so that its part is not
 //!    refilled here.
 //! 5. [`observe_incarnation`]: what the accounts lose once this gateway notices that it has
 //!    restarted.
@@ -22,7 +22,8 @@
 ///
 /// In a partition each side would grant the whole rate, so each reserves the even part of the
 /// silent gateways. While a gateway is down, its part is not used.
-pub(crate) const PARTITIONED: Range<Duration> = Duration::from_millis(800)..Duration::from_secs(25);
+pub(crate) const PARTITION_SILENCE: Range<Duration> =
+    Duration::from_millis(800)..Duration::from_secs(25);
 /// Difference in uptime to a peer from which on this gateway has restarted, and the uptime up to
 /// which that matters.
 const RESTART_WINDOW: Duration = Duration::from_secs(4);
@@ -55,7 +56,7 @@
         new_account(now, uptime, has_restarted, config)
     });
     follow_hints(settings, entry.account, now, config);
-    entry.into_refilled(now, &settings.plans, &PARTITIONED)
+    entry.into_refilled(now, &settings.plans, &PARTITION_SILENCE)
 }
 
 /// An account for a customer without one. Shortly after a restart it holds only the even part of
--- a/crates/gateway-core/src/policy/quota_sharing/gossip.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/gossip.rs
@@ -8,7 +8,7 @@
 //! 3. [`UsageBroadcasts`]: on a timer, this gateway notifies its peers of what it has forwarded.
 //! 4. [`merge_usage`]: what a peer has forwarded is drained from the accounts of the customers.
 
-use super::account::{observe_incarnation, PARTITIONED};
+use super::account::{observe_incarnation, PARTITION_SILENCE};
 use crate::message::UsageCounts;
 use crate::policy::admission::{is_deadline_too_short, Admission};
 use crate::policy::fleet_mode::broadcast_interval;
@@ -62,7 +62,7 @@
     let reserved = Units::refilled(peer_units_per_second, USAGE_DELAY_SECONDS)
         .min(account.excess_burst(plan))
         .max(Units::ZERO);
-    plan.rate > 0.0 && account.quota_tokens() - reserved < request.units()
+    plan.has_quota() && account.quota_tokens() - reserved < request.units()
 }
 
 /// Whether the limits of its customer allow the first attempt of a queued request now; if not, it
@@ -76,7 +76,7 @@
         return true;
     };
     let plans = &context.deployment.settings.plans;
-    let account = entry.into_refilled(context.now, plans, &PARTITIONED);
+    let account = entry.into_refilled(context.now, plans, &PARTITION_SILENCE);
     let plan = &plans[account.plan().0];
     if plan.hard_limit.is_some() && account.hard_limit_tokens() < request.units() {
         return false;
@@ -154,7 +154,7 @@
         let Some(entry) = quotas.account_entry(customer_usage.customer) else {
             continue;
         };
-        let account = entry.into_refilled(now, &settings.plans, &PARTITIONED);
+        let account = entry.into_refilled(now, &settings.plans, &PARTITION_SILENCE);
         account.merge_peer_usage(now, from, usage.incarnation, customer_usage.count);
     }
 }
--- a/crates/gateway-core/src/policy/quota_sharing/owner.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -202,7 +202,7 @@
         let has_permit = self
             .max_permits()
             .is_none_or(|maximum| owned.permits_in_use() < maximum);
-        let is_quota_exceeded = self.plan.rate > 0.0 && owned.quota_tokens() < units;
+        let is_quota_exceeded = self.plan.has_quota() && owned.quota_tokens() < units;
         let is_hard_limit_exceeded =
             self.plan.hard_limit.is_some() && owned.hard_limit_tokens() < units;
         has_permit && !is_quota_exceeded && !is_hard_limit_exceeded
@@ -233,7 +233,7 @@
     /// Units that go on lease: as many as requested, up to a fraction of what remains in this part.
     /// Without a limit by rate there is nothing to lease.
     fn lease_units(&self, owned: &OwnedQuota) -> Units {
-        let remaining_quota = if self.plan.rate > 0.0 {
+        let remaining_quota = if self.plan.has_quota() {
             owned.quota_tokens()
         } else {
             Units::ZERO
@@ -264,7 +264,7 @@
 ) {
     let accepted_per_second = ACCEPTED_INTAKE_FRACTION * settings.peer_messages_per_second;
     let requests_per_second = owned.record_lease_request(seconds_since_refill);
-    if plan.rate > 0.0 && requests_per_second > accepted_per_second {
+    if plan.has_quota() && requests_per_second > accepted_per_second {
         owned.decrease_request_probability(PROBABILITY_DECREASE_RATIO);
     } else {
         owned.increase_request_probability(PROBABILITY_INCREASE_PER_SECOND * seconds_since_refill);
--- a/crates/gateway-core/src/settings/mod.rs
+++ b/crates/gateway-core/src/settings/mod.rs
@@ -83,7 +83,8 @@
     pub max_concurrent: Option<u32>,
     /// Multiplies the class's priority weight.
     pub weight: f64,
-    /// Share of the priority weight earned by what is forwarded beyond the quota.
+    /// Fraction of the priority weight earned by what is forwarded beyond the quota. No decision uses
+    /// it.
     pub over_quota_weight: f64,
     /// Share of the priority weight that a request forwarded beyond the quota costs.
     pub over_quota_cost: f64,
@@ -91,6 +92,14 @@
     pub hard_limit: Option<HardLimit>,
 }
 
+impl Plan {
+    /// Whether the plan limits the units a second; without a quota its rate is 0.
+    #[must_use]
+    pub fn has_quota(&self) -> bool {
+        self.rate > 0.0
+    }
+}
+
 /// How changes of the endpoint list reach the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointDiscovery {
@@ -109,7 +118,7 @@
     pub warm_up_period: Duration,
     /// A server is overloaded while its work exceeds this multiple of its present capacity.
     pub overload_multiple: f64,
-    /// A server that is overloaded for this long collapses.
+    /// A server that is overloaded for this long collapses. No decision uses it.
     pub overload_window: Duration,
 }
 
@@ -147,7 +156,7 @@
     pub cross_zone_cost: f64,
     /// How changes of the endpoint list arrive.
     pub discovery: EndpointDiscovery,
-    /// Shortest time between two rounds of events.
+    /// Shortest time between two rounds of events. No decision uses it.
     pub event_period: Duration,
     /// Messages from peers that a gateway can take in, per second.
     pub peer_messages_per_second: f64,
--- a/crates/gateway-core/src/state/deployment.rs
+++ b/crates/gateway-core/src/state/deployment.rs
@@ -6,7 +6,8 @@
 use crate::time::{DurationExt, Timestamp};
 use crate::types::{ClassId, PlanId};
 
-/// How the gateways of a fleet share quotas and observations.
+/// How the gateways of a fleet share quotas and observations; chosen by
+/// [`mode_of`](crate::policy::fleet_mode::mode_of).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FleetMode {
     /// A small fleet: each gateway broadcasts its usage, and its own token buckets decide.
--- a/crates/gateway-core/src/state/mod.rs
+++ b/crates/gateway-core/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! What a gateway remembers. Each type keeps its own invariants; nothing is decided here. The
-//! thresholds and choices are in [`policy`](crate::policy), which passes in the weights and
-//! durations that are to be applied.
+//! What a gateway remembers. Each type keeps its own invariants. What is decided about requests
+//! stands in [`policy`](crate::policy), which passes in most weights and durations; the exceptions
+//! are bounds of a representation, such as the window in which a peer's usage counts.
 
 pub(crate) mod attempt;
 pub(crate) mod deployment;
--- a/crates/gateway-core/src/state/quota/account.rs
+++ b/crates/gateway-core/src/state/quota/account.rs
@@ -308,7 +308,7 @@
     /// Microseconds until it is likely to cover a request of so many units, which have been charged
     /// to the quota already and are returned if the request is never sent.
     pub(crate) fn time_until_available_us(&self, plan: &Plan, units: Units) -> f64 {
-        let quota_us = if plan.rate > 0.0 {
+        let quota_us = if plan.has_quota() {
             refill_time_us(-self.quota.tokens(), plan.rate)
         } else {
             0.0
@@ -328,7 +328,7 @@
         self.refill(now, plan, silent_gateways);
         let hard_limit = plan.hard_limit.as_ref();
         let is_hard_limit_full = hard_limit.is_none_or(|limit| self.hard_limit.is_full(limit));
-        let is_quota_full = plan.rate <= 0.0 || self.quota.is_full(plan.burst);
+        let is_quota_full = !plan.has_quota() || self.quota.is_full(plan.burst);
         is_hard_limit_full && is_quota_full && self.peer_units_per_second(now) <= 0.0
     }
 
--- a/crates/gateway-core/src/state/quota/owned.rs
+++ b/crates/gateway-core/src/state/quota/owned.rs
@@ -182,7 +182,7 @@
         let hard_limit = plan.hard_limit.as_ref();
         let is_hard_limit_full = hard_limit.is_none_or(|limit| self.hard_limit.is_full(limit));
         let is_quota_full =
-            plan.rate <= 0.0 || self.quota.is_full(plan.burst * self.quota_fraction);
+            !plan.has_quota() || self.quota.is_full(plan.burst * self.quota_fraction);
         is_hard_limit_full && is_quota_full && self.permits.in_use() == 0
     }
 }
--- a/crates/gateway-core/src/state/quota/token_bucket.rs
+++ b/crates/gateway-core/src/state/quota/token_bucket.rs
@@ -9,8 +9,11 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds so many tokens. `burst_capacity`: what it holds in any case when it is
-    /// full, and the largest debt that [`drain`](Self::drain) makes.
+    /// A bucket that holds so many tokens.
+    ///
+    /// `burst_capacity`: the part of the plan's burst that belongs to this gateway, or the largest
+    /// request if that is more. A full bucket holds the plan's burst, but at least this; a debt made
+    /// by [`drain`](Self::drain) is at most this.
     pub(crate) fn new(tokens: Units, burst_capacity: Units) -> Self {
         TokenBucket {
             tokens,
@@ -23,7 +26,7 @@
         self.tokens
     }
 
-    /// What it holds in any case when it is full.
+    /// The part of the plan's burst that belongs to this gateway; a full bucket holds at least this.
     pub(crate) fn burst_capacity(&self) -> Units {
         self.burst_capacity
     }
--- a/crates/gateway-core/src/state/servers/fleet_estimates.rs
+++ b/crates/gateway-core/src/state/servers/fleet_estimates.rs
@@ -6,17 +6,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Mean latency ratio that the first sample replaces, at a weight of 1.
+/// Stands for the mean while there is none: the first sample replaces it at a weight of 1, rounded
+/// as every later one is.
 const REPLACED_RATIO: f64 = -1.0;
 
-/// Running means over the fleet.
+/// Running means: of the fleet, and of the attempts that this gateway has in flight.
 #[derive(Default)]
 pub(crate) struct FleetEstimates {
     mean_latency_us: f64,
     median_latency_us: f64,
     service_time_us: f64,
     load_factor: Option<f64>,
-    lowest_in_flight: f64,
+    lowest_class_in_flight: f64,
     total_in_flight: f64,
     /// By class: mean latency as a ratio to the class's latency objective; `None` while unknown.
     latency_ratios: Vec<Option<f64>>,
@@ -75,19 +76,19 @@
         self.load_factor = load_factor;
     }
 
-    /// Mean number of attempts of the lowest class in flight.
-    pub(crate) fn lowest_in_flight(&self) -> f64 {
-        self.lowest_in_flight
+    /// Mean number of this gateway's attempts of the lowest class in flight.
+    pub(crate) fn lowest_class_in_flight(&self) -> f64 {
+        self.lowest_class_in_flight
     }
 
-    /// Mean number of all attempts in flight.
+    /// Mean number of all attempts of this gateway in flight.
     pub(crate) fn total_in_flight(&self) -> f64 {
         self.total_in_flight
     }
 
     /// Merges the attempts in flight now, of the lowest class and in all.
     pub(crate) fn observe_in_flight(&mut self, lowest: f64, total: f64, weight: f64) {
-        update_mean(&mut self.lowest_in_flight, lowest, weight);
+        update_mean(&mut self.lowest_class_in_flight, lowest, weight);
         update_mean(&mut self.total_in_flight, total, weight);
     }
 
--- a/crates/gateway-core/src/state/servers/server_table/mod.rs
+++ b/crates/gateway-core/src/state/servers/server_table/mod.rs
@@ -108,7 +108,7 @@
         self.get_mut(now, id);
     }
 
-    /// A server to be changed. It is tracked from now on.
+    /// A server to be changed. It is tracked from now on, and counts as used now.
     pub(crate) fn get_mut(&mut self, now: Timestamp, id: &ServerId) -> Option<ServerGuard<'_>> {
         self.visit();
         let server = match self.tracked.entry(*id) {
--- a/crates/gateway-core/src/statistics.rs
+++ b/crates/gateway-core/src/statistics.rs
@@ -1,11 +1,8 @@
 //! Small statistics that the policy uses.
 
-use crate::time::DurationExt;
+use crate::time::{DurationExt, MICROS_PER_SECOND};
 use std::time::Duration;
 
-/// Microseconds in a second.
-const MICROS_PER_SECOND: f64 = 1e6;
-
 /// Probability that a Poisson variable with this mean is below `limit`.
 pub(crate) fn poisson_below(limit: u32, mean: f64) -> f64 {
     let mut term = (-mean).exp();
--- a/crates/gateway-core/src/time.rs
+++ b/crates/gateway-core/src/time.rs
@@ -10,8 +10,8 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLISECOND: u64 = 1_000;
 
-/// An instant on the clock of the embedding program, in whole microseconds since an epoch of its
-/// choice.
+/// An instant, in whole microseconds since an epoch that the embedding program chooses. All gateways
+/// of a fleet, and discovery, have to use the same one: they compare the times of starts.
 ///
 /// Arithmetic saturates at [`Timestamp::EPOCH`] and [`Timestamp::MAX`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/gateway-core/src/types.rs
+++ b/crates/gateway-core/src/types.rs
@@ -92,7 +92,7 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The server answered.
+    /// The server answered, without an error.
     Success,
     /// The server answered with an error. The request may have been executed.
     ServerError,
@@ -145,8 +145,10 @@
     /// passed.
     QuotaTimeout,
     /// The request was waiting for the in-flight limit or for a server until half of the client's
-    /// timeout had passed.
+    /// timeout had passed or, if late answers have no value, until an answer would have come too
+    /// late.
     QueueTimeout,
-    /// All attempts failed, and no further one was possible or allowed.
+    /// Attempts failed and no further one was possible or allowed, or the time ran out after an
+    /// attempt had been sent.
     RetriesExhausted,
 }
--- a/crates/gateway-core/tests/unit/fuzzy_controller.rs
+++ b/crates/gateway-core/tests/unit/fuzzy_controller.rs
@@ -6,20 +6,20 @@
 /// What a control tick observes, and the limit after it.
 struct Tick {
     latency_ratio: f64,
-    lowest_in_flight: f64,
+    lowest_class_in_flight: f64,
     total_in_flight: f64,
     limit: Option<f64>,
 }
 
 const fn tick(
     latency_ratio: f64,
-    lowest_in_flight: f64,
+    lowest_class_in_flight: f64,
     total_in_flight: f64,
     limit: Option<f64>,
 ) -> Tick {
     Tick {
         latency_ratio,
-        lowest_in_flight,
+        lowest_class_in_flight,
         total_in_flight,
         limit,
     }
@@ -47,7 +47,7 @@
     let mut limits = Vec::new();
     for tick in &RECORDED {
         let mut fleet = FleetEstimates::new(1, 1.0);
-        fleet.observe_in_flight(tick.lowest_in_flight, tick.total_in_flight, 1.0);
+        fleet.observe_in_flight(tick.lowest_class_in_flight, tick.total_in_flight, 1.0);
         controller.tick(Some(tick.latency_ratio), &fleet, 1.0 / 3.0);
         limits.push(controller.limit().maximum());
     }
--- a/crates/xtask/src/known_red.rs
+++ b/crates/xtask/src/known_red.rs
@@ -5,7 +5,7 @@
 //! `issue`, once, in this order, each on one line of the form `field: text`:
 //!
 //! ```text
-//! test: crates/edge-node/tests/edge.rs watch::a_lost_watch_is_opened_again
+//! test: crates/edge-node/tests/edge/main.rs watch::a_lost_watch_is_opened_again
 //! command: cargo test --release -p edge-node --test edge watch::a_lost_watch_is_opened_again
 //! seed: none
 //! seen: the second watch is opened after 3 s; the bound is 1 s
