--- a/crates/edge-node/src/discovery/mod.rs
+++ b/crates/edge-node/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery: a watch on the list of app servers, opened again whenever it ends, falls silent or
+//! Discovery: a watch on the list of servers, opened again whenever it ends, falls silent or
 //! can't be read.
 //!
 //! The platform holds the edge node to what the agent on this machine has, whether or not a watch
--- a/crates/edge-node/src/endpoint_list.rs
+++ b/crates/edge-node/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Lists of app servers in the form in which discovery and configurations write them. What can be
+//! Lists of servers in the form in which discovery and configurations write them. What can be
 //! read of a list counts: entries that can't be read are left out, and the list says that there
 //! were some.
 
@@ -7,7 +7,7 @@
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 
-/// The app servers, or changes to them.
+/// The servers, or changes to them.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 pub struct EndpointList {
     /// The version of the list, which grows within one watch.
@@ -45,7 +45,7 @@
     }
 }
 
-/// An app server on a list. Its name and health have to be readable; any other value that is not is
+/// A server on a list. Its name and health have to be readable; any other value that is not is
 /// taken as absent.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(try_from = "EntryDocument")]
--- a/crates/edge-node/src/node/attempts.rs
+++ b/crates/edge-node/src/node/attempts.rs
@@ -139,7 +139,7 @@
             self.answer_request(&id, Answer::Served(body));
         }
         let closed = !self.requests.contains(&id);
-        self.dispatch(Event::AttemptFinished {
+        self.handle_event(Event::AttemptFinished {
             id,
             attempt,
             outcome,
--- a/crates/edge-node/src/node/endpoints.rs
+++ b/crates/edge-node/src/node/endpoints.rs
@@ -65,7 +65,7 @@
             address: dial_address(host),
         });
         self.upstream.update_endpoints(kind, addresses);
-        self.dispatch(Event::EndpointsUpdated { kind, endpoints });
+        self.handle_event(Event::EndpointsUpdated { kind, endpoints });
     }
 
     /// Notes and logs that a list from discovery has been applied.
--- a/crates/edge-node/src/node/mod.rs
+++ b/crates/edge-node/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! The node: owner of the decision library, its clock, and the tables of open requests and attempts
 //! in flight.
 //!
-//! Only [`Node::dispatch`] calls the decision library, and what the module asks for is done in the
+//! Only [`Node::handle_event`] calls the decision library, and what the module asks for is done in the
 //! order in which it asks. All tasks run on one thread and share the node as an `Rc`; no cell is
 //! borrowed across an `await`.
 
@@ -88,7 +88,7 @@
     ///
     /// No action waits, and none dispatches an event before it returns: the module is never entered
     /// twice.
-    pub(crate) fn dispatch(self: &Rc<Self>, event: Event) {
+    pub(crate) fn handle_event(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
         self.gateway
             .borrow_mut()
@@ -123,7 +123,7 @@
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(after).await;
-            node.dispatch(Event::TimerFired { token });
+            node.handle_event(Event::TimerFired { token });
         });
     }
 }
--- a/crates/edge-node/src/node/peer_messages.rs
+++ b/crates/edge-node/src/node/peer_messages.rs
@@ -14,7 +14,7 @@
     let Some(peers) = &node.peers else { return };
     loop {
         if let Some(Datagram { from, bytes }) = peers.receive().await {
-            node.dispatch(Event::PeerMessage { from, bytes });
+            node.handle_event(Event::PeerMessage { from, bytes });
         }
     }
 }
--- a/crates/edge-node/src/node/requests.rs
+++ b/crates/edge-node/src/node/requests.rs
@@ -44,7 +44,7 @@
         let (answer, answered) = oneshot::channel();
         let pending = PendingRequest::new(request, RequestKind::of(&event), answer);
         self.requests.insert(id, pending);
-        self.dispatch(event);
+        self.handle_event(event);
         Some(answered)
     }
 
@@ -56,7 +56,7 @@
         };
         self.record_outcome(&pending, RequestOutcome::Abandoned);
         debug!(event = "client_disconnected", id = %id.0, "request {}: nobody waits any more", id.0);
-        self.dispatch(Event::ClientDisconnected { id: id.clone() });
+        self.handle_event(Event::ClientDisconnected { id: id.clone() });
     }
 
     /// Gives a request its final answer; does nothing if it has one.
--- a/crates/edge-node/src/upstream/connect_error.rs
+++ b/crates/edge-node/src/upstream/connect_error.rs
@@ -1,4 +1,4 @@
-//! Why there is no connection to an app server, and whether the cause lies with the server or with
+//! Why there is no connection to a server, and whether the cause lies with the server or with
 //! this machine.
 
 use gateway_core::AttemptOutcome;
--- a/crates/edge-node/src/upstream/connection.rs
+++ b/crates/edge-node/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to an app server.
+//! One HTTP/1.1 connection to a server.
 
 use super::connect_error::ConnectError;
 use super::socket::{ObservedStream, OpenSocketGuard, SharedStream};
--- a/crates/edge-node/src/upstream/socket.rs
+++ b/crates/edge-node/src/upstream/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets to app servers: they are counted while they are open, and remember whether anything was
+//! Sockets to servers: they are counted while they are open, and remember whether anything was
 //! written to them.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
--- a/crates/edge-node/tests/edge/client_disconnect.rs
+++ b/crates/edge-node/tests/edge/client_disconnect.rs
@@ -233,7 +233,7 @@
     servers.assert_no_more_requests();
 }
 
-/// An app server to which connections come up only once it accepts: until then its backlog is full.
+/// A server to which connections come up only once it accepts: until then its backlog is full.
 struct LateServer {
     listener: TcpListener,
     _backlog_filler: TcpStream,
--- a/crates/edge-node/tests/edge/descriptors.rs
+++ b/crates/edge-node/tests/edge/descriptors.rs
@@ -1,5 +1,5 @@
 //! File descriptors: clients may use up their own share, with requests or without, and never those
-//! that the edge node needs for discovery, app servers and readiness probes.
+//! that the edge node needs for discovery, servers and readiness probes.
 
 use super::support::*;
 use socket2::{Domain, Socket, Type};
--- a/crates/edge-node/tests/edge/discovery_deadline.rs
+++ b/crates/edge-node/tests/edge/discovery_deadline.rs
@@ -11,10 +11,10 @@
     config.replace(r#""drainGraceUs":20000000"#, r#""drainGraceUs":600000000"#)
 }
 
-/// One app server, a discovery that sends nothing by itself, and an edge node.
+/// One server, a discovery that sends nothing by itself, and an edge node.
 struct Setup {
     servers: FakeServers,
-    /// The entry of the app server.
+    /// The entry of the server.
     entries: Vec<String>,
     discovery: FakeDiscovery,
     node: EdgeNode,
--- a/crates/edge-node/tests/edge/forwarding.rs
+++ b/crates/edge-node/tests/edge/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests and responses that the edge node forwards between clients and app servers.
+//! Requests and responses that the edge node forwards between clients and servers.
 
 use super::support::*;
 use super::with_one;
--- a/crates/edge-node/tests/edge/invalid_requests.rs
+++ b/crates/edge-node/tests/edge/invalid_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are malformed or incomplete: the client gets a 4xx or a close, and no app server
+//! Requests that are malformed or incomplete: the client gets a 4xx or a close, and no server
 //! gets a request.
 
 use super::support::*;
--- a/crates/edge-node/tests/edge/main.rs
+++ b/crates/edge-node/tests/edge/main.rs
@@ -20,7 +20,7 @@
 
 use support::*;
 
-/// An edge node with one app server, which takes these behaviors in turn; the last one stays in
+/// An edge node with one server, which takes these behaviors in turn; the last one stays in
 /// force.
 fn with_one(tag: &str, behaviors: &[ServerBehavior]) -> (FakeServers, FakeDiscovery, EdgeNode) {
     let servers = FakeServers::new();
--- a/crates/edge-node/tests/edge/request_sequence.rs
+++ b/crates/edge-node/tests/edge/request_sequence.rs
@@ -1,8 +1,8 @@
-//! Requests one after the other, by which a test sees which app server is used.
+//! Requests one after the other, by which a test sees which server is used.
 
 use super::support::*;
 
-/// Requests that a client sends one after the other, to observe which app server receives each.
+/// Requests that a client sends one after the other, to observe which server receives each.
 pub(super) struct RequestSequence<'a> {
     servers: &'a FakeServers,
     client: Client,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Sends a request, which has to succeed; returns the name of the app server that received it.
+    /// Sends a request, which has to succeed; returns the name of the server that received it.
     pub(super) fn next_server(&mut self) -> String {
         self.sent += 1;
         let request = request_text(&format!("r{}", self.sent), "read", "20000m");
--- a/crates/edge-node/tests/edge/retries.rs
+++ b/crates/edge-node/tests/edge/retries.rs
@@ -4,7 +4,7 @@
 use super::with_one;
 use std::time::Instant;
 
-/// An edge node with two app servers in these cells. The first attempt meets one behavior, all
+/// An edge node with two servers in these cells. The first attempt meets one behavior, all
 /// others meet another.
 fn with_two(
     tag: &str,
--- a/crates/edge-node/tests/edge/unexpected_response.rs
+++ b/crates/edge-node/tests/edge/unexpected_response.rs
@@ -1,4 +1,4 @@
-//! Data that an app server sends beyond the response to a request: right after it, on the idle
+//! Data that a server sends beyond the response to a request: right after it, on the idle
 //! connection, or while the next request is in flight.
 
 use super::support::*;
--- a/crates/edge-node/tests/support/fake_server.rs
+++ b/crates/edge-node/tests/support/fake_server.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for app servers: each behaves as its test says and reports the requests that arrive.
+//! Stand-ins for servers: each behaves as its test says and reports the requests that arrive.
 
 use super::fake_discovery::endpoint_entry;
 use super::http::HttpMessage;
@@ -109,7 +109,7 @@
         let request = self
             .requests
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a request arrives at an app server");
+            .expect("a request arrives at a server");
         assert!(request.alone, "two attempts of a request are open at once");
         request
     }
--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -226,6 +226,7 @@
         if matches!(next, AfterMiss::AskAgain) {
             return self.request_lease(now, id, actions);
         }
+        // Also a request that is rejected right after is granted first: the rejection releases it.
         if let Some(request) = self.requests.get_mut(&id) {
             let own_grant = RequestGrant {
                 owner: self.deployment.settings.gateway_id,
@@ -277,7 +278,7 @@
     response: &LeaseResponse,
     expires_at: Timestamp,
 ) {
-    account.set_request_probability(now, response.request_probability);
+    account.set_request_probability(now, response.lease_request_probability);
     if response.leased_units > Units::ZERO {
         account.hold_lease(HeldLease::new(
             response.leased_units,
--- a/crates/gateway-core/src/message/decode.rs
+++ b/crates/gateway-core/src/message/decode.rs
@@ -118,12 +118,12 @@
             DECISION_QUOTA_EXCEEDED => LeaseDecision::QuotaExceeded,
             _ => return None,
         };
-        let request_probability = f64::from(self.byte()?) / f64::from(u8::MAX);
+        let lease_request_probability = f64::from(self.byte()?) / f64::from(u8::MAX);
         let leased_units = self.units()?;
         Some(LeaseResponse {
             sequence,
             decision,
-            request_probability,
+            lease_request_probability,
             leased_units,
         })
     }
--- a/crates/gateway-core/src/message/encode.rs
+++ b/crates/gateway-core/src/message/encode.rs
@@ -57,7 +57,7 @@
         LeaseDecision::QuotaExceeded => DECISION_QUOTA_EXCEEDED,
     });
     bytes.push(rounded_byte(
-        response.request_probability * f64::from(u8::MAX),
+        response.lease_request_probability * f64::from(u8::MAX),
     ));
     bytes.extend_from_slice(&leased_units_bytes(response.leased_units));
 }
--- a/crates/gateway-core/src/message/mod.rs
+++ b/crates/gateway-core/src/message/mod.rs
@@ -130,7 +130,7 @@
     /// What the owner decided.
     pub(crate) decision: LeaseDecision,
     /// Probability with which the customer's requests may ask.
-    pub(crate) request_probability: f64,
+    pub(crate) lease_request_probability: f64,
     /// Units that the sender of the lease request may use beyond the request's own.
     pub(crate) leased_units: Units,
 }
@@ -141,7 +141,7 @@
         LeaseResponse {
             sequence,
             decision: LeaseDecision::QuotaExceeded,
-            request_probability: 1.0,
+            lease_request_probability: 1.0,
             leased_units: Units::ZERO,
         }
     }
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -50,7 +50,7 @@
 ) -> Admission {
     let now = context.now;
     let is_shed = random.f64() < shed_probability(context, request);
-    let is_throttled = random.f64() > request_probability(account, now);
+    let is_throttled = random.f64() > lease_request_probability(account, now);
     if is_deadline_too_short(context, request) {
         return Admission::Reject(RejectReason::DeadlineTooShort);
     }
@@ -72,8 +72,8 @@
 
 /// Probability with which a customer's request may ask an owner: what an owner last set, rising to
 /// 1 over [`REQUEST_PROBABILITY_LIFETIME`].
-fn request_probability(account: &CustomerAccount, now: Timestamp) -> f64 {
-    let probability = account.request_probability();
+fn lease_request_probability(account: &CustomerAccount, now: Timestamp) -> f64 {
+    let probability = account.lease_request_probability();
     let age_us = now.micros_since(probability.updated_at);
     let expired_fraction = (age_us / REQUEST_PROBABILITY_LIFETIME.as_micros_f64()).min(1.0);
     probability.value + (1.0 - probability.value) * expired_fraction
@@ -93,7 +93,7 @@
     let is_responsive = |index: &u32| is_responsive(quotas, now, &owners, *index);
     let turns = (0..owners.count()).map(|step| (start + step) % owners.count());
     let index = turns
-        .chain([owners.count()])
+        .chain([owners.standby_index()])
         .find(is_responsive)
         .unwrap_or(start % owners.count());
     QuotaOwner {
@@ -116,7 +116,7 @@
     let account = quotas.account(request.customer());
     account
         .map(CustomerAccount::held_lease)
-        .filter(|lease| lease.has_units() && lease.owner_index() < owners.count())
+        .filter(|lease| lease.has_units() && owners.is_regular(lease.owner_index()))
         .map_or_else(|| random.u32(0..owners.count()), HeldLease::owner_index)
 }
 
@@ -199,7 +199,7 @@
     let quota = &request.quota;
     quota.rejections() < owners
         && quota.owner().index < owners
-        && response.request_probability >= 1.0
+        && response.lease_request_probability >= 1.0
 }
 
 /// Whether a grant must not be used any more. Only a hard limit could be exceeded by late use.
--- a/crates/gateway-core/src/policy/quota_sharing/owner.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -39,6 +39,8 @@
 const MAX_LEASE_FRACTION: f64 = 0.25;
 /// Time that an owner has to respond, and the shortest lifetime of its grants.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(90);
+/// Shortest lifetime of a lease or grant: it has to outlast the way of the response.
+const MIN_LEASE_LIFETIME: Duration = RESPONSE_TIMEOUT;
 /// The longest lifetime of a lease or grant.
 pub(in crate::policy) const MAX_LEASE_LIFETIME: Duration = Duration::from_secs(3);
 /// The longest lifetime under a hard limit, as a fraction of the time that the limit takes to
@@ -53,7 +55,7 @@
     };
     let refill_seconds = limit.capacity.seconds_at(limit.rate);
     let lifetime_us = refill_seconds * MAX_LIFETIME_REFILL_FRACTION * MICROS_PER_SECOND;
-    Duration::from_micros_f64(lifetime_us).clamp(RESPONSE_TIMEOUT, MAX_LEASE_LIFETIME)
+    Duration::from_micros_f64(lifetime_us).clamp(MIN_LEASE_LIFETIME, MAX_LEASE_LIFETIME)
 }
 
 /// How many owners, without the standby owner, a customer of a plan has: as many as its rate needs,
@@ -103,7 +105,7 @@
         };
         let owners = owners_of(settings, request.customer, plan, gateways);
         let is_for_this_gateway = owners.gateway(request.owner_index) == settings.gateway_id
-            && request.owner_index <= owners.count();
+            && request.owner_index <= owners.standby_index();
         is_for_this_gateway.then_some(OwnerRequest {
             from,
             request,
@@ -139,7 +141,7 @@
     fn fractions(&self) -> OwnedFractions {
         let even_fraction = 1.0 / f64::from(self.owners.count());
         let has_standby = self.request.gateways.count > self.owners.count();
-        let is_standby = self.request.owner_index >= self.owners.count();
+        let is_standby = !self.owners.is_regular(self.request.owner_index);
         match (has_standby, is_standby) {
             (false, _) => OwnedFractions {
                 quota: even_fraction,
@@ -191,7 +193,7 @@
         LeaseResponse {
             sequence: self.request.sequence,
             decision,
-            request_probability: owned.request_probability(),
+            lease_request_probability: owned.lease_request_probability(),
             leased_units,
         }
     }
--- a/crates/gateway-core/src/state/quota/account.rs
+++ b/crates/gateway-core/src/state/quota/account.rs
@@ -29,7 +29,7 @@
 /// The probability with which a customer's requests may ask its quota owners, as an owner last set
 /// it.
 #[derive(Clone, Copy)]
-pub(crate) struct RequestProbability {
+pub(crate) struct LeaseRequestProbability {
     /// The probability, 0 to 1.
     pub(crate) value: f64,
     /// When an owner set it.
@@ -62,7 +62,7 @@
     held_lease: HeldLease,
     /// When a lease was last requested.
     lease_requested_at: Timestamp,
-    request_probability: RequestProbability,
+    lease_request_probability: LeaseRequestProbability,
     forwarded: ForwardedUsage,
     attempts_in_flight: u32,
     peers: PeerUsages,
@@ -100,7 +100,7 @@
             recent_demand: Units::ZERO,
             held_lease: HeldLease::default(),
             lease_requested_at: Timestamp::EPOCH,
-            request_probability: RequestProbability {
+            lease_request_probability: LeaseRequestProbability {
                 value: 1.0,
                 updated_at: Timestamp::EPOCH,
             },
@@ -293,13 +293,13 @@
     }
 
     /// The probability that an owner last set.
-    pub(crate) fn request_probability(&self) -> RequestProbability {
-        self.request_probability
+    pub(crate) fn lease_request_probability(&self) -> LeaseRequestProbability {
+        self.lease_request_probability
     }
 
     /// Notes the probability that an owner has set now.
     pub(crate) fn set_request_probability(&mut self, now: Timestamp, value: f64) {
-        self.request_probability = RequestProbability {
+        self.lease_request_probability = LeaseRequestProbability {
             value,
             updated_at: now,
         };
--- a/crates/gateway-core/src/state/quota/owned.rs
+++ b/crates/gateway-core/src/state/quota/owned.rs
@@ -50,7 +50,7 @@
     /// Lease requests in about a second.
     lease_request_rate: f64,
     /// Probability with which the customer's requests may ask.
-    request_probability: f64,
+    lease_request_probability: f64,
 }
 
 impl OwnedQuota {
@@ -67,7 +67,7 @@
             ledger: LeaseLedger::default(),
             permits: ConcurrencyPermits::default(),
             lease_request_rate: 0.0,
-            request_probability: 1.0,
+            lease_request_probability: 1.0,
         }
     }
 
@@ -158,18 +158,18 @@
     }
 
     /// Probability with which the customer's requests may ask.
-    pub(crate) fn request_probability(&self) -> f64 {
-        self.request_probability
+    pub(crate) fn lease_request_probability(&self) -> f64 {
+        self.lease_request_probability
     }
 
     /// Lowers that probability by a factor.
     pub(crate) fn decrease_request_probability(&mut self, ratio: f64) {
-        self.request_probability *= ratio;
+        self.lease_request_probability *= ratio;
     }
 
     /// Raises that probability, up to 1.
     pub(crate) fn increase_request_probability(&mut self, gain: f64) {
-        self.request_probability = (self.request_probability + gain).min(1.0);
+        self.lease_request_probability = (self.lease_request_probability + gain).min(1.0);
     }
 
     /// Whether dropping it neither gains nor loses anything: it has long been unused, and is full.
--- a/crates/gateway-core/src/state/quota/owners.rs
+++ b/crates/gateway-core/src/state/quota/owners.rs
@@ -38,7 +38,18 @@
         self.count
     }
 
-    /// The owner of that index, or the standby owner.
+    /// The index of the standby owner: the one after the last owner's.
+    pub(crate) fn standby_index(&self) -> u32 {
+        self.count
+    }
+
+    /// Whether an index is that of an owner which is not the standby owner.
+    pub(crate) fn is_regular(&self, index: u32) -> bool {
+        index < self.count
+    }
+
+    /// The owner of that index, or the standby owner. Where the customer has no more gateways than
+    /// owners, the standby owner is one of these.
     pub(crate) fn gateway(&self, index: u32) -> GatewayId {
         let members = self.gateways.count;
         let distance = (members / (self.count + 1)).max(1);
--- a/crates/gateway-core/src/state/servers/class_health.rs
+++ b/crates/gateway-core/src/state/servers/class_health.rs
@@ -5,7 +5,7 @@
 
 /// Steps in a failure rate of 1, for sums over all servers: whole numbers accumulate no rounding
 /// error.
-pub(super) const FAILURE_RATE_STEPS: f64 = (1u64 << 32) as f64;
+pub(super) const FAILURE_RATE_SUM_STEPS: f64 = (1u64 << 32) as f64;
 
 /// The health of a server with one class of requests.
 #[derive(Clone, Default)]
@@ -107,7 +107,7 @@
     fn from(health: &ClassHealth) -> Self {
         IndexedHealth {
             next_probe_at: health.next_probe_at,
-            failure_rate_steps: (health.failure_rate * FAILURE_RATE_STEPS).round() as u64,
+            failure_rate_steps: (health.failure_rate * FAILURE_RATE_SUM_STEPS).round() as u64,
             observed_at: health.observed_at,
         }
     }
--- a/crates/gateway-core/src/state/servers/server_index.rs
+++ b/crates/gateway-core/src/state/servers/server_index.rs
@@ -1,6 +1,6 @@
 //! Indexes and sums over the ready servers, updated as their health changes.
 
-use super::class_health::{IndexedHealth, FAILURE_RATE_STEPS};
+use super::class_health::{IndexedHealth, FAILURE_RATE_SUM_STEPS};
 use super::server::Server;
 use crate::time::Timestamp;
 use crate::types::{ClassId, ServerId};
@@ -102,7 +102,7 @@
 
     /// Sum of the failure rates with a class.
     pub(crate) fn failure_rate_sum(&self, class: ClassId) -> f64 {
-        self.failure_rates[class.0] as f64 / FAILURE_RATE_STEPS
+        self.failure_rates[class.0] as f64 / FAILURE_RATE_SUM_STEPS
     }
 
     /// Observations made after some time, the newest first.
--- a/crates/gateway-core/tests/unit/message.rs
+++ b/crates/gateway-core/tests/unit/message.rs
@@ -16,12 +16,12 @@
     }
 }
 
-fn granted(sequence: u16, request_probability: f64, leased_units: f64) -> LeaseResponse {
+fn granted(sequence: u16, lease_request_probability: f64, leased_units: f64) -> LeaseResponse {
     let decision = LeaseDecision::Granted;
     LeaseResponse {
         sequence,
         decision,
-        request_probability,
+        lease_request_probability,
         leased_units: Units::new(leased_units),
     }
 }
@@ -178,14 +178,17 @@
     let LeaseResponse {
         sequence,
         decision,
-        request_probability,
+        lease_request_probability,
         leased_units,
     } = decoded;
     assert_eq!(
         (*sequence, *decision),
         (expected.sequence, expected.decision)
     );
-    assert_eq!(*request_probability, expected.request_probability);
+    assert_eq!(
+        *lease_request_probability,
+        expected.lease_request_probability
+    );
     assert_eq!(*leased_units, expected.leased_units);
 }
 
@@ -239,7 +242,7 @@
     let response = LeaseResponse {
         sequence: u16::MAX,
         decision,
-        request_probability: 0.2,
+        lease_request_probability: 0.2,
         leased_units: Units::new(0.0),
     };
     assert_eq!(
