--- a/crates/gateway-core/src/gateway/servers/control_tick.rs
+++ b/crates/gateway-core/src/gateway/servers/control_tick.rs
@@ -41,11 +41,7 @@
         let rules = &deployment.settings.rules;
         let warm = self.warm_count(now, rules);
         let ready = self.table.ready_count();
-        let context = Context {
-            now,
-            deployment,
-            fleet: &self.estimates,
-        };
+        let context = Context::new(now, deployment, &self.estimates);
         let slow_start = SlowStart::new(context, &self.selection, warm, ready, TICK_PERIOD);
         for server in self.table.warming_up_mut(now, rules) {
             slow_start.grant(server.credit, server.warm_up_fraction, random.f64());
--- a/crates/gateway-core/src/gateway/servers/mod.rs
+++ b/crates/gateway-core/src/gateway/servers/mod.rs
@@ -91,11 +91,7 @@
 
     /// What decisions depend on, now.
     fn context<'a>(&'a self, now: Timestamp, deployment: &'a Deployment) -> Context<'a> {
-        Context {
-            now,
-            deployment,
-            fleet: &self.estimates,
-        }
+        Context::new(now, deployment, &self.estimates)
     }
 }
 
--- a/crates/gateway-core/src/gateway/servers/selection.rs
+++ b/crates/gateway-core/src/gateway/servers/selection.rs
@@ -23,11 +23,7 @@
         next_control_tick: Timestamp,
         random: &mut fastrand::Rng,
     ) -> Vec<ServerId> {
-        let context = Context {
-            now,
-            deployment,
-            fleet: &self.estimates,
-        };
+        let context = Context::new(now, deployment, &self.estimates);
         let selector = Selector::new(context, &self.selection, &self.table);
         let cached = &mut self.fleet_concurrency;
         let fleet_concurrency = || {
--- a/crates/gateway-core/src/state/quota/mod.rs
+++ b/crates/gateway-core/src/state/quota/mod.rs
@@ -255,3 +255,7 @@
         self.accounts.len() + self.owned.len()
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/quota_plan.rs"]
+mod test_plan;
--- a/crates/gateway-core/tests/unit/customer_account.rs
+++ b/crates/gateway-core/tests/unit/customer_account.rs
@@ -1,27 +1,11 @@
 //! Refill, hard limit, reconfiguration and usage of a customer's account.
 
+use super::super::test_plan::plan;
 use super::*;
-use crate::settings::HardLimit;
 
 const SECOND: Duration = Duration::from_secs(1);
 const START: Timestamp = Timestamp::EPOCH;
 
-/// 10 units a second with a burst of 20, under a hard limit of 4 a second and a capacity of 8.
-fn plan() -> Plan {
-    Plan {
-        rate: 10.0,
-        burst: Units::new(20.0),
-        max_concurrent: None,
-        weight: 1.0,
-        over_quota_weight: 0.0,
-        over_quota_cost: 0.0,
-        hard_limit: Some(HardLimit {
-            rate: 4.0,
-            capacity: Units::new(8.0),
-        }),
-    }
-}
-
 fn config(plan: &Plan, gateways: u32) -> AccountConfig<'_> {
     let gateways = GatewaySet {
         first: GatewayId(0),
--- a/crates/gateway-core/tests/unit/owned_quota.rs
+++ b/crates/gateway-core/tests/unit/owned_quota.rs
@@ -1,26 +1,10 @@
 //! The part of a quota that an owner keeps: leases, and when it may be dropped.
 
+use super::super::test_plan::plan;
 use super::*;
-use crate::settings::HardLimit;
 
 const START: Timestamp = Timestamp::EPOCH;
 
-/// 10 units a second with a burst of 20, under a hard limit of 4 a second and a capacity of 8.
-fn plan() -> Plan {
-    Plan {
-        rate: 10.0,
-        burst: Units::new(20.0),
-        max_concurrent: None,
-        weight: 1.0,
-        over_quota_weight: 0.0,
-        over_quota_cost: 0.0,
-        hard_limit: Some(HardLimit {
-            rate: 4.0,
-            capacity: Units::new(8.0),
-        }),
-    }
-}
-
 /// The whole quota at one owner, at time 0.
 fn owned() -> OwnedQuota {
     let part = OwnedPart {
