--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -54,7 +54,7 @@
         let attempt = self.attempts.remove(key)?;
         self.servers.record_attempt_finished(&attempt.server);
         if let Some(account) = self.quotas.account_mut(attempt.customer) {
-            account.attempt_finished();
+            account.record_attempt_finished();
         }
         Some(attempt)
     }
--- a/crates/gateway-core/src/gateway/control_loop.rs
+++ b/crates/gateway-core/src/gateway/control_loop.rs
@@ -44,7 +44,7 @@
         attempt: &Attempt,
     ) {
         let ratio = deployment.objective_ratio(attempt.class, attempt.eligible_since, now);
-        self.latencies.of(attempt.class).add(ratio);
+        self.latencies.class_samples_mut(attempt.class).add(ratio);
     }
 
     /// Runs a control tick: updates the latency ratios and the means of attempts in flight with
@@ -75,7 +75,7 @@
         for request in requests.values_mut() {
             let class = request.class();
             let ratio = deployment.objective_ratio(class, request.eligible_since(), now);
-            let samples = samples.of(class);
+            let samples = samples.class_samples_mut(class);
             if self
                 .inputs
                 .counts_open_request(request, ratio, samples.mean())
--- a/crates/gateway-core/src/gateway/dispatch.rs
+++ b/crates/gateway-core/src/gateway/dispatch.rs
@@ -59,7 +59,7 @@
                 Some(server)
             }
             DispatchDecision::SkipForQuota => {
-                request.delayed_by_quota_until(now);
+                request.record_quota_delay(now);
                 None
             }
             DispatchDecision::SkipForInFlightLimit => None,
@@ -110,7 +110,7 @@
         };
         let is_first_attempt = !request.was_sent();
         if let Some(account) = self.quotas.account_mut(request.customer()) {
-            account.attempt_sent(now, request.units(), is_first_attempt);
+            account.record_attempt_sent(now, request.units(), is_first_attempt);
         }
         if is_first_attempt {
             self.retry_budget.record_first_attempt();
--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -208,10 +208,11 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.quota.record_miss();
+        request.quota.record_timeout();
         self.quotas.remove_pending(pending.sequence);
         let owner = request.quota.owner().gateway;
-        self.quotas.record_miss(owner, now + policy::OWNER_COOLDOWN);
+        self.quotas
+            .record_timeout(owner, now + policy::OWNER_COOLDOWN);
     }
 
     /// Asks again, or carries out what this gateway has decided alone.
@@ -292,5 +293,5 @@
 /// From now on only the servers delay a request.
 fn grant_request(now: Timestamp, request: &mut Request, grant: RequestGrant) {
     request.quota.set_grant(grant);
-    request.delayed_by_quota_until(now);
+    request.record_quota_delay(now);
 }
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -131,7 +131,7 @@
                     customer,
                     units: units.max(Units::ZERO),
                 };
-                let request = Request::arriving(now, client_timeout, details);
+                let request = Request::new(now, client_timeout, details);
                 self.on_request(now, id, request, gateways, actions);
             }
             Event::StreamStarted { id } => self.on_stream_started(&id),
--- a/crates/gateway-core/src/gateway/servers/health.rs
+++ b/crates/gateway-core/src/gateway/servers/health.rs
@@ -46,7 +46,7 @@
         was_cancelled_here: bool,
         random: &mut fastrand::Rng,
     ) {
-        let Some(mut server) = self.table.get_mut(now, &attempt.server) else {
+        let Some(mut server) = self.table.get_or_track(now, &attempt.server) else {
             return;
         };
         let latency_us = now.micros_since(attempt.sent_at);
@@ -97,7 +97,7 @@
     ) {
         let fleet_failure_rate = self.table.mean_failure_rate(class);
         let next_probe_at = self.next_probe_at(now, random);
-        if let Some(mut server) = self.table.get_mut(now, &id) {
+        if let Some(mut server) = self.table.get_or_track(now, &id) {
             outliers::update_ejection(&mut server, class, fleet_failure_rate, next_probe_at);
         }
     }
@@ -143,7 +143,7 @@
         random: &mut fastrand::Rng,
     ) -> StallEjection {
         let next_probe_at = self.next_probe_at(now, random);
-        let Some(mut server) = self.table.get_mut(now, &stalled.server) else {
+        let Some(mut server) = self.table.get_or_track(now, &stalled.server) else {
             return StallEjection::UnknownServer;
         };
         let health = server.class_health_mut(stalled.class);
--- a/crates/gateway-core/src/gateway/servers/reports.rs
+++ b/crates/gateway-core/src/gateway/servers/reports.rs
@@ -56,7 +56,7 @@
         let Some(id) = self.table.by_short_id(report.server) else {
             return;
         };
-        let Some(mut server) = self.table.get_mut(now, &id) else {
+        let Some(mut server) = self.table.get_or_track(now, &id) else {
             return;
         };
         let median_us = self.estimates.median_latency_us();
--- a/crates/gateway-core/src/gateway/servers/selection.rs
+++ b/crates/gateway-core/src/gateway/servers/selection.rs
@@ -99,7 +99,7 @@
         class: ClassId,
         next_probe_at: Timestamp,
     ) -> Option<f64> {
-        let mut server = self.table.get_mut(now, id)?;
+        let mut server = self.table.get_or_track(now, id)?;
         server.record_attempt_sent(class, next_probe_at);
         Some(f64::from(server.in_flight()))
     }
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -122,7 +122,7 @@
 
 /// Whether an owner has responded recently enough to be asked.
 fn is_responsive(quotas: &QuotaState, now: Timestamp, owners: &QuotaOwners, index: u32) -> bool {
-    let misses = quotas.misses_of(owners.gateway(index));
+    let misses = quotas.timeouts_of(owners.gateway(index));
     misses.is_none_or(|misses| {
         misses.count < MISSES_UNTIL_UNRESPONSIVE || misses.cooldown_until <= now
     })
@@ -145,7 +145,10 @@
         (Units::ZERO, ReturnedLease::default())
     } else {
         let requested_units = account.recent_demand() - request.units();
-        (requested_units, account.request_lease(now, owner.index))
+        (
+            requested_units,
+            account.record_lease_request(now, owner.index),
+        )
     };
     LeaseRequest {
         sequence,
@@ -253,7 +256,7 @@
     let Some(pending) = request.quota.pending() else {
         return UnsentDecision::RequestLease;
     };
-    if now <= pending.sent_at + response_timeout(request.quota.misses()) {
+    if now <= pending.sent_at + response_timeout(request.quota.timeouts()) {
         return UnsentDecision::Wait;
     }
     UnsentDecision::Missed {
@@ -273,7 +276,7 @@
 /// Decides what follows one more miss. After enough of them the customer's account here decides;
 /// under a hard limit it must not, so the request goes on asking.
 fn after_miss(hard_limit: Option<&HardLimit>, quotas: &QuotaState, request: &Request) -> AfterMiss {
-    let misses = request.quota.misses() + 1;
+    let misses = request.quota.timeouts() + 1;
     if misses < MISSES_UNTIL_UNRESPONSIVE || hard_limit.is_some() {
         return AfterMiss::AskAgain;
     }
--- a/crates/gateway-core/src/policy/quota_sharing/owner.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -13,7 +13,9 @@
 
 use crate::message::{LeaseDecision, LeaseRequest, LeaseResponse};
 use crate::settings::{HardLimit, Plan, Settings};
-use crate::state::quota::{permits_of_owner, OwnedPart, OwnedQuota, PermitHolder, QuotaOwners};
+use crate::state::quota::{
+    permits_of_owner, OwnedQuota, OwnedQuotaConfig, PermitHolder, QuotaOwners,
+};
 use crate::time::{DurationExt, Timestamp, MICROS_PER_SECOND};
 use crate::types::{CustomerId, GatewayId, GatewaySet};
 use crate::units::Units;
@@ -122,7 +124,7 @@
     /// A new part for this owner: of the quota, full, and of the hard limit, empty.
     pub(crate) fn new_part(&self, settings: &Settings, now: Timestamp) -> OwnedQuota {
         let fractions = self.fractions();
-        let part = OwnedPart {
+        let part = OwnedQuotaConfig {
             plan_id: self.request.plan,
             plan: self.plan,
             quota_fraction: fractions.quota,
@@ -167,7 +169,7 @@
         owned: &mut OwnedQuota,
     ) -> LeaseResponse {
         let returned = self.request.returned;
-        let seconds_since_refill = owned.begin_request(now, self.plan, self.from, returned);
+        let seconds_since_refill = owned.begin_lease_request(now, self.plan, self.from, returned);
         throttle_requests(owned, settings, self.plan, seconds_since_refill);
         if !self.fits_limits(owned) {
             return self.response(LeaseDecision::QuotaExceeded, owned, Units::ZERO);
--- a/crates/gateway-core/src/state/latency_samples.rs
+++ b/crates/gateway-core/src/state/latency_samples.rs
@@ -32,7 +32,7 @@
     }
 
     /// The samples of one class.
-    pub(crate) fn of(&mut self, class: ClassId) -> &mut ClassSamples {
+    pub(crate) fn class_samples_mut(&mut self, class: ClassId) -> &mut ClassSamples {
         &mut self.0[class.0]
     }
 
--- a/crates/gateway-core/src/state/quota/account.rs
+++ b/crates/gateway-core/src/state/quota/account.rs
@@ -212,7 +212,7 @@
 
     /// One more attempt is in flight here. The units of a request's first attempt are announced to
     /// peers, and are charged to the hard limit.
-    pub(crate) fn attempt_sent(&mut self, now: Timestamp, units: Units, is_first: bool) {
+    pub(crate) fn record_attempt_sent(&mut self, now: Timestamp, units: Units, is_first: bool) {
         self.attempts_in_flight += 1;
         if is_first {
             self.forwarded.record(now, units);
@@ -221,7 +221,7 @@
     }
 
     /// One attempt fewer is in flight.
-    pub(crate) fn attempt_finished(&mut self) {
+    pub(crate) fn record_attempt_finished(&mut self) {
         self.attempts_in_flight = self.attempts_in_flight.saturating_sub(1);
     }
 
@@ -282,7 +282,11 @@
 
     /// Notes that a lease is requested now from the owner of that index. Returns the rest of the
     /// held lease.
-    pub(crate) fn request_lease(&mut self, now: Timestamp, owner_index: u32) -> ReturnedLease {
+    pub(crate) fn record_lease_request(
+        &mut self,
+        now: Timestamp,
+        owner_index: u32,
+    ) -> ReturnedLease {
         self.lease_requested_at = now;
         self.held_lease.give_back(owner_index)
     }
--- a/crates/gateway-core/src/state/quota/mod.rs
+++ b/crates/gateway-core/src/state/quota/mod.rs
@@ -15,7 +15,7 @@
 
 pub(crate) use account::{AccountConfig, CustomerAccount};
 pub(crate) use held_lease::HeldLease;
-pub(crate) use owned::{OwnedPart, OwnedQuota};
+pub(crate) use owned::{OwnedQuota, OwnedQuotaConfig};
 pub(crate) use owners::QuotaOwners;
 pub(crate) use permits::{permits_of_owner, PermitHolder};
 pub(crate) use progress::{PendingLease, QuotaOwner, QuotaProgress, RequestGrant};
@@ -35,7 +35,7 @@
 
 /// A quota owner that did not respond.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct OwnerMisses {
+pub(crate) struct OwnerTimeouts {
     /// Consecutive lease requests without a response.
     pub(crate) count: u32,
     /// Until when it is not asked, if there were enough of them.
@@ -55,7 +55,7 @@
     pending_leases: BTreeMap<u16, RequestId>,
     last_sequence: u16,
     /// Owners that did not respond to the last lease requests.
-    unresponsive_owners: BTreeMap<GatewayId, OwnerMisses>,
+    unresponsive_owners: BTreeMap<GatewayId, OwnerTimeouts>,
     liveness: GatewayLiveness,
 }
 
@@ -189,10 +189,10 @@
 
     /// Notes that an owner has not responded in time, so that it is not asked until
     /// `cooldown_until`.
-    pub(crate) fn record_miss(&mut self, owner: GatewayId, cooldown_until: Timestamp) {
-        let misses = self.unresponsive_owners.entry(owner).or_default();
-        misses.count += 1;
-        misses.cooldown_until = cooldown_until;
+    pub(crate) fn record_timeout(&mut self, owner: GatewayId, cooldown_until: Timestamp) {
+        let timeouts = self.unresponsive_owners.entry(owner).or_default();
+        timeouts.count += 1;
+        timeouts.cooldown_until = cooldown_until;
     }
 
     /// Notes that an owner has responded.
@@ -201,7 +201,7 @@
     }
 
     /// The consecutive lease requests to which an owner has not responded, if there are any.
-    pub(crate) fn misses_of(&self, owner: GatewayId) -> Option<OwnerMisses> {
+    pub(crate) fn timeouts_of(&self, owner: GatewayId) -> Option<OwnerTimeouts> {
         self.unresponsive_owners.get(&owner).copied()
     }
 
--- a/crates/gateway-core/src/state/quota/owned.rs
+++ b/crates/gateway-core/src/state/quota/owned.rs
@@ -14,7 +14,7 @@
 
 /// What an owned part is made from.
 #[derive(Clone, Copy)]
-pub(crate) struct OwnedPart<'a> {
+pub(crate) struct OwnedQuotaConfig<'a> {
     /// The plan that the first lease request names.
     pub(crate) plan_id: PlanId,
     /// Its limits.
@@ -55,7 +55,7 @@
 
 impl OwnedQuota {
     /// A part of the quota, full, and of the hard limit, empty.
-    pub(crate) fn new(now: Timestamp, part: OwnedPart<'_>) -> Self {
+    pub(crate) fn new(now: Timestamp, part: OwnedQuotaConfig<'_>) -> Self {
         let burst_capacity = (part.plan.burst * part.quota_fraction).max(part.max_request_units);
         OwnedQuota {
             plan: part.plan_id,
@@ -79,7 +79,7 @@
     /// A lease request has come in: what its sender returns is taken back, this part is refilled up
     /// to now, and permits that have expired are released. Returns the seconds since the last
     /// refill.
-    pub(crate) fn begin_request(
+    pub(crate) fn begin_lease_request(
         &mut self,
         now: Timestamp,
         plan: &Plan,
--- a/crates/gateway-core/src/state/quota/progress.rs
+++ b/crates/gateway-core/src/state/quota/progress.rs
@@ -38,7 +38,7 @@
     owner: QuotaOwner,
     pending: Option<PendingLease>,
     rejections: u32,
-    misses: u32,
+    timeouts: u32,
     grant: Option<RequestGrant>,
 }
 
@@ -59,8 +59,8 @@
     }
 
     /// Lease requests so far without a response in time.
-    pub(crate) fn misses(&self) -> u32 {
-        self.misses
+    pub(crate) fn timeouts(&self) -> u32 {
+        self.timeouts
     }
 
     /// What allows the request to be sent, if anything does yet.
@@ -70,7 +70,7 @@
 
     /// Whether no owner has rejected it or failed to respond so far.
     pub(crate) fn is_first_try(&self) -> bool {
-        self.rejections + self.misses == 0
+        self.rejections + self.timeouts == 0
     }
 
     /// Notes that an owner has been asked.
@@ -98,8 +98,8 @@
     }
 
     /// Notes that the owner asked last has not responded in time.
-    pub(crate) fn record_miss(&mut self) {
-        self.misses += 1;
+    pub(crate) fn record_timeout(&mut self) {
+        self.timeouts += 1;
         self.pending = None;
     }
 
--- a/crates/gateway-core/src/state/request.rs
+++ b/crates/gateway-core/src/state/request.rs
@@ -65,7 +65,7 @@
 
 impl Request {
     /// A request that arrives at `now` and whose client waits for `timeout`.
-    pub(crate) fn arriving(now: Timestamp, timeout: Duration, details: RequestDetails) -> Self {
+    pub(crate) fn new(now: Timestamp, timeout: Duration, details: RequestDetails) -> Self {
         Request {
             details,
             arrived_at: now,
@@ -116,7 +116,7 @@
     }
 
     /// Records that it was delayed until now by its customer's own quota, not by the servers.
-    pub(crate) fn delayed_by_quota_until(&mut self, now: Timestamp) {
+    pub(crate) fn record_quota_delay(&mut self, now: Timestamp) {
         self.eligible_since = now;
     }
 
--- a/crates/gateway-core/src/state/servers/server_table/mod.rs
+++ b/crates/gateway-core/src/state/servers/server_table/mod.rs
@@ -105,11 +105,15 @@
 
     /// Tracks a server from now on.
     pub(crate) fn track(&mut self, now: Timestamp, id: &ServerId) {
-        self.get_mut(now, id);
+        self.get_or_track(now, id);
     }
 
     /// A server to be changed. It is tracked from now on, and counts as used now.
-    pub(crate) fn get_mut(&mut self, now: Timestamp, id: &ServerId) -> Option<ServerGuard<'_>> {
+    pub(crate) fn get_or_track(
+        &mut self,
+        now: Timestamp,
+        id: &ServerId,
+    ) -> Option<ServerGuard<'_>> {
         self.visit();
         let server = match self.tracked.entry(*id) {
             Entry::Occupied(known) => known.into_mut(),
--- a/crates/gateway-core/tests/unit/customer_account.rs
+++ b/crates/gateway-core/tests/unit/customer_account.rs
@@ -48,7 +48,7 @@
 fn a_reconfiguration_gains_nothing() {
     let mut account = account(1);
     account.charge(Units::new(18.0));
-    account.attempt_sent(START, Units::new(1.0), true);
+    account.record_attempt_sent(START, Units::new(1.0), true);
     account.peers.of(GatewayId(1)).add(START, Units::new(6.0));
     account.reconfigure(
         CustomerAccount::new(START, Duration::ZERO, config(&plan(), 2)),
@@ -75,12 +75,12 @@
         "too soon"
     );
     assert!(is_idle(&mut account, START + MIN_IDLE));
-    account.attempt_sent(START + MIN_IDLE, Units::new(1.0), true);
+    account.record_attempt_sent(START + MIN_IDLE, Units::new(1.0), true);
     assert!(
         !is_idle(&mut account, START + 2 * MIN_IDLE),
         "an attempt in flight"
     );
-    account.attempt_finished();
+    account.record_attempt_finished();
     account.charge(Units::new(1000.0));
     assert!(!is_idle(&mut account, START + 2 * MIN_IDLE), "not full");
 }
@@ -88,8 +88,8 @@
 #[test]
 fn a_retry_is_not_announced_to_peers() {
     let mut account = account(1);
-    account.attempt_sent(START, Units::new(1.0), true);
-    account.attempt_sent(START + Duration::from_micros(1), Units::new(1.0), false);
+    account.record_attempt_sent(START, Units::new(1.0), true);
+    account.record_attempt_sent(START + Duration::from_micros(1), Units::new(1.0), false);
     assert_eq!(
         (account.forwarded.units(), account.forwarded.last_risen_at()),
         (Units::new(1.0), START)
--- a/crates/gateway-core/tests/unit/latency_samples.rs
+++ b/crates/gateway-core/tests/unit/latency_samples.rs
@@ -5,8 +5,8 @@
 #[test]
 fn means_are_by_class_and_begin_anew() {
     let mut samples = LatencySamples::new(2);
-    samples.of(ClassId(1)).add(1.0);
-    samples.of(ClassId(1)).add(2.0);
+    samples.class_samples_mut(ClassId(1)).add(1.0);
+    samples.class_samples_mut(ClassId(1)).add(2.0);
     let means =
         |samples: &LatencySamples| samples.iter().map(ClassSamples::mean).collect::<Vec<_>>();
     assert_eq!(means(&samples.take()), [None, Some(1.5)]);
--- a/crates/gateway-core/tests/unit/owned_quota.rs
+++ b/crates/gateway-core/tests/unit/owned_quota.rs
@@ -7,7 +7,7 @@
 
 /// The whole quota at one owner, at time 0.
 fn owned() -> OwnedQuota {
-    let part = OwnedPart {
+    let part = OwnedQuotaConfig {
         plan_id: PlanId(0),
         plan: &plan(),
         quota_fraction: 1.0,
--- a/crates/gateway-core/tests/unit/request.rs
+++ b/crates/gateway-core/tests/unit/request.rs
@@ -9,7 +9,7 @@
 #[test]
 fn half_time_lies_between_arrival_and_deadline() {
     assert_eq!(
-        Request::arriving(
+        Request::new(
             at(100),
             Duration::from_micros(50),
             RequestDetails::default()
@@ -18,7 +18,7 @@
         at(125)
     );
     assert_eq!(
-        Request::arriving(at(100), Duration::MAX, RequestDetails::default()).deadline(),
+        Request::new(at(100), Duration::MAX, RequestDetails::default()).deadline(),
         Timestamp::MAX,
         "no overflow"
     );
--- a/crates/gateway-core/tests/unit/server_table.rs
+++ b/crates/gateway-core/tests/unit/server_table.rs
@@ -312,7 +312,7 @@
         observed: ReferenceHealth,
     ) -> CheckResult {
         // Of one that is not ready and was never used the table knows nothing: it need not.
-        let Some(mut server) = self.table.get_mut(self.now, id) else {
+        let Some(mut server) = self.table.get_or_track(self.now, id) else {
             return Ok(());
         };
         let health = &mut server.health[class];
@@ -329,7 +329,7 @@
     }
 
     fn send_attempt(&mut self, id: &ServerId) {
-        let Some(mut server) = self.table.get_mut(self.now, id) else {
+        let Some(mut server) = self.table.get_or_track(self.now, id) else {
             return;
         };
         server.in_flight += 1;
