--- a/crates/gateway-core/src/state/quota/held_lease.rs
+++ b/crates/gateway-core/src/state/quota/held_lease.rs
@@ -76,5 +76,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/lease.rs"]
+#[path = "../../../tests/unit/held_lease.rs"]
 mod tests;
