--- a/crates/gateway-core/src/gateway/servers/control_tick.rs
+++ b/crates/gateway-core/src/gateway/servers/control_tick.rs
@@ -18,9 +18,9 @@
         let throughput_weight = self.estimation.own_throughput_weight();
         self.estimates
             .merge_own_throughput(TICK_PERIOD, throughput_weight);
-        let latencies_us = self.table.sorted(Server::observed_latency_us);
+        let latencies_us = self.table.sorted_values(Server::observed_latency_us);
         let median_us = self.estimation.median(&latencies_us);
-        let load_factors = self.table.sorted(|server| {
+        let load_factors = self.table.sorted_values(|server| {
             let load = server.recent_load(now, REPORT_LIFETIME);
             load.map(|load| server.load_factor(load))
         });
--- a/crates/gateway-core/src/state/servers/server_table/health_summary.rs
+++ b/crates/gateway-core/src/state/servers/server_table/health_summary.rs
@@ -70,7 +70,7 @@
     }
 
     /// A value of each ready server that has one, in ascending order.
-    pub(crate) fn sorted(&self, value: impl Fn(&Server) -> Option<f64>) -> Vec<f64> {
+    pub(crate) fn sorted_values(&self, value: impl Fn(&Server) -> Option<f64>) -> Vec<f64> {
         let mut values: Vec<f64> = self.iter_ready().filter_map(value).collect();
         values.sort_by(f64::total_cmp);
         values
