--- a/crates/edge-node/tests/fixtures.rs
+++ b/crates/edge-node/tests/fixtures.rs
@@ -9,7 +9,7 @@
 use gateway_core::settings::{self, ResolvedSettings};
 use gateway_core::{
     Class, DeduplicationScope, EndpointDiscovery, GatewayId, HardLimit, Idempotency, Permissions,
-    Plan, Rules, Settings, Units, ZoneId,
+    Plan, ServerRules, Settings, Units, ZoneId,
 };
 use std::net::SocketAddr;
 use std::path::Path;
@@ -157,7 +157,7 @@
             zone: ZoneId(1),
             classes: platform_classes(),
             plans: platform_plans(),
-            rules: Rules {
+            rules: ServerRules {
                 warm_up_from: 0.27,
                 warm_up_period: Duration::from_micros(16_000_000),
                 overload_multiple: 2.5,
@@ -325,7 +325,7 @@
             zone: ZoneId(0),
             classes: example_classes(),
             plans: example_plans(),
-            rules: Rules {
+            rules: ServerRules {
                 warm_up_from: 0.27,
                 warm_up_period: Duration::from_micros(16_000_000),
                 overload_multiple: 2.5,
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -4,8 +4,8 @@
 use anyhow::{Context, Result};
 use gateway_core::{
     Action, CellId, Class, ClassId, CustomerId, Endpoint, EndpointDiscovery, EndpointState, Event,
-    Gateway, GatewayId, GatewaySet, Idempotency, Permissions, Plan, PlanId, RequestId, Rules,
-    ServerId, Settings, Timestamp, Units, ZoneId,
+    Gateway, GatewayId, GatewaySet, Idempotency, Permissions, Plan, PlanId, RequestId, ServerId,
+    ServerRules, Settings, Timestamp, Units, ZoneId,
 };
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -40,7 +40,7 @@
             class(5.0, Idempotency::NonIdempotent),
         ],
         plans: vec![plan()],
-        rules: Rules {
+        rules: ServerRules {
             warm_up_from: 0.27,
             warm_up_period: Duration::from_secs(16),
             overload_multiple: 2.5,
--- a/crates/fleet-lab/src/world/cold_start.rs
+++ b/crates/fleet-lab/src/world/cold_start.rs
@@ -2,7 +2,7 @@
 
 use crate::time::serialize_whole_micros;
 use gateway_core::DurationExt;
-use gateway_core::{Rules, Timestamp};
+use gateway_core::{ServerRules, Timestamp};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
 
 /// What a server has to bear while it is cold.
 pub(super) struct ColdStart {
-    rules: Rules,
+    rules: ServerRules,
     /// Requests of mean work that the warm server completes in a second.
     warm_capacity: f64,
     /// Calls within the overload window, while the server is cold.
@@ -55,7 +55,7 @@
 
 impl ColdStart {
     /// A server that has had no calls.
-    pub(super) fn new(rules: Rules, warm_capacity: f64) -> ColdStart {
+    pub(super) fn new(rules: ServerRules, warm_capacity: f64) -> ColdStart {
         ColdStart {
             rules,
             warm_capacity,
--- a/crates/fleet-lab/src/world/servers.rs
+++ b/crates/fleet-lab/src/world/servers.rs
@@ -7,7 +7,7 @@
 use super::{RequestNumber, Rng, TimeSpan};
 use crate::time::draw_duration;
 use gateway_core::DurationExt;
-use gateway_core::{AttemptNumber, AttemptOutcome, Endpoint, Rules, Timestamp};
+use gateway_core::{AttemptNumber, AttemptOutcome, Endpoint, ServerRules, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
 
 impl Server {
     /// An idle server.
-    pub fn new(rng: &mut Rng, endpoint: Endpoint, machine: Machine, rules: Rules) -> Server {
+    pub fn new(rng: &mut Rng, endpoint: Endpoint, machine: Machine, rules: ServerRules) -> Server {
         let load_report = LoadReport::new(draw_duration(rng, &machine.report_interval));
         Server {
             endpoint,
--- a/crates/fleet-lab/tests/world/servers.rs
+++ b/crates/fleet-lab/tests/world/servers.rs
@@ -5,10 +5,10 @@
 use fleet_lab::world::server_events::{Job, ServerEvent};
 use fleet_lab::world::servers::Server;
 use fleet_lab::world::{random_stream, RequestNumber, START};
-use gateway_core::{AttemptNumber, AttemptOutcome, GatewayId, Rules, Timestamp};
+use gateway_core::{AttemptNumber, AttemptOutcome, GatewayId, ServerRules, Timestamp};
 use std::time::Duration;
 
-const RULES: Rules = Rules {
+const RULES: ServerRules = ServerRules {
     warm_up_from: 0.25,
     warm_up_period: Duration::from_secs(10),
     overload_multiple: 2.0,
--- a/crates/gateway-core/src/gateway/servers/control_tick.rs
+++ b/crates/gateway-core/src/gateway/servers/control_tick.rs
@@ -6,7 +6,7 @@
 use crate::policy::health_reports::REPORT_LIFETIME;
 use crate::policy::outlier_detection::MAX_SERVER_IDLE;
 use crate::policy::slow_start::SlowStart;
-use crate::settings::Rules;
+use crate::settings::ServerRules;
 use crate::state::deployment::{Context, Deployment};
 use crate::state::servers::Server;
 use crate::time::Timestamp;
@@ -49,7 +49,7 @@
     }
 
     /// How many of the ready servers are warm.
-    fn warm_count(&mut self, now: Timestamp, rules: &Rules) -> usize {
+    fn warm_count(&mut self, now: Timestamp, rules: &ServerRules) -> usize {
         if !self.table.scans_all() {
             return self.table.warm_count(now);
         }
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -29,7 +29,7 @@
 pub use gateway::Gateway;
 pub use settings::{
     Class, DeduplicationScope, EndpointDiscovery, HardLimit, Idempotency, Permissions, Plan,
-    ResolvedSettings, Rules, Settings, SettingsError,
+    ResolvedSettings, ServerRules, Settings, SettingsError,
 };
 pub use time::{DurationExt, Timestamp};
 pub use types::*;
--- a/crates/gateway-core/src/policy/quota_sharing/owner.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -53,7 +53,7 @@
     let Some(limit) = hard_limit else {
         return MAX_LEASE_LIFETIME;
     };
-    let refill_seconds = limit.capacity.seconds_at(limit.rate);
+    let refill_seconds = limit.capacity.seconds_to_refill(limit.rate);
     let lifetime_us = refill_seconds * MAX_LIFETIME_REFILL_FRACTION * MICROS_PER_SECOND;
     Duration::from_micros_f64(lifetime_us).clamp(MIN_LEASE_LIFETIME, MAX_LEASE_LIFETIME)
 }
--- a/crates/gateway-core/src/settings/mod.rs
+++ b/crates/gateway-core/src/settings/mod.rs
@@ -111,7 +111,7 @@
 
 /// How servers behave after a start, and when they collapse under overload.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct ServerRules {
     /// Fraction of its capacity that a server has when it starts.
     pub warm_up_from: f64,
     /// Time after its start until it has its full capacity.
@@ -149,7 +149,7 @@
     /// Plans of customers.
     pub plans: Vec<Plan>,
     /// How servers warm up and collapse.
-    pub rules: Rules,
+    pub rules: ServerRules,
     /// What is permitted.
     pub permissions: Permissions,
     /// Price of an attempt that crosses zones, per request.
--- a/crates/gateway-core/src/settings/parse.rs
+++ b/crates/gateway-core/src/settings/parse.rs
@@ -2,8 +2,8 @@
 //! mapped to those of the code here, and only here.
 
 use super::{
-    Class, DeduplicationScope, EndpointDiscovery, HardLimit, Idempotency, Permissions, Plan, Rules,
-    Settings,
+    Class, DeduplicationScope, EndpointDiscovery, HardLimit, Idempotency, Permissions, Plan,
+    ServerRules, Settings,
 };
 use crate::types::{GatewayId, ZoneId};
 use crate::units::Units;
@@ -72,7 +72,7 @@
         zone,
         classes: classes?,
         plans: json.plans.iter().map(Plan::from).collect(),
-        rules: Rules::from(&json.rules),
+        rules: ServerRules::from(&json.rules),
         permissions: Permissions::from(&json.limits),
         cross_zone_cost: json.costs.cross_zone,
         discovery: json.discovery.into(),
@@ -324,9 +324,9 @@
     drain_grace_us: u64,
 }
 
-impl From<&JsonRules> for Rules {
+impl From<&JsonRules> for ServerRules {
     fn from(rules: &JsonRules) -> Self {
-        Rules {
+        ServerRules {
             warm_up_from: rules.warm_up_from,
             warm_up_period: Duration::from_micros(rules.warm_up_period_us),
             overload_multiple: rules.overload_multiple,
--- a/crates/gateway-core/src/state/quota/hard_limit_bucket.rs
+++ b/crates/gateway-core/src/state/quota/hard_limit_bucket.rs
@@ -75,7 +75,7 @@
 /// Microseconds in which missing units come in at a rate of so many units a second.
 pub(super) fn refill_time_us(missing: Units, units_per_second: f64) -> f64 {
     if missing > Units::ZERO {
-        missing.seconds_at(units_per_second.max(f64::EPSILON)) * MICROS_PER_SECOND
+        missing.seconds_to_refill(units_per_second.max(f64::EPSILON)) * MICROS_PER_SECOND
     } else {
         0.0
     }
--- a/crates/gateway-core/src/state/servers/latency_estimates.rs
+++ b/crates/gateway-core/src/state/servers/latency_estimates.rs
@@ -4,7 +4,7 @@
 use super::fleet_estimates::FleetEstimates;
 use super::server::Server;
 use super::server_table::ServerTable;
-use crate::settings::Rules;
+use crate::settings::ServerRules;
 use crate::state::deployment::Context;
 use crate::statistics::count_as_f64;
 use crate::time::Timestamp;
@@ -29,7 +29,7 @@
 /// Expected latencies of servers at one moment.
 pub(crate) struct LatencyEstimates<'a> {
     now: Timestamp,
-    rules: &'a Rules,
+    rules: &'a ServerRules,
     fleet: &'a FleetEstimates,
     decay: LatencyDecay,
 }
--- a/crates/gateway-core/src/state/servers/server.rs
+++ b/crates/gateway-core/src/state/servers/server.rs
@@ -3,7 +3,7 @@
 use super::class_health::ClassHealth;
 use super::slow_start_credit::SlowStartCredit;
 use crate::message::HealthReport;
-use crate::settings::Rules;
+use crate::settings::ServerRules;
 use crate::time::{DurationExt, Timestamp};
 use crate::types::{ClassId, Endpoint, EndpointState, ServerId};
 use std::time::Duration;
@@ -274,7 +274,7 @@
     }
 
     /// Minimum fraction of its capacity that it has by now: 1 once it is warm.
-    pub(crate) fn warm_up_fraction(&self, rules: &Rules, now: Timestamp) -> f64 {
+    pub(crate) fn warm_up_fraction(&self, rules: &ServerRules, now: Timestamp) -> f64 {
         let Some(started_at) = self.endpoint.started_at else {
             return 1.0;
         };
@@ -283,7 +283,7 @@
     }
 
     /// Whether it has all of its capacity.
-    pub(crate) fn is_warm(&self, rules: &Rules, now: Timestamp) -> bool {
+    pub(crate) fn is_warm(&self, rules: &ServerRules, now: Timestamp) -> bool {
         self.warm_up_fraction(rules, now) >= 1.0
     }
 }
--- a/crates/gateway-core/src/state/servers/server_table/mod.rs
+++ b/crates/gateway-core/src/state/servers/server_table/mod.rs
@@ -17,7 +17,7 @@
 use super::server_index::{ServerGuard, ServerIndex};
 use super::slow_start_credit::SlowStartCredit;
 use crate::message::ShortServerId;
-use crate::settings::{Rules, Settings};
+use crate::settings::{ServerRules, Settings};
 use crate::time::Timestamp;
 use crate::types::{CellId, Endpoint, ServerId};
 use std::cell::Cell;
@@ -143,7 +143,7 @@
     pub(crate) fn warming_up_mut<'a>(
         &'a mut self,
         now: Timestamp,
-        rules: &'a Rules,
+        rules: &'a ServerRules,
     ) -> impl Iterator<Item = WarmingServer<'a>> {
         let visited = &self.visited;
         self.tracked
--- a/crates/gateway-core/src/units.rs
+++ b/crates/gateway-core/src/units.rs
@@ -50,7 +50,7 @@
     }
 
     /// Seconds until this many units have come in at a rate of so many units a second.
-    pub(crate) fn seconds_at(self, units_per_second: f64) -> f64 {
+    pub(crate) fn seconds_to_refill(self, units_per_second: f64) -> f64 {
         self.0 / units_per_second
     }
 }
--- a/crates/gateway-core/tests/common/fleet.rs
+++ b/crates/gateway-core/tests/common/fleet.rs
@@ -124,13 +124,13 @@
     /// Sends requests of one customer through random gateways at a steady rate, and returns how
     /// many attempts were sent and completed.
     pub(crate) fn drive(&mut self, plan: PlanId, rate: u64, seconds: u64) -> usize {
-        self.drive_through(plan, rate, seconds, |random, gateways| {
+        self.drive_chosen_gateways(plan, rate, seconds, |random, gateways| {
             random.usize(0..gateways)
         })
     }
 
     /// The same through gateways that `choose` picks, of so many.
-    pub(crate) fn drive_through(
+    pub(crate) fn drive_chosen_gateways(
         &mut self,
         plan: PlanId,
         rate: u64,
--- a/crates/gateway-core/tests/common/harness.rs
+++ b/crates/gateway-core/tests/common/harness.rs
@@ -137,7 +137,11 @@
 
     /// Idempotent requests without a limit arrive one after the other, and succeed if they are sent
     /// immediately; returns the servers that they were sent to.
-    pub(crate) fn request_in_turn(&mut self, count: usize, interval: Micros) -> Vec<ServerId> {
+    pub(crate) fn complete_sequential_requests(
+        &mut self,
+        count: usize,
+        interval: Micros,
+    ) -> Vec<ServerId> {
         let mut servers = Vec::new();
         for _ in 0..count {
             let id = self.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
--- a/crates/gateway-core/tests/common/settings.rs
+++ b/crates/gateway-core/tests/common/settings.rs
@@ -39,7 +39,7 @@
             zone: ZoneId(0),
             classes: classes(),
             plans: plans(),
-            rules: Rules {
+            rules: ServerRules {
                 warm_up_from: 0.2,
                 warm_up_period: Duration::from_secs(10),
                 overload_multiple: 3.0,
--- a/crates/gateway-core/tests/gateway_pair/mod.rs
+++ b/crates/gateway-core/tests/gateway_pair/mod.rs
@@ -28,7 +28,7 @@
         zone: ZoneId(0),
         classes: vec![class(1.0, 800 * MILLISECOND), class(4.0, 400 * MILLISECOND)],
         plans: vec![plan_without_quota()],
-        rules: Rules {
+        rules: ServerRules {
             warm_up_from: 0.2,
             warm_up_period: 10_000 * MILLISECOND,
             overload_multiple: 3.0,
--- a/crates/gateway-core/tests/policy/lease.rs
+++ b/crates/gateway-core/tests/policy/lease.rs
@@ -29,10 +29,10 @@
             .hard_limit(HARD_LIMITED, hard_limit)
     });
     // an owner's part of the hard limit starts empty
-    fleet.drive_through(HARD_LIMITED, 30, 1, mostly_one);
+    fleet.drive_chosen_gateways(HARD_LIMITED, 30, 1, mostly_one);
     let messages_before = fleet.messages_sent;
     let requests = 30 * 6;
-    let sent = fleet.drive_through(HARD_LIMITED, 30, 6, mostly_one);
+    let sent = fleet.drive_chosen_gateways(HARD_LIMITED, 30, 6, mostly_one);
     assert!(
         sent >= 171,
         "under the hard limit, inside the quota: {sent} of {requests}"
@@ -54,7 +54,7 @@
         let mut sent = 0;
         for round in 0..4 {
             // Bursts and rests, so that leases expire, are returned and are granted again.
-            sent += fleet.drive_through(HARD_LIMITED, 100, 1, mostly_one);
+            sent += fleet.drive_chosen_gateways(HARD_LIMITED, 100, 1, mostly_one);
             fleet.advance(S);
             sent += fleet.complete_all();
             if round % 2 == 1 {
--- a/crates/gateway-core/tests/policy/load_balancing.rs
+++ b/crates/gateway-core/tests/policy/load_balancing.rs
@@ -59,7 +59,7 @@
         .map(ServerId)
         .map(|server| (server, load(server)))
         .collect();
-    let servers = gateway.request_in_turn(200, 100 * MS);
+    let servers = gateway.complete_sequential_requests(200, 100 * MS);
     let sent = servers.len();
     let to_full = servers.iter().filter(|server| **server == FULL).count();
     assert!(
--- a/crates/gateway-core/tests/policy/load_shedding.rs
+++ b/crates/gateway-core/tests/policy/load_shedding.rs
@@ -14,12 +14,12 @@
     };
     gateway.reported_loads = report(2).collect();
     assert!(
-        gateway.request_in_turn(60, 100 * MS).len() >= 58,
+        gateway.complete_sequential_requests(60, 100 * MS).len() >= 58,
         "two of eight are full"
     );
     gateway.reported_loads = report(8).collect();
-    gateway.request_in_turn(30, 100 * MS);
-    let sent = gateway.request_in_turn(60, 100 * MS).len();
+    gateway.complete_sequential_requests(30, 100 * MS);
+    let sent = gateway.complete_sequential_requests(60, 100 * MS).len();
     assert!(
         (1..30).contains(&sent),
         "all are full, yet some are sent so that loads are reported: {sent}"
--- a/crates/gateway-core/tests/unit/server.rs
+++ b/crates/gateway-core/tests/unit/server.rs
@@ -52,7 +52,7 @@
 
 #[test]
 fn its_capacity_grows_from_its_start_over_the_warm_up() {
-    let rules = Rules {
+    let rules = ServerRules {
         warm_up_from: 0.25,
         warm_up_period: Duration::from_micros(100),
         overload_multiple: 3.0,
--- a/crates/gateway-core/tests/unit/server_table.rs
+++ b/crates/gateway-core/tests/unit/server_table.rs
@@ -2,7 +2,7 @@
 //! each sum.
 
 use super::*;
-use crate::settings::{Class, EndpointDiscovery, Idempotency, Permissions, Rules};
+use crate::settings::{Class, EndpointDiscovery, Idempotency, Permissions, ServerRules};
 use crate::state::servers::ClassHealth;
 use crate::types::{ClassId, EndpointState, EndpointUpdate, GatewayId, ZoneId};
 use crate::units::Units;
@@ -224,7 +224,7 @@
         zone: ZoneId(0),
         classes: vec![class; CLASSES],
         plans: Vec::new(),
-        rules: Rules {
+        rules: ServerRules {
             warm_up_from: 0.1,
             warm_up_period: WARM_UP,
             overload_multiple: 2.0,
