--- a/crates/gateway-core/src/settings/mod.rs
+++ b/crates/gateway-core/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway is configured with, and how it is parsed and validated.
+//! The settings of a gateway, their parser and their validation.
 
 mod parse;
 mod validate;
@@ -10,19 +10,20 @@
 use crate::units::Units;
 use std::time::Duration;
 
-/// Which servers drop a repeated idempotency key.
+/// The servers that recognise an idempotency key after one of them has executed its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every server.
+    /// All servers of the fleet.
     AllServers,
-    /// Those in the zone of the first attempt's server.
+    /// The servers in the zone of the server that executed the request.
     Zone,
-    /// Those in its cell.
+    /// The servers in the cell of the server that executed the request.
     Cell,
 }
 
 impl DeduplicationScope {
-    /// Whether an execution at one endpoint is known at another, so that a repeat is dropped there.
+    /// Returns whether the server at `other` recognises the idempotency key of a request that was
+    /// executed at `executed_at`, and so does not execute it again.
     #[must_use]
     pub fn covers(self, executed_at: &Endpoint, other: &Endpoint) -> bool {
         match self {
@@ -36,64 +37,64 @@
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of executions does what one does.
+    /// Repeated executions have the same effect as a single one.
     Idempotent,
-    /// Servers inside `scope` recognise its idempotency key and execute it once, until `window`
-    /// after the first attempt that may have been executed was sent.
+    /// Servers inside `scope` recognise the request's idempotency key and execute it only once.
     Keyed {
         /// The servers that recognise the key.
         scope: DeduplicationScope,
-        /// How long they recognise it.
+        /// How long servers recognise the key. The window begins when the first attempt that may
+        /// have been executed is sent.
         window: Duration,
     },
-    /// It must never be executed twice.
+    /// The request must never be executed twice.
     NonIdempotent,
 }
 
-/// A class of requests.
+/// A class of requests: what their answers are worth, and whether they may be repeated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency objective: an answer within it earns the full priority weight.
+    /// Time from a request's arrival within which an answer earns the full priority weight.
     pub latency_objective: Duration,
-    /// Fraction of the priority weight that a later answer still earns.
+    /// Fraction of the priority weight that an answer after the latency objective still earns.
     pub late_weight: f64,
     /// Priority weight of one request.
     pub priority_weight: f64,
-    /// Whether it may be executed more than once.
+    /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
 }
 
 /// A hard limit on what all gateways together forward for one customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HardLimit {
-    /// Units a second.
+    /// Units a second that are refilled.
     pub rate: f64,
-    /// Maximum of units that may be used at one moment.
+    /// Maximum number of units that may be used at one moment.
     pub capacity: Units,
 }
 
 /// A plan: the quota of each of its customers, over all gateways together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Units a second; 0 for no limit by rate.
+    /// Quota in units a second; 0 for no limit by rate.
     pub rate: f64,
-    /// Units that may be used at one moment.
+    /// Maximum number of units that may be used at one moment.
     pub burst: Units,
-    /// Attempts that may be in flight at once; `None` for no limit.
+    /// Maximum number of attempts in flight at once; `None` for no limit.
     pub max_concurrent: Option<u32>,
-    /// Multiplies the class's priority weight.
+    /// Factor by which the priority weight of a class is multiplied for customers of the plan.
     pub weight: f64,
-    /// Fraction of the priority weight earned by what is forwarded beyond the quota. No decision uses
-    /// it.
+    /// Fraction of the priority weight that a request forwarded beyond the quota earns. No decision
+    /// depends on it.
     pub over_quota_weight: f64,
-    /// Share of the priority weight that a request forwarded beyond the quota costs.
+    /// Fraction of the priority weight that a request forwarded beyond the quota costs.
     pub over_quota_cost: f64,
-    /// The hard limit, if the plan has one.
+    /// Hard limit; `None` if the plan has none.
     pub hard_limit: Option<HardLimit>,
 }
 
 impl Plan {
-    /// Whether the plan limits the units a second; without a quota its rate is 0.
+    /// Returns whether the plan limits the units a second.
     #[must_use]
     pub fn has_quota(&self) -> bool {
         self.rate > 0.0
@@ -103,9 +104,9 @@
 /// How changes of the endpoint list reach the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointDiscovery {
-    /// They arrive without being asked for.
+    /// Changes arrive without a watch.
     Pushed,
-    /// They arrive after [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
+    /// Changes arrive after [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
     Watched,
 }
 
@@ -114,15 +115,15 @@
 pub struct ServerRules {
     /// Fraction of its capacity that a server has when it starts.
     pub warm_up_from: f64,
-    /// Time after its start until it has its full capacity.
+    /// Time from a server's start until it has its full capacity.
     pub warm_up_period: Duration,
-    /// A server is overloaded while its work exceeds this multiple of its present capacity.
+    /// A server is overloaded while its work exceeds this multiple of its current capacity.
     pub overload_multiple: f64,
-    /// A server that is overloaded for this long collapses. No decision uses it.
+    /// A server that stays overloaded for this long collapses. No decision depends on it.
     pub overload_window: Duration,
 }
 
-/// What the deployment permits.
+/// What the deployment permits gateways to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permissions {
     /// Maximum number of attempts for one request.
@@ -131,35 +132,35 @@
     pub cancel_attempts: bool,
     /// Whether gateways may send each other messages.
     pub peer_messages: bool,
-    /// The longest `Retry-After`; `None` where it is not sent.
+    /// Upper bound of `Retry-After`; `None` if rejections carry no `Retry-After`.
     pub max_retry_after: Option<Duration>,
 }
 
-/// All that a gateway is configured with.
+/// The complete settings of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This gateway.
+    /// Number of this gateway, less than `gateway_count`.
     pub gateway_id: GatewayId,
-    /// How many gateways there are.
+    /// Number of gateways of the fleet.
     pub gateway_count: u32,
-    /// This gateway's zone.
+    /// Availability zone that this gateway runs in.
     pub zone: ZoneId,
-    /// Classes of requests.
+    /// Classes of requests, indexed by [`ClassId`](crate::ClassId); at least one.
     pub classes: Vec<Class>,
-    /// Plans of customers.
+    /// Plans of customers, indexed by [`PlanId`](crate::PlanId); at least one.
     pub plans: Vec<Plan>,
     /// How servers warm up and collapse.
     pub rules: ServerRules,
-    /// What is permitted.
+    /// What the deployment permits gateways to do.
     pub permissions: Permissions,
-    /// Price of an attempt that crosses zones, per request.
+    /// Cost of an attempt that is sent to a server in another zone, in units of priority weight.
     pub cross_zone_cost: f64,
     /// How changes of the endpoint list arrive.
     pub discovery: EndpointDiscovery,
-    /// Shortest time between two rounds of events. No decision uses it.
+    /// Shortest time between two rounds of events. No decision depends on it.
     pub event_period: Duration,
-    /// Messages from peers that a gateway can take in, per second.
+    /// Maximum number of messages from peers that a gateway can receive per second.
     pub peer_messages_per_second: f64,
-    /// Units of the largest request; 0 for no limit.
+    /// Maximum number of units of one request; 0 for no limit.
     pub max_request_units: Units,
 }
--- a/crates/gateway-core/src/settings/parse.rs
+++ b/crates/gateway-core/src/settings/parse.rs
@@ -1,5 +1,5 @@
-//! Settings in the JSON form that the platform and the simulator share: the names of the wire are
-//! mapped to those of the code here, and only here.
+//! Parser of the JSON settings that the platform and the simulator share. Only this module knows
+//! the JSON keys, and maps them to the names used in the code.
 
 use super::{
     Class, DeduplicationScope, EndpointDiscovery, HardLimit, Idempotency, Permissions, Plan,
@@ -11,34 +11,35 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// µs after which a server closes an idle connection, where the settings do not say.
+/// Default of [`ResolvedSettings::connection_idle_timeout`], µs.
 const DEFAULT_CONNECTION_IDLE_US: u64 = 15_000_000;
-/// µs that a connection may take to come up, where the settings do not say.
+/// Default of [`ResolvedSettings::connect_timeout`], µs.
 const DEFAULT_CONNECT_TIMEOUT_US: u64 = 250_000;
-/// µs for which requests may still go to a server that drains, where the settings do not say.
+/// Default of [`ResolvedSettings::drain_grace`], µs.
 const DEFAULT_DRAIN_GRACE_US: u64 = 500_000;
 
-/// Why a text holds no settings.
+/// Why a text can't be parsed as settings.
 #[derive(Debug, Error)]
 pub enum ParseError {
-    /// It is not the JSON that is expected.
+    /// The text is not valid JSON, or a key is missing or has a value of the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The gateway's zone is not one of the zones.
-    #[error("zone is not among zones")]
+    /// The gateway's zone is not on the list of zones.
+    #[error("zone is not listed in zones")]
     UnknownZone,
     /// A class with an idempotency key has no deduplication scope.
-    #[error("class {class}: group is missing")]
+    #[error("class {class}: group is required with an idempotency key")]
     MissingScope {
         /// The name of the class.
         class: String,
     },
 }
 
-/// Settings with the names that requests use, and what only the network code needs.
+/// Parsed settings: those of the gateway, the names behind its ids, and the timeouts that only the
+/// network code uses.
 #[derive(Clone, Debug)]
 pub struct ResolvedSettings {
-    /// What the gateway is configured with.
+    /// Settings of the gateway, not validated yet.
     pub settings: Settings,
     /// Names of the classes, in the order of their ids.
     pub class_names: Vec<String>,
@@ -46,20 +47,22 @@
     pub plan_names: Vec<String>,
     /// Names of the zones, in the order of their ids.
     pub zone_names: Vec<String>,
-    /// The longest time that a client of any class waits.
+    /// The longest time that a client of any class waits for its answer; zero if no class has a
+    /// deadline.
     pub longest_deadline: Duration,
-    /// Time after which nothing new may go to a server that was reported as draining.
+    /// Time after which no new request may be sent to a server that was reported as draining.
     pub drain_grace: Duration,
     /// Time after which a server closes an idle connection.
     pub connection_idle_timeout: Duration,
-    /// Time after which a connection that has not come up never will.
+    /// Time after which an attempt to establish a connection is given up.
     pub connect_timeout: Duration,
 }
 
-/// Parses settings from their JSON text. They are not validated yet: see [`Settings::validate`].
+/// Parses settings from their JSON text, without validating them: see [`Settings::validate`].
 ///
 /// # Errors
-/// The text is not the JSON that is expected, or names a zone or scope that it does not define.
+/// Returns an error if the JSON is malformed, if the gateway's zone is not listed, or if a class
+/// with an idempotency key has no deduplication scope.
 pub fn parse(text: &str) -> Result<ResolvedSettings, ParseError> {
     let json: JsonSettings = serde_json::from_str(text)?;
     let zone = json.zone_id()?;
@@ -92,8 +95,8 @@
     })
 }
 
-/// The zone of this name: zones are numbered in the order in which the settings name them. `None`
-/// if they don't.
+/// Returns the zone of a name, or `None` if it is not on the list. Zones are numbered in the order
+/// of the list.
 #[must_use]
 pub fn zone_by_name(zone_names: &[String], name: &str) -> Option<ZoneId> {
     let mut numbered = (0..).zip(zone_names);
@@ -127,16 +130,16 @@
 }
 
 impl JsonSettings {
-    /// The longest deadline of any class; zero if none has one.
+    /// Returns the longest deadline of any class; zero if no class has a deadline.
     fn longest_deadline(&self) -> Duration {
         let deadlines = self.classes.iter().map(|class| class.deadline_us);
         Duration::from_micros(deadlines.max().unwrap_or_default())
     }
 
-    /// This gateway's zone, by its place among the zones.
+    /// Returns the number of this gateway's zone: its index in the list of zones.
     fn zone_id(&self) -> Result<ZoneId, ParseError> {
         if self.zones.is_empty() {
-            // Without zones every server is in the same one.
+            // Without a list of zones all servers are in one zone.
             return Ok(ZoneId(0));
         }
         zone_by_name(&self.zones, &self.zone).ok_or(ParseError::UnknownZone)
@@ -227,7 +230,7 @@
     rate: f64,
     #[serde(rename = "storeSize")]
     burst: f64,
-    /// 0 for no limit.
+    /// 0 stands for no limit.
     #[serde(default, rename = "atOnce")]
     max_concurrent: u32,
     #[serde(rename = "price")]
@@ -236,7 +239,7 @@
     over_quota_weight: f64,
     #[serde(default, rename = "overrunCost")]
     over_quota_cost: f64,
-    /// 0 for no hard limit.
+    /// 0 stands for no hard limit.
     #[serde(default, rename = "capRate")]
     hard_limit_rate: f64,
     #[serde(default, rename = "neverOverDepth")]
--- a/crates/gateway-core/src/settings/validate.rs
+++ b/crates/gateway-core/src/settings/validate.rs
@@ -1,4 +1,4 @@
-//! Rejects settings that contradict each other or hold invalid numbers.
+//! Validation: rejects settings that are incomplete, contradictory, or hold invalid numbers.
 
 use super::Settings;
 use thiserror::Error;
@@ -6,17 +6,17 @@
 /// Why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// There is no class.
-    #[error("settings name no class")]
+    /// [`Settings::classes`] is empty.
+    #[error("at least one class is required")]
     NoClasses,
-    /// There is no plan.
-    #[error("settings name no plan")]
+    /// [`Settings::plans`] is empty.
+    #[error("at least one plan is required")]
     NoPlans,
-    /// There is no gateway, or this one's number is too large.
-    #[error("this gateway's number is not among the gateways")]
+    /// [`Settings::gateway_id`] is not below [`Settings::gateway_count`].
+    #[error("the number of this gateway must be less than the number of gateways")]
     UnknownGateway,
     /// A number is negative or not finite.
-    #[error("settings hold a figure that is negative or no number")]
+    #[error("numbers must be finite and not negative")]
     InvalidNumber,
 }
 
@@ -25,7 +25,7 @@
     /// all numbers are valid.
     ///
     /// # Errors
-    /// The first thing that is wrong with them.
+    /// Returns the error of the first check that fails.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    /// Every number that must be finite and not negative.
+    /// Returns every number that must be finite and not negative.
     fn numbers(&self) -> Vec<f64> {
         let mut numbers = vec![
             self.rules.warm_up_from,
--- a/crates/gateway-core/tests/unit/settings.rs
+++ b/crates/gateway-core/tests/unit/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as they are parsed from their text.
+//! Tests of the parser of JSON settings.
 
 use super::*;
 
@@ -11,7 +11,7 @@
 }"#;
 
 #[test]
-fn zones_are_optional_and_the_own_one_must_be_listed() {
+fn accepts_settings_without_zones_and_rejects_unlisted_zone() {
     let resolved = parse(SETTINGS).expect("valid settings");
     assert!(
         resolved.zone_names.is_empty() && resolved.settings.permissions.max_retry_after.is_none()
@@ -19,5 +19,8 @@
     let with_zones = |zones: &str| SETTINGS.replacen('{', &format!("{{{zones},"), 1);
     assert!(parse(&with_zones(r#""zones":["a"],"zone":"a""#)).is_ok());
     let unlisted = with_zones(r#""zones":["a"],"zone":"b""#);
-    assert!(parse(&unlisted).is_err(), "a zone that is not listed");
+    assert!(
+        parse(&unlisted).is_err(),
+        "accepted a zone that is not listed"
+    );
 }
--- a/crates/simulator-adapter/tests/unit/line.rs
+++ b/crates/simulator-adapter/tests/unit/line.rs
@@ -111,11 +111,11 @@
         ),
         (
             line.error(LineErrorKind::InvalidSettings(SettingsError::NoPlans)),
-            "line 7: hello: field setup: settings name no plan",
+            "line 7: hello: field setup: at least one plan is required",
         ),
         (
             line.error(LineErrorKind::UnparsableSettings(ParseError::UnknownZone)),
-            "line 7: hello: field setup: zone is not among zones",
+            "line 7: hello: field setup: zone is not listed in zones",
         ),
         (
             line.invalid("kind"),
