--- a/crates/gateway-core/src/action.rs
+++ b/crates/gateway-core/src/action.rs
@@ -1,11 +1,11 @@
-//! Actions: everything that a gateway asks the embedding program to do.
+//! Actions: what a gateway asks the embedding program to do.
 
 use crate::types::{AttemptNumber, GatewayId, RequestId, ServerId};
 use crate::warning::Warning;
 use std::time::Duration;
 
-/// Something to be done; the output of [`Gateway::handle`](crate::Gateway::handle), to be carried
-/// out in order.
+/// An output of [`Gateway::handle`](crate::Gateway::handle). The embedding program carries out all
+/// actions in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Forward a request to a server. The attempts of a request are numbered from 0 in the order of
@@ -13,26 +13,26 @@
     SendAttempt {
         /// The request.
         id: RequestId,
-        /// The server to forward it to.
+        /// The server to forward the request to.
         server: ServerId,
-        /// How long to wait for the answer; `None` for as long as the client waits.
+        /// How long to wait for the answer; `None` to wait for as long as the client does.
         timeout: Option<Duration>,
     },
-    /// Give the client its final answer: rejected. The client may safely retry the request.
+    /// Answer the client that the request is rejected. The client may safely retry it.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should wait before it retries (`Retry-After`); `None` to leave that
-        /// to the client.
+        /// How long the client should wait before it retries (`Retry-After`); `None` to let the
+        /// client choose.
         retry_after: Option<Duration>,
     },
-    /// Give the client its final answer: failed. The request may have been executed.
+    /// Answer the client that the request has failed. It may have been executed.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Stop waiting for the answer to an attempt. That it has ended is still to be reported with an
-    /// [`Event::AttemptFinished`](crate::Event::AttemptFinished).
+    /// Stop waiting for the answer to an attempt. The end of the attempt still has to be reported
+    /// with an [`Event::AttemptFinished`](crate::Event::AttemptFinished).
     CancelAttempt {
         /// The request.
         id: RequestId,
@@ -46,21 +46,21 @@
     },
     /// Send a message to one other gateway.
     SendToPeer {
-        /// The gateway to send it to.
+        /// The gateway to send the message to.
         to: GatewayId,
         /// The encoded message, of at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Report an [`Event::TimerFired`](crate::Event::TimerFired) after a delay. A timer that was
-    /// set before may fire as well.
+    /// Report an [`Event::TimerFired`](crate::Event::TimerFired) after a delay. Timers that were set
+    /// earlier need not be cancelled.
     SetTimer {
-        /// The delay.
+        /// Time until the timer fires.
         after: Duration,
-        /// To be returned with the event. It is always 0: a timer that was replaced is recognised by
-        /// its time.
+        /// Value to return with the event. It is always 0, because the gateway recognises a replaced
+        /// timer by the time at which it fires.
         token: u64,
     },
-    /// Start to watch the endpoint list, and report it with an
+    /// Start to watch the endpoint list, and report the list and its changes with
     /// [`Event::EndpointsUpdated`](crate::Event::EndpointsUpdated).
     WatchEndpoints,
     /// Log a warning for operators.
--- a/crates/gateway-core/src/event.rs
+++ b/crates/gateway-core/src/event.rs
@@ -1,4 +1,4 @@
-//! Events: everything that a gateway is notified of by the embedding program.
+//! Events: what the embedding program reports to a gateway.
 
 use crate::types::{
     AttemptNumber, AttemptOutcome, ClassId, CustomerId, Endpoint, EndpointUpdate, GatewayId,
@@ -7,12 +7,12 @@
 use crate::units::Units;
 use std::time::Duration;
 
-/// Something that has happened; the input of [`Gateway::handle`](crate::Gateway::handle).
+/// An input of [`Gateway::handle`](crate::Gateway::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list has changed.
     EndpointsUpdated {
-        /// Whether `endpoints` is the complete list or only what has changed.
+        /// Whether `endpoints` is the complete list or only its changes.
         kind: EndpointUpdate,
         /// The endpoints, in the order in which discovery reported them.
         endpoints: Vec<Endpoint>,
@@ -22,29 +22,29 @@
     WatchFailed,
     /// A client's request has arrived.
     RequestReceived {
-        /// Its id, which must not be used for any other request.
+        /// Id of the request, which must not be used for any other request.
         id: RequestId,
-        /// Its class. A request of an unknown class fails.
+        /// Class of the request. A request of an unknown class fails.
         class: ClassId,
-        /// The plan of its customer. A request of an unknown plan fails.
+        /// Plan of the customer. A request of an unknown plan fails.
         plan: PlanId,
-        /// Its customer, whose quota it consumes.
+        /// The customer whose quota the request consumes.
         customer: CustomerId,
-        /// Quota units that it consumes; a negative number counts as 0.
+        /// Quota units that the request consumes; a negative number counts as 0.
         units: Units,
         /// The gateways that receive the customer's requests.
         gateways: GatewaySet,
-        /// How long the client waits for its answer, from the time of this event on.
+        /// How long the client waits for its answer, counted from the time of this event.
         client_timeout: Duration,
     },
-    /// The server has begun to stream its answer to the client. From now on the attempt has no
+    /// The server has begun to stream its answer to the client. From then on the attempt has no
     /// deadline, and the gateway does not cancel it.
     StreamStarted {
         /// The request.
         id: RequestId,
     },
     /// An attempt has ended. Each [`Action::SendAttempt`](crate::Action::SendAttempt) is followed
-    /// by exactly one such event, also if the attempt was cancelled.
+    /// by exactly one such event, even if the attempt was cancelled.
     AttemptFinished {
         /// The request of the attempt.
         id: RequestId,
@@ -52,9 +52,9 @@
         attempt: AttemptNumber,
         /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// Whether the request is closed, because its client has received the final answer.
+        /// Whether the client has received the final answer, which closes the request.
         closed: bool,
-        /// Requests in flight at the server, if its answer contained a load report.
+        /// Number of requests in flight at the server; `None` if its answer had no load report.
         reported_load: Option<f64>,
     },
     /// The client no longer waits for an answer to this request.
@@ -64,14 +64,14 @@
     },
     /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) has fired.
     TimerFired {
-        /// The token that was given in that action.
+        /// The token of that action.
         token: u64,
     },
     /// A message from another gateway has arrived.
     PeerMessage {
         /// The gateway that sent it.
         from: GatewayId,
-        /// The encoded message. It may be delayed, duplicated or malformed.
+        /// The encoded message, which may have been delayed or duplicated, and may be malformed.
         bytes: Vec<u8>,
     },
 }
--- a/crates/gateway-core/src/fuzzy_inference.rs
+++ b/crates/gateway-core/src/fuzzy_inference.rs
@@ -1,23 +1,23 @@
-//! Fuzzy inference over a rule base with two inputs of seven levels each. The rules are the
-//! caller's.
+//! Fuzzy inference over a rule base of the caller, with two inputs of seven levels each.
 
-/// The outermost level; levels run from its negative (negative large) to itself (positive large).
+/// The largest level (positive large). Levels run from -3 (negative large) to 3.
 const OUTERMOST_LEVEL: i32 = 3;
-/// Levels of an input.
+/// Number of levels of an input.
 const LEVEL_COUNT: usize = 7;
 
-/// A rule base: gives the level of the output for a level of the error and a level of its change.
+/// A rule base: returns the output level for an error level and an error-change level.
 pub(crate) type RuleBase = fn(i32, i32) -> i32;
 
-/// The degree of membership of an input in each level, from 0 to 1, by triangular functions that
-/// cross at one half. An input of 1 belongs to the outermost level; larger inputs count as 1.
+/// Returns the degree of membership of an input in each level, from 0 to 1, by triangular
+/// functions that intersect at one half. An input of 1 belongs to the largest level; inputs are
+/// clamped to the range from -1 to 1.
 fn fuzzify(input: f64) -> [f64; LEVEL_COUNT] {
     let outermost = f64::from(OUTERMOST_LEVEL);
     let position = input.clamp(-1.0, 1.0) * outermost;
     std::array::from_fn(|index| (1.0 - (position - (index as f64 - outermost)).abs()).max(0.0))
 }
 
-/// Infers the output of a rule base by centre-average defuzzification: the mean of the output
+/// Returns the output of a rule base by centre-average defuzzification: the mean of the output
 /// levels of all rules, each weighted by the smaller degree of membership of its two premises. The
 /// result is scaled so that `largest_level` becomes 1.
 pub(crate) fn infer(rules: RuleBase, error: f64, error_change: f64, largest_level: i32) -> f64 {
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of an edge node, a gateway between clients and a fleet of servers: which requests
-//! are admitted, to which server each attempt is sent, what is retried and what is rejected.
+//! The decision logic of an edge node, a gateway between clients and a fleet of servers: which
+//! requests are admitted, to which server each attempt is sent, and which requests are retried or
+//! rejected.
 //!
-//! The library does no input or output and reads no clock. The embedding program passes each
-//! [`Event`] with its [`Timestamp`] to [`Gateway::handle`], and carries out the [`Action`]s that it
-//! returns.
+//! The library does no I/O and reads no clock. The embedding program passes each [`Event`] with its
+//! [`Timestamp`] to [`Gateway::handle`], and carries out the [`Action`]s that the call returns.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/gateway-core/src/load_report.rs
+++ b/crates/gateway-core/src/load_report.rs
@@ -1,13 +1,14 @@
-//! Load reports: how many requests a server has in flight, as it says in a header of its responses.
+//! Parser of load reports: the response header in which a server states how many requests it has
+//! in flight.
 
-/// The field of a report that holds the number of requests in flight.
+/// Field of a report that holds the number of requests in flight.
 const IN_FLIGHT_FIELD: &str = "concurrent";
-/// Maximum number of requests in flight that is believed: a report of more is malformed.
+/// Largest valid number of requests in flight; a report of a larger number is malformed.
 const MAX_IN_FLIGHT: f64 = 1e6;
 
-/// The number of requests in flight in a report: names and values, separated by commas, with
-/// `assignment` between a name and its value. `None` if the report does not have it, or has it
-/// malformed.
+/// Returns the number of requests in flight that a load report states, or `None` if that field is
+/// missing or malformed. Fields are separated by commas, and `assignment` separates the name of a
+/// field from its value.
 #[must_use]
 pub fn parse_in_flight(report: &str, assignment: char) -> Option<f64> {
     let mut fields = report
--- a/crates/gateway-core/src/message/decode.rs
+++ b/crates/gateway-core/src/message/decode.rs
@@ -1,10 +1,10 @@
-//! Decoding. What comes from the network may be malformed: nothing here panics.
+//! Decoder of messages. It never panics, because bytes from the network may be malformed.
 
 use super::layout::*;
 use super::*;
 use crate::types::GatewayId;
 
-/// Decodes a message; `None` for one that is empty, cut short, too long, of another version or
+/// Decodes a message; returns `None` if it is empty, truncated, too long, of another version or
 /// malformed.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Message> {
     if bytes.len() > MAX_MESSAGE_BYTES {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Reads from the front of a message.
+/// Reads values from the front of a message, and holds the rest.
 struct Reader<'a>(&'a [u8]);
 
 impl Reader<'_> {
@@ -37,7 +37,7 @@
         self.0.is_empty()
     }
 
-    /// A little-endian number of up to eight bytes.
+    /// Reads a little-endian number of `size` bytes, at most 8.
     fn number(&mut self, size: usize) -> Option<u64> {
         let (taken, rest) = self.0.split_at_checked(size)?;
         self.0 = rest;
@@ -84,7 +84,7 @@
         })
     }
 
-    // The fields of a struct are read in the order in which they are written here.
+    // Struct fields are evaluated in the order written, which must be that of the layout.
     fn lease_request(&mut self) -> Option<LeaseRequest> {
         let sequence = self.u16()?;
         let customer = self.customer()?;
@@ -154,7 +154,7 @@
         })
     }
 
-    /// `None` at the end of the message, `Some(None)` for an unknown ratio.
+    /// Reads a latency ratio: `None` at the end of the message, `Some(None)` for an unknown ratio.
     fn latency_ratio(&mut self) -> Option<Option<f64>> {
         let byte = self.byte()?;
         let is_known = byte != UNKNOWN;
--- a/crates/gateway-core/src/message/encode.rs
+++ b/crates/gateway-core/src/message/encode.rs
@@ -1,4 +1,5 @@
-//! Encoding: little-endian numbers, one after the other. What does not fit is left out.
+//! Encoder of messages. Numbers are little-endian. Usage counts, classes and health reports that do
+//! not fit into a message are left out; measured values and units out of range are clamped.
 
 use super::layout::*;
 use super::*;
@@ -71,7 +72,7 @@
             _ => UNKNOWN,
         });
     }
-    // A class that a report can't name would be decoded as another one.
+    // The class of a health report has 3 bits: a larger number would be decoded as another class.
     for report in digest
         .reports
         .iter()
@@ -102,7 +103,7 @@
     ((units.as_f64() * FRACTION_STEPS).round() as u16).to_le_bytes()
 }
 
-/// Rounded down: no more is announced than was granted.
+/// Encodes leased units, rounded down so that the recipient does not use more than was granted.
 fn leased_units_bytes(units: Units) -> [u8; 2] {
     ((units.as_f64() * FRACTION_STEPS).floor() as u16).to_le_bytes()
 }
@@ -111,7 +112,7 @@
     value.round().clamp(0.0, f64::from(u8::MAX)) as u8
 }
 
-/// A value that must not look like an unknown one.
+/// Encodes a known value, clamped below [`UNKNOWN`].
 fn known_byte(value: f64) -> u8 {
     rounded_byte(value).min(UNKNOWN - 1)
 }
--- a/crates/gateway-core/src/message/mod.rs
+++ b/crates/gateway-core/src/message/mod.rs
@@ -1,7 +1,7 @@
-//! Messages between gateways: their types, and their layout in at most 256 bytes.
+//! Messages between gateways: their types, and their encoding in at most 256 bytes.
 //!
-//! The layout is written by hand: gateways of two releases exchange messages, so it must not follow
-//! the types as a serde codec's would.
+//! The codec is written by hand, because gateways of two releases exchange messages: the layout
+//! must not change with the types, as that of a serde codec would.
 
 mod decode;
 mod encode;
@@ -16,127 +16,128 @@
 use crate::units::Units;
 use std::time::Duration;
 
-/// The short name of a server in health reports. Two servers may share one.
+/// Id of a server in health reports: a 16-bit hash, which two servers may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ShortServerId(pub(crate) u16);
 
-/// The short name of a server.
+/// Returns the id of a server in health reports.
 pub(crate) fn short_id(server: ServerId) -> ShortServerId {
     ShortServerId((fibonacci_hash(server.0) >> 48) as u16)
 }
 
-/// A server as the sender sees it for one class.
+/// The sender's observations of one server for one class.
 pub(crate) struct HealthReport {
-    /// The server.
+    /// Short id of the server.
     pub(crate) server: ShortServerId,
-    /// The class of requests.
+    /// Class of requests.
     pub(crate) class: ClassId,
-    /// Fraction of attempts that fail, 0 to 1.
+    /// Fraction of attempts that fail, from 0 to 1.
     pub(crate) failure_rate: f64,
     /// Expected latency per concurrent request, in µs; 0 while unknown.
     pub(crate) latency_us: f64,
-    /// Requests that it has in flight, if that is known.
+    /// Number of requests in flight at the server; `None` while unknown.
     pub(crate) load: Option<f64>,
-    /// Time since it was observed.
+    /// Time since the observation.
     pub(crate) age: Duration,
 }
 
-/// How the fleet is doing as the sender sees it; appended to lease requests and responses.
+/// The sender's view of the fleet, attached to lease requests and lease responses.
 #[derive(Default)]
 pub(crate) struct GossipDigest {
-    /// Answers a second at one gateway.
+    /// Answers per second at one gateway.
     pub(crate) throughput: f64,
-    /// By class: mean latency relative to the latency objective; `None` while unknown.
+    /// Latency ratio of each class: mean latency relative to the latency objective; `None` while
+    /// unknown.
     pub(crate) latency_ratios: Vec<Option<f64>>,
-    /// Reports on servers.
+    /// Health reports on servers.
     pub(crate) reports: Vec<HealthReport>,
 }
 
-/// Units by which a usage count rises in one step, so that fractions of units are counted too.
+/// Units that one step of a usage count stands for; small enough to count fractions of units.
 const USAGE_STEP: Units = Units::new(1.0 / 8.0);
 
-/// The running count that stands for so many forwarded units; it wraps round.
+/// Returns the usage count for this many forwarded units. It wraps around at 2^16 steps.
 pub(crate) fn usage_count_of(forwarded: Units) -> u16 {
     (forwarded.as_f64() / USAGE_STEP.as_f64()).round() as u64 as u16
 }
 
-/// The units that a usage count rose by in so many steps.
+/// Returns the units that this many steps of a usage count stand for.
 pub(crate) fn units_of_usage_steps(steps: u16) -> Units {
     Units::new(f64::from(steps) * USAGE_STEP.as_f64())
 }
 
-/// A customer's usage: the sender's running count of units, in steps on which sender and recipient
-/// agree.
+/// The usage of one customer: the units that the sender has forwarded, as a running count of steps
+/// of [`USAGE_STEP`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct UsageCount {
-    /// The customer.
+    /// Id of the customer.
     pub(crate) customer: CustomerId,
-    /// The running count; it wraps round.
+    /// Running count of steps, which wraps around.
     pub(crate) count: u16,
 }
 
-/// Usage counts, broadcast to all peers; also without any, as a heartbeat.
+/// Usage counts that are broadcast to all peers. A message without counts is a heartbeat.
 pub(crate) struct UsageCounts {
-    /// When the sender started, in ms.
+    /// Start time of the sender, in milliseconds modulo 2^32.
     pub(crate) incarnation: u32,
-    /// The customers whose usage rose recently.
+    /// Counts of the customers whose usage rose recently.
     pub(crate) counts: Vec<UsageCount>,
 }
 
-/// What remains of an ended lease, by the lease request that it was granted under.
+/// The unused rest of an ended lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ReturnedLease {
-    /// Sequence number of that lease request.
+    /// Sequence number of the lease request under which the lease was granted.
     pub(crate) sequence: u16,
-    /// Units that were not used.
+    /// Units of the lease that were not used.
     pub(crate) units: Units,
 }
 
-/// A request that asks one of its customer's quota owners for its units, and for a lease beyond
-/// them.
+/// Asks one of a customer's quota owners to decide on one request of the customer, and to grant a
+/// lease on further units.
 pub(crate) struct LeaseRequest {
-    /// Sequence number, for the response.
+    /// Sequence number, which the response repeats.
     pub(crate) sequence: u16,
-    /// The customer.
+    /// Id of the customer.
     pub(crate) customer: CustomerId,
-    /// The customer's plan.
+    /// Plan of the customer.
     pub(crate) plan: PlanId,
-    /// The gateways that the customer's requests come through.
+    /// The gateways that receive the customer's requests.
     pub(crate) gateways: GatewaySet,
-    /// Index of the owner that is asked among the customer's owners.
+    /// Index of the addressed owner among the customer's owners.
     pub(crate) owner_index: u32,
-    /// Units of the request that asks.
+    /// Units of the customer's request.
     pub(crate) units: Units,
-    /// Units that the sender is likely to use beyond this request's within a lease's lifetime.
+    /// Further units that the sender is likely to use within the lifetime of a lease.
     pub(crate) requested_units: Units,
-    /// The rest of the sender's last lease.
+    /// Unused rest of the sender's last lease.
     pub(crate) returned: ReturnedLease,
 }
 
-/// An owner's decision on a request's own units.
+/// An owner's decision on the request for which the lease request was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseDecision {
     /// The request may be sent.
     Granted,
-    /// Units, permits or the hard limit do not allow it.
+    /// Units, concurrency permits or the hard limit do not allow the request.
     QuotaExceeded,
 }
 
 /// An owner's response to one lease request.
 #[derive(Clone, Copy)]
 pub(crate) struct LeaseResponse {
-    /// The sequence number of the lease request.
+    /// Sequence number of the lease request.
     pub(crate) sequence: u16,
-    /// What the owner decided.
+    /// Decision on the request for which the lease request was sent.
     pub(crate) decision: LeaseDecision,
-    /// Probability with which the customer's requests may ask.
+    /// Probability with which a request of the customer may request a lease.
     pub(crate) lease_request_probability: f64,
-    /// Units that the sender of the lease request may use beyond the request's own.
+    /// Further units that the sender of the lease request may use.
     pub(crate) leased_units: Units,
 }
 
 impl LeaseResponse {
-    /// A rejection that lets the customer's requests go on asking.
+    /// Returns a rejection that does not throttle further lease requests of the customer.
     pub(crate) const fn rejected(sequence: u16) -> Self {
         LeaseResponse {
             sequence,
@@ -150,21 +151,21 @@
 /// Releases the concurrency permit that was granted under a lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PermitRelease {
-    /// Sequence number of that lease request.
+    /// Sequence number of the lease request.
     pub(crate) sequence: u16,
-    /// The customer.
+    /// Id of the customer.
     pub(crate) customer: CustomerId,
 }
 
 /// A message between two gateways.
 pub(crate) enum Message {
-    /// What the sender has forwarded.
+    /// States what the sender has forwarded.
     UsageCounts(UsageCounts),
-    /// Asks a quota owner.
+    /// Requests a lease from a quota owner.
     LeaseRequest(LeaseRequest, GossipDigest),
     /// Responds to a lease request.
     LeaseResponse(LeaseResponse, GossipDigest),
-    /// Returns a concurrency permit.
+    /// Releases a concurrency permit.
     PermitRelease(PermitRelease),
 }
 
--- a/crates/gateway-core/src/reconnect.rs
+++ b/crates/gateway-core/src/reconnect.rs
@@ -1,86 +1,87 @@
-//! When a watch on discovery is given up and opened again: a policy without sockets or a clock. Its
-//! inputs are what happened on the open watch, and when; its outputs are the deadline of that watch
-//! and the time of the next attempt.
+//! Reconnect policy: when a watch on discovery is given up, and when the next watch is opened. The
+//! policy has no sockets and no clock. Its inputs are the events on the open watch and their times;
+//! its outputs are the deadline of that watch and the time of the next attempt to open one.
 //!
-//! 1. A watch that brings no answer within the answer timeout, no first list within the silence
-//!    timeout, or nothing at all for the silence timeout, is given up
+//! 1. A watch is given up if it brings no answer within the answer timeout, no first list within
+//!    the silence timeout, or nothing at all for the silence timeout
 //!    ([`ReconnectPolicy::deadline`]).
-//! 2. The next watch is opened after an exponential backoff with jitter, which grows longer after a
-//!    rejection than after a lost connection ([`ReconnectPolicy::attempt_failed`]).
-//! 3. The backoff begins anew after a watch that was stable ([`ReconnectPolicy::was_stable`]), and
-//!    when discovery has another address ([`ReconnectPolicy::address_changed`]).
+//! 2. The next watch is opened after an exponential backoff with jitter. The backoff grows longer
+//!    after rejections than after lost connections ([`ReconnectPolicy::attempt_failed`]).
+//! 3. The backoff is reset after a stable watch ([`ReconnectPolicy::was_stable`]), and when the
+//!    address of discovery changes ([`ReconnectPolicy::address_changed`]).
 //!
-//! The platform holds a gateway to a change 6 s after discovery had it and could be reached,
-//! whatever failed in between; where lists are pushed, immediately. All timeouts and backoffs are
-//! therefore fractions of the drain grace, and each has an upper bound that holds however long the
-//! drain grace is.
+//! The platform requires a gateway to act on a change 6 s after discovery knows it and can be
+//! reached, whatever has failed in between; where lists are pushed, immediately. All timeouts and
+//! backoffs are therefore fractions of the drain grace, and each has an upper bound for deployments
+//! with a long drain grace.
 
 use std::time::Duration;
 
-/// Longest silence on a watch before it is given up; discovery sends a heartbeat every 2 s. It
-/// bounds the time to the first list, too, because a watch on which only heartbeats arrive hides
-/// drains.
+/// Longest silence on a watch before it is given up. Discovery sends a heartbeat every 2 s. This
+/// timeout bounds the wait for the first list too, because drains stay unknown on a watch that
+/// receives only heartbeats.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Upper bound of the answer timeout, for settings with a long drain grace.
 const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Upper bound of every backoff, which is that after a rejection. An overloaded discovery continues
-/// to reject watches while they are opened faster than it can serve them.
+/// Upper bound of every backoff, reached after rejections: an overloaded discovery rejects watches
+/// for as long as they are opened faster than it can serve them.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 /// Upper bound of the first backoff.
 const MAX_INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// A watch that lasted for longer than this was stable: its end is a new failure, not the same one
-/// again.
+/// A watch that lasted longer than this was stable: its end is a new failure, and not the previous
+/// failure repeated.
 const STABLE_AFTER: Duration = MAX_BACKOFF;
 /// Upper bound of the wait for the first list, because a restarted edge node has to be ready soon.
 const MAX_FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The drain grace is this many answer timeouts.
+/// Number of answer timeouts in the drain grace.
 const ANSWER_TIMEOUTS_PER_GRACE: u32 = 4;
-/// The drain grace is this many initial backoffs.
+/// Number of initial backoffs in the drain grace.
 const INITIAL_BACKOFFS_PER_GRACE: u32 = 40;
-/// The drain grace is this many of the longest backoffs after a lost connection.
+/// Number of longest backoffs after a lost connection in the drain grace.
 const LONGEST_BACKOFFS_PER_GRACE: u32 = 16;
-/// The drain grace is this many waits for the first list.
+/// Number of first-list timeouts in the drain grace.
 const FIRST_LIST_TIMEOUTS_PER_GRACE: u32 = 2;
 
-/// The smallest factor by which jitter multiplies a backoff; the largest is greater by one.
+/// Smallest factor by which jitter multiplies a backoff; the largest factor is greater by 1.
 const MIN_JITTER_FACTOR: f64 = 0.5;
 
-/// How long a starting edge node waits for its first list, by the drain grace.
+/// Returns how long a starting edge node waits for its first list.
 #[must_use]
 pub fn first_list_timeout(drain_grace: Duration) -> Duration {
     (drain_grace / FIRST_LIST_TIMEOUTS_PER_GRACE).min(MAX_FIRST_LIST_TIMEOUT)
 }
 
-/// What has arrived on the open watch.
+/// An event on the open watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// A sign of life that is no list.
+    /// Discovery sent a message other than a list.
     Heartbeat,
-    /// A part of a list whose end has not arrived.
+    /// A part of a list has arrived, but not its end.
     PartialList,
-    /// A whole list that could be read.
+    /// The end of a list has arrived, and the list is valid.
     List,
 }
 
 /// Why a watch has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchFailure {
-    /// It could not be opened, broke, ended, or was given up as silent.
+    /// The connection could not be established, was lost or closed, or the deadline of the watch
+    /// passed.
     ConnectionLost,
-    /// Discovery serves, but rejected the watch or sent what can't be read; the backoff grows
+    /// Discovery responds, but rejected the watch or sent a malformed response. The backoff grows
     /// longer than after a lost connection.
     Rejected,
 }
 
-/// Backoffs of an exponential backoff, before jitter.
+/// State of an exponential backoff, before jitter.
 #[derive(Clone, Debug)]
 struct Backoff {
-    /// The first one.
+    /// Backoff after the first failure.
     initial: Duration,
-    /// The longest one after a lost connection.
+    /// Longest backoff after a lost connection.
     longest_after_loss: Duration,
-    /// The next one.
+    /// Backoff after the next failure, unless the longest backoff for that failure is shorter.
     next: Duration,
 }
 
@@ -98,7 +99,8 @@
         self.next = self.initial;
     }
 
-    /// The backoff after this failure; the next one is twice as long, up to the longest.
+    /// Returns the backoff after a failure, and doubles the next backoff up to the longest backoff
+    /// for this failure.
     fn advance(&mut self, failure: WatchFailure) -> Duration {
         let longest = match failure {
             WatchFailure::ConnectionLost => self.longest_after_loss,
@@ -110,27 +112,28 @@
     }
 }
 
-/// Decides when watches, one after the other, are given up and opened. Times are durations since a
-/// fixed moment, which the caller chooses, on a monotonic clock.
+/// Decides when the open watch is given up and when the next watch is opened. Times are durations
+/// on a monotonic clock since a fixed instant that the caller chooses.
 #[derive(Clone, Debug)]
 pub struct ReconnectPolicy {
-    /// Longest wait for an answer, and for the rest of a list that has begun. A healthy agent
-    /// answers immediately.
+    /// Longest wait for an answer, and for the end of a list after its first part. A healthy
+    /// discovery agent answers immediately.
     answer_timeout: Duration,
     backoff: Backoff,
-    /// When the open watch was begun.
+    /// When the attempt to open the current watch started.
     attempt_started_at: Duration,
-    /// The open watch has brought a list.
+    /// Whether a list has arrived on the open watch.
     list_received: bool,
-    /// A list has begun on the open watch whose end has not arrived.
+    /// Whether a part of a list, but not its end, has arrived on the open watch.
     list_is_partial: bool,
     /// When the open watch is given up.
     deadline: Duration,
 }
 
 impl ReconnectPolicy {
-    /// The policy for a drain grace: the answer timeout and the longest backoff with the read after
-    /// it fill less than half of that, or their upper bounds if these are shorter.
+    /// Returns the policy for a drain grace. The answer timeout, the longest backoff after a lost
+    /// connection and the read of the list after it together take less than half of the drain
+    /// grace. The timeout and the backoff are shorter where their upper bounds are.
     #[must_use]
     pub fn new(drain_grace: Duration) -> ReconnectPolicy {
         ReconnectPolicy {
@@ -143,8 +146,8 @@
         }
     }
 
-    /// A watch is being opened: the first one, the next one when its time has come, or one to a new
-    /// address at once.
+    /// Records that a watch is being opened: the first watch, the next watch after its backoff, or
+    /// immediately a watch at a new address.
     pub fn attempt_started(&mut self, now: Duration) {
         self.attempt_started_at = now;
         self.deadline = now + self.answer_timeout;
@@ -152,17 +155,17 @@
         self.list_is_partial = false;
     }
 
-    /// Discovery has another address: backoffs begin anew.
+    /// Records that the address of discovery has changed, which resets the backoff.
     pub fn address_changed(&mut self) {
         self.backoff.reset();
     }
 
-    /// Something has arrived on the open watch, which may move its deadline.
+    /// Records an event on the open watch, which may move the deadline.
     pub fn event_received(&mut self, now: Duration, event: WatchEvent) {
         match event {
             WatchEvent::PartialList => {
-                // A list that arrives byte by byte without end must not keep the watch: only its
-                // beginning counts.
+                // A list that arrives byte by byte without end must not keep the watch open: only
+                // its first part moves the deadline.
                 if self.list_is_partial {
                     return;
                 }
@@ -181,8 +184,8 @@
         }
     }
 
-    /// Until the first list has arrived the deadline stays within the silence timeout of the
-    /// watch's beginning: heartbeats alone must not keep a watch that brings no list.
+    /// Sets the deadline. Before the first list, it is at most the silence timeout after the start
+    /// of the watch: heartbeats must not keep a watch open on which no list arrives.
     fn set_deadline(&mut self, deadline: Duration) {
         self.deadline = if self.list_received {
             deadline
@@ -191,20 +194,21 @@
         };
     }
 
-    /// When the open watch is given up if nothing more arrives.
+    /// Returns when the open watch is given up if nothing more arrives.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         self.deadline
     }
 
-    /// Whether the open watch has lasted for so long that its end is a new failure.
+    /// Returns whether the open watch has lasted so long that its end is a new failure.
     #[must_use]
     pub fn was_stable(&self, now: Duration) -> bool {
         now.saturating_sub(self.attempt_started_at) > STABLE_AFTER
     }
 
-    /// The watch has ended; returns when the next one is opened. `jitter`, from 0 to 1, spreads the
-    /// attempts of all edge nodes, which would otherwise reconnect at the same moment.
+    /// Records that the watch has ended, and returns when the next watch is to be opened. `jitter`,
+    /// from 0 to 1, spreads the attempts of the edge nodes, which would otherwise reconnect at the
+    /// same moment.
     pub fn attempt_failed(
         &mut self,
         now: Duration,
--- a/crates/gateway-core/src/units.rs
+++ b/crates/gateway-core/src/units.rs
@@ -1,55 +1,55 @@
-//! Quota units.
+//! Amounts of quota units.
 
 use std::iter::Sum;
 use std::ops::{Add, AddAssign, Mul, Neg, Sub, SubAssign};
 
-/// An amount of quota units: what a request consumes, and what buckets and leases hold. Negative
-/// amounts are debts.
+/// An amount of quota units, which requests consume and token buckets and leases hold. A negative
+/// amount is a debt.
 ///
-/// Rates (units a second) and fractions are plain numbers; arithmetic is that of the numbers, in
-/// the same order.
+/// Rates (units a second) and fractions are plain `f64` values. Each operator performs the same
+/// single operation on the underlying `f64` values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Units(f64);
 
 impl Units {
-    /// No units.
+    /// An amount of no units.
     pub const ZERO: Units = Units(0.0);
 
-    /// So many units.
+    /// Returns an amount of this many units.
     #[must_use]
     pub const fn new(units: f64) -> Units {
         Units(units)
     }
 
-    /// The number of units.
+    /// Returns the number of units.
     #[must_use]
     pub const fn as_f64(self) -> f64 {
         self.0
     }
 
-    /// The smaller of two amounts.
+    /// Returns the smaller of two amounts.
     #[must_use]
     pub fn min(self, other: Units) -> Units {
         Units(self.0.min(other.0))
     }
 
-    /// The larger of two amounts.
+    /// Returns the larger of two amounts.
     #[must_use]
     pub fn max(self, other: Units) -> Units {
         Units(self.0.max(other.0))
     }
 
-    /// An even part of the units.
+    /// Returns one of `parts` equal parts of the units.
     pub(crate) fn divided_by(self, parts: f64) -> Units {
         Units(self.0 / parts)
     }
 
-    /// Units that come in at a rate of so many units a second.
+    /// Returns the units that are refilled in this many seconds at a constant rate.
     pub(crate) fn refilled(units_per_second: f64, seconds: f64) -> Units {
         Units(units_per_second * seconds)
     }
 
-    /// Seconds until this many units have come in at a rate of so many units a second.
+    /// Returns the seconds in which this many units are refilled at a constant rate.
     pub(crate) fn seconds_to_refill(self, units_per_second: f64) -> f64 {
         self.0 / units_per_second
     }
--- a/crates/gateway-core/src/warning.rs
+++ b/crates/gateway-core/src/warning.rs
@@ -1,23 +1,23 @@
-//! Warnings: what a gateway reports to operators.
+//! Warnings: conditions that a gateway reports to operators.
 
 use crate::types::ServerId;
 use std::fmt;
 
-/// A condition that an operator may want to investigate. Its `Display` form is the text of the log
-/// line.
+/// A condition that an operator may want to investigate. Its `Display` text is the log message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Warning {
-    /// A controlled class misses its latency objective, so attempts of the lowest class are limited
-    /// from now on.
+    /// A controlled class misses its latency objective. From then on, attempts of the lowest class
+    /// are subject to the in-flight limit.
     ObjectiveMissed {
-        /// The largest mean latency of a controlled class, relative to its latency objective.
+        /// The largest latency ratio of the controlled classes: mean latency relative to the
+        /// latency objective.
         latency_ratio: f64,
-        /// Attempts of the lowest class in flight, on average.
+        /// Mean number of attempts of the lowest class in flight, where the limit starts.
         in_flight: f64,
     },
-    /// A server accepts requests and answers none of them, so it is ejected.
+    /// A server accepts requests but answers none of them, so it is ejected.
     ServerStalled {
-        /// The server.
+        /// The ejected server.
         server: ServerId,
     },
 }
