--- a/crates/gateway-core/src/gateway/attempts.rs
+++ b/crates/gateway-core/src/gateway/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts that have ended: what they show of servers, and what becomes of their requests.
+//! Finished attempts: records what each reveals about its server, and retries or answers its
+//! request.
 
 use super::Gateway;
 use crate::policy::retry::{self, RetryDecision};
@@ -8,20 +9,21 @@
 use crate::types::{AttemptOutcome, RejectReason, RequestId};
 use crate::Action;
 
-/// How an attempt ended.
+/// The result of an attempt, as reported by
+/// [`Event::AttemptFinished`](crate::Event::AttemptFinished).
 #[derive(Clone, Copy)]
 pub(super) struct AttemptResult {
-    /// Its outcome.
+    /// How the attempt ended.
     pub(super) outcome: AttemptOutcome,
-    /// Whether its request is closed: the client has its final answer.
+    /// Whether the request is closed because its client has received the final answer.
     pub(super) is_request_closed: bool,
-    /// Requests in flight at the server, if it reported them.
+    /// Requests in flight at the server, if its answer contained a load report.
     pub(super) reported_load: Option<f64>,
 }
 
 impl Gateway {
-    /// An attempt has ended: its result is observed, and its request is removed, retried or
-    /// answered.
+    /// Handles the end of an attempt: observes its result, and removes, retries or answers its
+    /// request.
     pub(super) fn on_attempt_finished(
         &mut self,
         now: Timestamp,
--- a/crates/gateway-core/src/gateway/control_loop.rs
+++ b/crates/gateway-core/src/gateway/control_loop.rs
@@ -1,5 +1,5 @@
-//! The control loop: takes samples of latency between control ticks, and at each tick lets the
-//! fuzzy controller move the in-flight limit.
+//! The control loop: collects latency samples between control ticks, and at each tick lets the
+//! fuzzy controller adjust the in-flight limit.
 
 use crate::policy::controller_inputs::ControllerInputs;
 use crate::policy::fuzzy_controller::FuzzyController;
@@ -13,16 +13,16 @@
 use crate::types::ClassId;
 use crate::warning::Warning;
 
-/// The fuzzy controller of a gateway, and what it observes.
+/// The fuzzy controller of a gateway and its inputs.
 pub(super) struct ControlLoop {
     controller: FuzzyController,
     inputs: &'static dyn ControllerInputs,
-    /// Latencies since the last control tick.
+    /// Latency ratios of attempts answered since the last control tick, by class.
     latencies: LatencySamples,
 }
 
 impl ControlLoop {
-    /// A control loop without an in-flight limit.
+    /// Creates a control loop that does not limit attempts in flight yet.
     pub(super) fn new(class_count: usize, inputs: &'static dyn ControllerInputs) -> Self {
         ControlLoop {
             controller: FuzzyController::default(),
@@ -31,12 +31,12 @@
         }
     }
 
-    /// The in-flight limit of the lowest class.
+    /// Returns the in-flight limit of the lowest class.
     pub(super) fn in_flight_limit(&mut self) -> &mut InFlightLimit {
         self.controller.limit()
     }
 
-    /// Records the latency of an attempt that was answered now.
+    /// Records the latency ratio of an attempt that was answered at `now`.
     pub(super) fn observe_success(
         &mut self,
         now: Timestamp,
@@ -47,9 +47,9 @@
         self.latencies.of(attempt.class).add(ratio);
     }
 
-    /// Runs a control tick: updates the latency ratios and the means of attempts in flight with
-    /// what was observed, and moves the in-flight limit. Returns a warning if the limit starts and
-    /// operators are to be warned.
+    /// Runs a control tick: updates the latency ratios and the mean numbers of attempts in flight
+    /// with the observations since the last tick, and adjusts the in-flight limit. Returns a
+    /// warning if the limit starts at this tick and operators are to be warned of it.
     pub(super) fn tick(
         &mut self,
         now: Timestamp,
@@ -62,7 +62,7 @@
         self.add_open_requests(now, deployment, requests, &mut samples);
         self.update_latency_ratios(&samples, fleet);
         self.update_in_flight(deployment, attempts, fleet);
-        self.move_in_flight_limit(deployment, fleet)
+        self.adjust_in_flight_limit(deployment, fleet)
     }
 
     fn add_open_requests(
@@ -108,7 +108,7 @@
         fleet.observe_in_flight(lowest, attempts.count(), weight);
     }
 
-    fn move_in_flight_limit(
+    fn adjust_in_flight_limit(
         &mut self,
         deployment: &Deployment,
         fleet: &FleetEstimates,
--- a/crates/gateway-core/src/gateway/control_tick.rs
+++ b/crates/gateway-core/src/gateway/control_tick.rs
@@ -1,5 +1,5 @@
-//! The control tick: the control loop moves the in-flight limit, the estimates of the fleet are
-//! updated, servers that are warming up get their credit, and what has been idle is evicted.
+//! The control tick: adjusts the in-flight limit, updates the estimates of the fleet, grants
+//! slow-start credit to servers in warm-up, and evicts idle customers and servers.
 
 use super::Gateway;
 use crate::policy::quota_sharing::account::PARTITION_SILENCE;
@@ -7,7 +7,7 @@
 use crate::Action;
 
 impl Gateway {
-    /// Runs a control tick, if one is due.
+    /// Runs a control tick if one is due.
     pub(super) fn on_control_tick(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !self.timers.start_control_tick(now) {
             return;
@@ -26,7 +26,8 @@
         self.evict_idle(now);
     }
 
-    /// Evicts idle customers and servers: otherwise memory would grow with every one ever seen.
+    /// Evicts idle customers and servers. Otherwise memory would grow with every customer and
+    /// server ever seen.
     fn evict_idle(&mut self, now: Timestamp) {
         let plans = &self.deployment.settings.plans;
         self.quotas.evict_idle(now, plans, &PARTITION_SILENCE);
--- a/crates/gateway-core/src/gateway/dispatch.rs
+++ b/crates/gateway-core/src/gateway/dispatch.rs
@@ -9,14 +9,14 @@
 use crate::Action;
 
 impl Gateway {
-    /// Sends queued requests, the highest priority first, while servers have capacity.
+    /// Sends queued requests to servers, highest priority first, while servers have capacity.
     pub(super) fn dispatch(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if self.requests.is_queue_empty() {
             return;
         }
         let mut selectable = self.selectable_servers(now);
         if selectable.is_empty() {
-            return; // sorting the queue at each event would exhaust the processor in an overload
+            return; // sorting the queue at each event would exhaust the CPU in an overload
         }
         let lowest_class = self.deployment.lowest_class;
         let mut pass = DispatchPass::new(
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The server to which a queued request is sent now; `None` if it stays queued.
+    /// Returns the server to send a queued request to now, or `None` if the request stays queued.
     fn server_for_queued(
         &mut self,
         now: Timestamp,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Servers that may be chosen from now.
+    /// Returns the servers that an attempt may be sent to now.
     fn selectable_servers(&mut self, now: Timestamp) -> Vec<ServerId> {
         self.servers.selectable(
             now,
@@ -77,7 +77,7 @@
         )
     }
 
-    /// The server for a request, of the selectable ones.
+    /// Chooses a server for a request, usually one of `selectable`.
     fn pick_server(
         &mut self,
         now: Timestamp,
--- a/crates/gateway-core/src/gateway/final_answer.rs
+++ b/crates/gateway-core/src/gateway/final_answer.rs
@@ -1,4 +1,4 @@
-//! Final answers that no server makes, and the end of a request.
+//! Final answers that the gateway gives without a server, and the removal of requests.
 
 use super::Gateway;
 use crate::policy::{deadlines, retry};
@@ -7,8 +7,8 @@
 use crate::Action;
 
 impl Gateway {
-    /// Gives a request its final answer: rejected where a retry by the client is safe, otherwise
-    /// failed.
+    /// Gives a request its final answer: a rejection if the client may safely retry the request,
+    /// otherwise a failure.
     pub(super) fn reject_or_fail(
         &mut self,
         now: Timestamp,
@@ -33,9 +33,9 @@
         self.remove_request(id, actions);
     }
 
-    /// Removes a request that was answered, or whose client has disconnected. Quota of a request
-    /// that was never sent is returned, and an attempt in flight, for which nobody is waiting, is
-    /// cancelled if that is permitted.
+    /// Removes a request that was answered or whose client has disconnected. Refunds the quota
+    /// units of a request that was never sent, releases its concurrency permit, and cancels its
+    /// attempt in flight if the settings permit that.
     pub(super) fn remove_request(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(id) else {
             return;
--- a/crates/gateway-core/src/gateway/gossip.rs
+++ b/crates/gateway-core/src/gateway/gossip.rs
@@ -9,7 +9,8 @@
 use crate::Action;
 
 impl Gateway {
-    /// Handles a message of another gateway. Messages that make no sense are ignored.
+    /// Handles a message from another gateway. Ignores messages that cannot be decoded, and
+    /// messages whose sender is this gateway or is not in the settings.
     pub(super) fn on_peer_message(
         &mut self,
         now: Timestamp,
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Notifies the peers of what was forwarded recently, also when that is nothing: it shows that
-    /// this gateway is alive.
+    /// Broadcasts the recent usage counts if a broadcast is due. A broadcast without any counts is
+    /// sent too, because it shows the peers that this gateway is alive.
     pub(super) fn broadcast_usage(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let Some(broadcasts) = self.quota_sharing.usage_broadcasts() else {
             return;
--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -1,5 +1,5 @@
-//! The lease protocol of a large fleet: lease requests to quota owners, their responses, and what
-//! is done while there is none. What is decided stands in
+//! The lease protocol of a large fleet: sends lease requests to quota owners, handles their
+//! responses, and handles responses that are overdue. The decisions are made by
 //! [`quota_sharing`](crate::policy::quota_sharing).
 
 use super::Gateway;
@@ -19,7 +19,7 @@
 use crate::Action;
 
 impl Gateway {
-    /// Asks one of the customer's owners for a request's units.
+    /// Asks one of the customer's quota owners to grant a request's units.
     pub(super) fn request_lease(
         &mut self,
         now: Timestamp,
@@ -50,7 +50,8 @@
         self.send_lease_request(now, owner, lease_request, actions);
     }
 
-    /// Sends a lease request to its owner; if that is this gateway, it responds immediately.
+    /// Sends a lease request to a quota owner. If the owner is this gateway, decides the lease
+    /// request itself and handles the response immediately.
     fn send_lease_request(
         &mut self,
         now: Timestamp,
@@ -74,7 +75,8 @@
         self.on_lease_response(now, response, actions);
     }
 
-    /// As an owner: responds to a lease request of another gateway.
+    /// Responds to a lease request from another gateway, as the quota owner. Ignores a lease
+    /// request that is malformed or does not name this gateway as the owner.
     pub(super) fn on_lease_request(
         &mut self,
         now: Timestamp,
@@ -92,8 +94,8 @@
         });
     }
 
-    /// As an owner: the response to a lease request. `None` if this gateway is not the owner that
-    /// is asked.
+    /// Returns this gateway's response, as the quota owner, to a lease request. Returns `None` if
+    /// the lease request is malformed or does not name this gateway as the owner.
     fn decide_lease_request(
         &mut self,
         now: Timestamp,
@@ -108,8 +110,8 @@
         Some(request.decide(settings, now, owned))
     }
 
-    /// Takes in an owner's response: it updates the customer's account, and decides what becomes of
-    /// the request.
+    /// Handles an owner's response: updates the customer's account, and queues or rejects the
+    /// request or asks another owner. Ignores a response that no request waits for.
     pub(super) fn on_lease_response(
         &mut self,
         now: Timestamp,
@@ -153,8 +155,7 @@
         }
     }
 
-    /// Checks the requests that were never sent: whether their owner has failed to respond, or
-    /// their grant has expired.
+    /// Checks each request that was never sent for an overdue lease response or an expired grant.
     pub(super) fn check_unsent_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !self.quota_sharing.uses_leases() {
             return;
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Gives up a grant that has expired, and asks again.
+    /// Drops a request's expired grant, releases its concurrency permit, and asks an owner again.
     fn renew_grant(
         &mut self,
         now: Timestamp,
@@ -203,7 +204,7 @@
         self.request_lease(now, id, actions);
     }
 
-    /// Notes that an owner has not responded to a request in time.
+    /// Records that an owner has not responded to a lease request in time.
     fn record_miss(&mut self, now: Timestamp, id: &RequestId, pending: PendingLease) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -214,7 +215,7 @@
         self.quotas.record_miss(owner, now + policy::OWNER_COOLDOWN);
     }
 
-    /// Asks again, or carries out what this gateway has decided alone.
+    /// Asks an owner again, or queues or rejects the request without an owner's response.
     fn continue_after_miss(
         &mut self,
         now: Timestamp,
@@ -226,7 +227,8 @@
         if matches!(next, AfterMiss::AskAgain) {
             return self.request_lease(now, id, actions);
         }
-        // Also a request that is rejected right after is granted first: the rejection releases it.
+        // A request that is rejected below is granted too, because its rejection releases the
+        // grant.
         if let Some(request) = self.requests.get_mut(&id) {
             let own_grant = RequestGrant {
                 owner: self.deployment.settings.gateway_id,
@@ -242,7 +244,8 @@
         }
     }
 
-    /// Releases the concurrency permit that an owner granted.
+    /// Releases the concurrency permit of a grant: here if this gateway is the owner that granted
+    /// it, otherwise by a message to the owner.
     pub(super) fn release_permit(
         &mut self,
         grant: RequestGrant,
@@ -270,7 +273,7 @@
     }
 }
 
-/// Notes the request probability and the lease of an owner's response in the customer's account.
+/// Records the request probability and the lease of an owner's response in the customer's account.
 fn record_response(
     account: &mut CustomerAccount,
     now: Timestamp,
@@ -289,7 +292,8 @@
     }
 }
 
-/// From now on only the servers delay a request.
+/// Sets a request's grant. Time after `now` counts towards the request's latency, because its quota
+/// no longer delays it.
 fn grant_request(now: Timestamp, request: &mut Request, grant: RequestGrant) {
     request.quota.set_grant(grant);
     request.delayed_by_quota_until(now);
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -1,10 +1,12 @@
-//! The gateway: handles events, holds the state, and carries out what the [`policy`](crate::policy)
-//! decides.
+//! The gateway: handles events, holds the state, and carries out the decisions of the
+//! [`policy`](crate::policy).
 //!
-//! The files follow a request: `requests` (arrival and expiry), `leases` (the quota owners'
-//! decision), `dispatch` (sending queued requests), `attempts` (how attempts end),
-//! `stalled_servers` and `final_answer`. Periodic work is in `timers`, `control_tick` with
-//! `control_loop`, and `gossip`. What the gateway knows of servers is in `servers`.
+//! The modules in the order in which a request passes through them: `requests` (arrival and
+//! expiry), `leases` (grants by quota owners), `dispatch` (sending queued requests to servers),
+//! `attempts` (results of attempts), `stalled_servers` (ejection of servers that answer nothing),
+//! `final_answer` (answers without a server) with `rejections` (their counts). Periodic work is in
+//! `timers`, `control_tick` with `control_loop`, and `gossip`, which also receives the messages of
+//! other gateways. The state and selection of servers is in `servers`.
 
 mod attempts;
 mod control_loop;
@@ -39,12 +41,13 @@
 use crate::units::Units;
 use crate::{Action, Event};
 
-/// The decisions of one gateway. It does no input or output, and reads no clock.
+/// A gateway: turns each [`Event`] into [`Action`]s. It does no input or output, and reads no
+/// clock.
 pub struct Gateway {
     deployment: Deployment,
     random: fastrand::Rng,
     timers: Timers,
-    watch_requested: bool,
+    has_requested_watch: bool,
     requests: RequestTable,
     attempts: AttemptTable,
     retry_budget: RetryBudget,
@@ -56,8 +59,8 @@
 }
 
 impl Gateway {
-    /// A gateway that starts at `now` with its settings and without any other knowledge. `seed`
-    /// initialises its random numbers.
+    /// Creates a gateway that starts at `now` and knows nothing but its settings. `seed`
+    /// initialises its random number generator.
     ///
     /// # Errors
     /// Returns an error if the settings contradict each other or are out of range.
@@ -73,7 +76,7 @@
             deployment,
             random: fastrand::Rng::with_seed(seed),
             timers: Timers::new(now, mode.broadcasts_usage()),
-            watch_requested: false,
+            has_requested_watch: false,
             requests: RequestTable::default(),
             attempts: AttemptTable::default(),
             retry_budget: RetryBudget::new(mode),
@@ -85,12 +88,13 @@
         })
     }
 
-    /// Handles one event that happened at `now`, which must not be earlier than in the call before.
-    /// The actions that follow are appended to `actions`, to be carried out in this order.
+    /// Handles one event that happened at `now`, and appends the resulting actions to `actions` in
+    /// the order in which the caller has to carry them out. `now` must not be earlier than in the
+    /// previous call.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.watch_endpoints_at_first_event(actions);
-        if let Some(id) = self.request_outside_settings(&event) {
-            // No queued request is sent and no timer is set because of it.
+        if let Some(id) = self.request_of_unknown_class_or_plan(&event) {
+            // Such a request has no effect on queued requests or the timer.
             return actions.push(Action::Fail { id });
         }
         self.handle_event(now, event, actions);
@@ -98,16 +102,17 @@
         self.rearm_timer(now, actions);
     }
 
-    /// The request that has arrived, if its class or plan is not one of the settings.
-    fn request_outside_settings(&self, event: &Event) -> Option<RequestId> {
+    /// Returns the id of a request that has just arrived if its class or plan is not in the
+    /// settings.
+    fn request_of_unknown_class_or_plan(&self, event: &Event) -> Option<RequestId> {
         let Event::RequestReceived {
             id, class, plan, ..
         } = event
         else {
             return None;
         };
-        let is_inside = self.deployment.has_class_and_plan(*class, *plan);
-        (!is_inside).then(|| id.clone())
+        let is_known = self.deployment.has_class_and_plan(*class, *plan);
+        (!is_known).then(|| id.clone())
     }
 
     fn handle_event(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
@@ -159,7 +164,8 @@
         }
     }
 
-    /// A timer has fired: what is due by now is done, in this order.
+    /// Handles a timer that has fired: does the periodic work that is due, in a fixed order.
+    /// Ignores a timer that was replaced by a later one.
     fn on_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if self.timers.is_replaced(now) {
             return;
@@ -180,7 +186,7 @@
     }
 
     fn watch_endpoints_at_first_event(&mut self, actions: &mut Vec<Action>) {
-        if !std::mem::replace(&mut self.watch_requested, true) {
+        if !std::mem::replace(&mut self.has_requested_watch, true) {
             self.watch_endpoints(actions);
         }
     }
@@ -191,24 +197,25 @@
         }
     }
 
-    /// The context of decisions that need nothing of the gateway to be borrowed mutably at the same
-    /// time.
+    /// Returns the context of decisions at `now`. It borrows the whole gateway; callers that borrow
+    /// a part of it mutably use [`Context::new`] instead.
     fn context(&self, now: Timestamp) -> Context<'_> {
         Context::new(now, &self.deployment, self.servers.estimates())
     }
 
-    /// How many final answers since the start were made without a server, by reason and plan.
+    /// Returns the number of final answers given without a server since the start, by reason and
+    /// plan; counts of 0 are left out.
     pub fn rejections(&self) -> impl Iterator<Item = (RejectReason, PlanId, u64)> + '_ {
         self.rejections.iter()
     }
 
-    /// How many servers and customers are held in memory.
+    /// Returns the number of entries held in memory for servers and customers.
     pub fn tracked_entries(&self) -> usize {
         self.servers.tracked_entries() + self.quotas.tracked_entries()
     }
 
-    /// How many entries of servers were visited since the start, as a measure of work.
+    /// Returns the number of server entries visited since the start, as a measure of the CPU work.
     pub fn entries_visited(&self) -> u64 {
-        self.servers.visited()
+        self.servers.entries_visited()
     }
 }
--- a/crates/gateway-core/src/gateway/rejections.rs
+++ b/crates/gateway-core/src/gateway/rejections.rs
@@ -1,19 +1,20 @@
-//! Counts of final answers that no server made.
+//! Counts of final answers that the gateway gave without a server.
 
 use crate::types::{PlanId, RejectReason};
 use std::collections::BTreeMap;
 
-/// Final answers since the start that no server made, by reason and plan.
+/// Numbers of final answers given without a server since the start, by reason and plan. Both
+/// rejections and failures count.
 #[derive(Default)]
 pub(super) struct RejectionCounts(BTreeMap<(RejectReason, PlanId), u64>);
 
 impl RejectionCounts {
-    /// Counts one more.
+    /// Counts one final answer.
     pub(super) fn record(&mut self, reason: RejectReason, plan: PlanId) {
         *self.0.entry((reason, plan)).or_default() += 1;
     }
 
-    /// All counts that are not 0, in the order of reasons and plans.
+    /// Returns all counts that are not 0, in the order of reasons and plans.
     pub(super) fn iter(&self) -> impl Iterator<Item = (RejectReason, PlanId, u64)> + '_ {
         self.0
             .iter()
--- a/crates/gateway-core/src/gateway/requests.rs
+++ b/crates/gateway-core/src/gateway/requests.rs
@@ -1,4 +1,4 @@
-//! Open requests: their arrival, and their expiry.
+//! The arrival and the expiry of requests.
 
 use super::Gateway;
 use crate::policy::admission::{self, Admission};
@@ -10,14 +10,15 @@
 use crate::types::{AttemptNumber, GatewaySet, RequestId};
 use crate::Action;
 
-/// A request whose age requires something, and what that is.
+/// A request that needs a final answer, or the cancellation of its attempt, because of its age.
 struct ExpiredRequest {
     id: RequestId,
     expiry: Expiry,
 }
 
 impl Gateway {
-    /// A client's request has arrived, of a class and a plan that the settings have.
+    /// Handles a client's request that has arrived: queues it, asks a quota owner, or rejects it.
+    /// Its class and plan must be in the settings.
     pub(super) fn on_request(
         &mut self,
         now: Timestamp,
@@ -49,15 +50,15 @@
         }
     }
 
-    /// The answer of a server has begun to stream to the client.
+    /// Records that a server's answer has begun to stream to the client.
     pub(super) fn on_stream_started(&mut self, id: &RequestId) {
         if let Some(request) = self.requests.get_mut(id) {
             request.record_stream_start();
         }
     }
 
-    /// Gives requests whose time is over their final answer, and cancels attempts whose answer
-    /// would have no value any more.
+    /// Cancels attempts whose answers would have no value any more, and gives expired requests
+    /// their final answer.
     pub(super) fn expire_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let expired = self.expired_requests(now);
         for ExpiredRequest { id, expiry } in &expired {
@@ -84,7 +85,7 @@
         expired.collect()
     }
 
-    /// Cancels the attempt of a request that is in flight; the request stays open.
+    /// Cancels the attempt in flight of a request. The request stays open.
     pub(super) fn cancel_attempt(
         &mut self,
         id: RequestId,
--- a/crates/gateway-core/src/gateway/servers/control_tick.rs
+++ b/crates/gateway-core/src/gateway/servers/control_tick.rs
@@ -1,5 +1,5 @@
-//! What a control tick renews: estimates of the fleet, slow-start credit, and the set of tracked
-//! servers.
+//! The servers' part of a control tick: updates the estimates of the fleet, grants slow-start
+//! credit, and evicts idle servers.
 
 use super::{initial_latency_us, Servers};
 use crate::policy::fuzzy_controller::TICK_PERIOD;
@@ -12,8 +12,8 @@
 use crate::time::Timestamp;
 
 impl Servers {
-    /// Renews what is estimated of the fleet: the throughput of a gateway, and the latency and load
-    /// of the median server.
+    /// Updates the estimates of the fleet: the throughput of a gateway, and the latency and load
+    /// factor of the median server.
     pub(in crate::gateway) fn update_estimates(&mut self, now: Timestamp, deployment: &Deployment) {
         let throughput_weight = self.estimation.own_throughput_weight();
         self.estimates
@@ -31,7 +31,7 @@
         );
     }
 
-    /// Grants slow-start credit to the servers that warm up.
+    /// Grants slow-start credit to the servers in warm-up.
     pub(in crate::gateway) fn grant_slow_start_credit(
         &mut self,
         now: Timestamp,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// How many of the ready servers are warm.
+    /// Returns the number of ready servers that are warm.
     fn warm_count(&mut self, now: Timestamp, rules: &Rules) -> usize {
         if !self.table.scans_all() {
             return self.table.warm_count(now);
@@ -59,7 +59,7 @@
             .count()
     }
 
-    /// Evicts servers that are gone, and the health of idle ones.
+    /// Evicts servers that are gone, and the health of idle servers.
     pub(in crate::gateway) fn evict_idle(&mut self, now: Timestamp) {
         self.table.evict_idle(now, MAX_SERVER_IDLE);
     }
--- a/crates/gateway-core/src/gateway/servers/health.rs
+++ b/crates/gateway-core/src/gateway/servers/health.rs
@@ -1,4 +1,5 @@
-//! The health of servers: what attempts reveal when they end, and stalled ones that don't end.
+//! The health of servers, observed from the results of attempts and from attempts that a stalled
+//! server does not answer.
 
 use super::Servers;
 use crate::gateway::attempts::AttemptResult;
@@ -10,33 +11,33 @@
 use crate::time::Timestamp;
 use crate::types::{AttemptOutcome, ClassId, ServerId};
 
-/// An attempt at a server that has stalled.
+/// An attempt in flight at a stalled server.
 pub(in crate::gateway) struct StalledAttempt {
-    /// Names the attempt.
+    /// The request and the number of the attempt.
     pub(in crate::gateway) key: AttemptKey,
-    /// Its server.
+    /// The stalled server.
     pub(in crate::gateway) server: ServerId,
     class: ClassId,
     sent_at: Timestamp,
 }
 
-/// What a stalled attempt did to its server.
+/// Whether a stalled attempt ejected its server.
 pub(in crate::gateway) enum StallEjection {
-    /// The server is no longer known.
+    /// The server is no longer tracked.
     UnknownServer,
-    /// The server was ejected before.
+    /// The server was already ejected.
     AlreadyEjected,
-    /// The server is ejected now.
+    /// The server was ejected because of this attempt.
     Ejected {
-        /// Whether operators are warned of it.
+        /// Whether to warn operators.
         is_reported: bool,
     },
 }
 
 impl Servers {
-    /// Merges what an attempt that ended reveals of its server, its zone and the fleet.
-    /// `was_cancelled_here`: this gateway cancelled it, as stalled or past its objective, while its
-    /// request was open.
+    /// Updates the health of an attempt's server and the estimates of its zone and of the fleet
+    /// with the result of the attempt. `was_cancelled_here` is whether this gateway cancelled the
+    /// attempt, as stalled or past its latency objective, while its request was open.
     pub(in crate::gateway) fn observe_attempt(
         &mut self,
         now: Timestamp,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Ejects a server for a class, or readmits it, by what is known of it.
+    /// Ejects or readmits a server for a class, according to its failure rate.
     pub(super) fn update_ejection(
         &mut self,
         now: Timestamp,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// When a server that is ejected or probed now is probed next.
+    /// Returns when a server that is ejected or probed at `now` is probed next.
     pub(in crate::gateway) fn next_probe_at(
         &self,
         now: Timestamp,
@@ -111,7 +112,7 @@
         now + self.outlier_detection.probe_interval(random.f64())
     }
 
-    /// Attempts in flight whose servers count as stalled.
+    /// Returns the attempts in flight whose servers are stalled.
     pub(in crate::gateway) fn stalled_attempts(
         &self,
         now: Timestamp,
@@ -135,7 +136,7 @@
             .collect()
     }
 
-    /// Ejects the server of a stalled attempt.
+    /// Ejects the server of a stalled attempt for the attempt's class.
     pub(in crate::gateway) fn eject_stalled(
         &mut self,
         now: Timestamp,
@@ -164,8 +165,8 @@
     }
 }
 
-/// Records the load that a server reported, and what that and its latency reveal of the service
-/// time without load.
+/// Records the load that a server reported, and updates the fleet's estimate of the service time
+/// without load, derived from the reported load and the latency of the attempt.
 fn observe_load(
     server: &mut Server,
     estimates: &mut FleetEstimates,
@@ -180,7 +181,7 @@
     }
 }
 
-/// Merges what an attempt reveals of the reachability of its server's zone.
+/// Updates the reachability of a server's zone with the result of an attempt.
 fn observe_zone(
     server: &Server,
     estimates: &mut FleetEstimates,
--- a/crates/gateway-core/src/gateway/servers/mod.rs
+++ b/crates/gateway-core/src/gateway/servers/mod.rs
@@ -1,5 +1,5 @@
-//! Servers: their table, the estimates of the fleet, and the designs, chosen at the start, by which
-//! the fleet is estimated, servers are selected and their health is observed.
+//! Servers: their table, the estimates of the fleet, and the strategies, fixed at the start, for
+//! estimating the fleet, selecting servers and observing their health.
 
 mod control_tick;
 mod health;
@@ -16,7 +16,8 @@
 use crate::time::Timestamp;
 use crate::types::{Endpoint, EndpointUpdate, ServerId};
 
-/// The servers as a gateway knows them.
+/// The servers that a gateway tracks, the estimates of the fleet, and the strategies for using
+/// them.
 pub(super) struct Servers {
     table: ServerTable,
     estimates: FleetEstimates,
@@ -26,16 +27,17 @@
     outlier_detection: OutlierDetection,
 }
 
-/// Attempts that all servers together finish in time, retained where a sum for each choice would be
-/// too much work.
+/// The fleet concurrency, cached in a fleet with so many servers that summing it for each choice
+/// would be too much work.
 #[derive(Default)]
 struct FleetConcurrency {
+    /// Number of attempts that all servers together finish in time.
     attempts: f64,
     valid_until: Timestamp,
 }
 
 impl Servers {
-    /// No servers, and the designs for the fleet.
+    /// Creates an empty server table, with the strategies for the fleet's mode.
     pub(super) fn new(deployment: &Deployment) -> Self {
         let settings = &deployment.settings;
         let selection = ServerSelection::new(settings, deployment.mode);
@@ -49,17 +51,17 @@
         }
     }
 
-    /// Estimates of the whole fleet.
+    /// Returns the estimates of the whole fleet.
     pub(super) fn estimates(&self) -> &FleetEstimates {
         &self.estimates
     }
 
-    /// Estimates of the whole fleet, to be changed.
+    /// Returns the estimates of the whole fleet, mutably.
     pub(super) fn estimates_mut(&mut self) -> &mut FleetEstimates {
         &mut self.estimates
     }
 
-    /// Applies an endpoint list, or changes to it.
+    /// Applies a snapshot or a delta of the endpoint list.
     pub(super) fn apply_update(
         &mut self,
         now: Timestamp,
@@ -69,7 +71,7 @@
         self.table.apply_update(now, kind, endpoints);
     }
 
-    /// The endpoint of a server that is tracked.
+    /// Returns the endpoint of a server, or `None` if the server is not tracked.
     pub(super) fn endpoint(&self, id: &ServerId) -> Option<Endpoint> {
         self.table.get(id).map(|server| *server.endpoint())
     }
@@ -79,23 +81,23 @@
         self.table.record_attempt_finished(id);
     }
 
-    /// How many servers and short ids are in memory.
+    /// Returns the number of entries held in memory for servers and their short ids.
     pub(super) fn tracked_entries(&self) -> usize {
         self.table.tracked_entries()
     }
 
-    /// How many servers were looked at since the start: work that tests can count.
-    pub(super) fn visited(&self) -> u64 {
+    /// Returns the number of server entries visited since the start.
+    pub(super) fn entries_visited(&self) -> u64 {
         self.table.visited()
     }
 
-    /// What decisions depend on, now.
+    /// Returns the context of decisions at `now`.
     fn context<'a>(&'a self, now: Timestamp, deployment: &'a Deployment) -> Context<'a> {
         Context::new(now, deployment, &self.estimates)
     }
 }
 
-/// Expected latency per concurrent request in µs before anything was observed.
+/// Returns the expected latency per concurrent request, in µs, before any latency is observed.
 fn initial_latency_us(deployment: &Deployment) -> f64 {
     deployment.shortest_objective_us * INITIAL_LATENCY_FRACTION
 }
--- a/crates/gateway-core/src/gateway/servers/reports.rs
+++ b/crates/gateway-core/src/gateway/servers/reports.rs
@@ -1,5 +1,5 @@
-//! Health reports on servers, which lease messages carry: their selection, and the merge of
-//! received ones.
+//! Gossip digests, which lease messages carry: selects the health reports of a digest to send, and
+//! merges received digests.
 
 use super::Servers;
 use crate::message::{GossipDigest, HealthReport};
@@ -10,8 +10,8 @@
 use crate::types::ClassId;
 
 impl Servers {
-    /// The digest that a lease message carries: throughput and latency ratios as estimated here,
-    /// and health reports on servers.
+    /// Returns the digest for a lease message: this gateway's estimates of throughput and latency
+    /// ratios, and health reports on servers.
     pub(in crate::gateway) fn digest(
         &self,
         now: Timestamp,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Merges a peer's digest.
+    /// Merges a peer's digest into the estimates of the fleet and the health of servers.
     pub(in crate::gateway) fn merge_digest(
         &mut self,
         now: Timestamp,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Merges a peer's report on a server, and updates the server's ejection if the report was
-    /// newer than what was known.
+    /// Merges a peer's report on a server, and updates the server's ejection if the report is newer
+    /// than the health known here. Ignores reports on servers that are not tracked.
     fn merge_report(&mut self, now: Timestamp, report: &HealthReport, random: &mut fastrand::Rng) {
         let Some(id) = self.table.by_short_id(report.server) else {
             return;
--- a/crates/gateway-core/src/gateway/servers/selection.rs
+++ b/crates/gateway-core/src/gateway/servers/selection.rs
@@ -1,4 +1,4 @@
-//! The choice of a server for a request that may be sent.
+//! The selection of a server for an attempt.
 
 use super::{FleetConcurrency, Servers};
 use crate::policy::load_balancing::Selector;
@@ -9,12 +9,12 @@
 use crate::types::{ClassId, ServerId};
 
 impl Servers {
-    /// Servers that may be chosen from now: ready and with capacity. Of too many to be scanned, a
-    /// sample.
+    /// Returns the ready servers with capacity, or a sample of them if the servers are too many to
+    /// scan.
     ///
-    /// None while this gateway has enough `in_flight`. Where not all servers are scanned, the
-    /// fleet's concurrency that this depends on is summed anew once per control tick, the next of
-    /// which is at `next_control_tick`.
+    /// Returns no servers while this gateway has enough attempts `in_flight` for the fleet
+    /// concurrency. The fleet concurrency is summed at each call if all servers are scanned,
+    /// otherwise once per control tick; the next tick is at `next_control_tick`.
     pub(in crate::gateway) fn selectable(
         &mut self,
         now: Timestamp,
@@ -45,8 +45,9 @@
         self.track_sample(now, sample)
     }
 
-    /// The server for a request, of the selectable ones. A request that has to stay in its scope is
-    /// given a sample of its own where not all servers are scanned.
+    /// Chooses a server for a request from the `selectable` servers. If not all servers are
+    /// scanned, a request that must stay within its deduplication scope is given a sample of its
+    /// own instead.
     pub(in crate::gateway) fn choose(
         &mut self,
         now: Timestamp,
@@ -61,7 +62,8 @@
         Selector::new(context, &self.selection, &self.table).choose(request, candidates, random)
     }
 
-    /// A sample of the servers that a request may be sent to, if it needs one of its own.
+    /// Returns a sample of the servers within a request's deduplication scope, or `None` if the
+    /// request needs no sample of its own.
     fn sample_in_scope(
         &mut self,
         now: Timestamp,
@@ -79,7 +81,7 @@
         Some(self.track_sample(now, sample))
     }
 
-    /// Tracks the servers of a sample from now on.
+    /// Starts tracking the servers of a sample, and returns their ids.
     fn track_sample(&mut self, now: Timestamp, sample: Vec<Candidate>) -> Vec<ServerId> {
         for candidate in sample.iter().filter(|candidate| !candidate.is_tracked) {
             self.table.track(now, &candidate.server);
@@ -91,7 +93,7 @@
     }
 
     /// Records that an attempt was sent to a server. Returns the number of attempts in flight
-    /// there, with this one; `None` if the server is not known.
+    /// there, including this attempt, or `None` if the server is not tracked.
     pub(in crate::gateway) fn record_attempt_sent(
         &mut self,
         now: Timestamp,
--- a/crates/gateway-core/src/gateway/stalled_servers.rs
+++ b/crates/gateway-core/src/gateway/stalled_servers.rs
@@ -1,4 +1,4 @@
-//! Stalled servers: their ejection, and the cancellation of attempts there.
+//! Ejects stalled servers and cancels the attempts at them.
 
 use super::servers::{StallEjection, StalledAttempt};
 use super::Gateway;
@@ -10,8 +10,9 @@
 use crate::Action;
 
 impl Gateway {
-    /// Ejects servers that accept requests and answer none, and cancels attempts at them whose
-    /// requests may be retried.
+    /// Ejects servers that accept requests but answer none, and cancels the stalled attempts there
+    /// whose requests may be retried. Does nothing if the timer fired so late that this gateway
+    /// itself is slow.
     pub(super) fn detect_stalled_servers(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if is_timer_late(now, self.timers.fires_at()) {
             return;
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Cancels a stalled attempt, if its request may be retried.
+    /// Cancels a stalled attempt if its request may be retried.
     fn cancel_stalled(&mut self, stalled: StalledAttempt, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&stalled.key.request) else {
             return;
--- a/crates/gateway-core/src/gateway/timers.rs
+++ b/crates/gateway-core/src/gateway/timers.rs
@@ -5,9 +5,9 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// When the timer fires, and when periodic work is due.
+/// The time at which the timer fires, and the times at which periodic work is due.
 pub(super) struct Timers {
-    /// When the timer that was set last fires; [`Timestamp::MAX`] while none is set.
+    /// Time at which the timer that was set last fires; [`Timestamp::MAX`] while none is set.
     fires_at: Timestamp,
     next_control_tick: Timestamp,
     /// `None` if usage is never broadcast.
@@ -15,7 +15,8 @@
 }
 
 impl Timers {
-    /// The timers of a gateway that starts now, and broadcasts its usage or not.
+    /// Creates the timers of a gateway that starts at `now`. `broadcasts_usage` is whether the
+    /// gateway broadcasts usage counts.
     pub(super) fn new(now: Timestamp, broadcasts_usage: bool) -> Self {
         Timers {
             fires_at: Timestamp::MAX,
@@ -24,12 +25,12 @@
         }
     }
 
-    /// When the timer that was set last is to fire.
+    /// Returns when the timer that was set last fires; [`Timestamp::MAX`] while none is set.
     pub(super) fn fires_at(&self) -> Timestamp {
         self.fires_at
     }
 
-    /// Whether a timer that fires now was replaced by a later one.
+    /// Returns whether a timer that fires at `now` was replaced by one that fires later.
     pub(super) fn is_replaced(&self, now: Timestamp) -> bool {
         now < self.fires_at
     }
@@ -39,12 +40,12 @@
         self.fires_at = Timestamp::MAX;
     }
 
-    /// When the next control tick is due.
+    /// Returns when the next control tick is due.
     pub(super) fn next_control_tick(&self) -> Timestamp {
         self.next_control_tick
     }
 
-    /// Whether a control tick is due; if so, the next one is scheduled.
+    /// Returns whether a control tick is due and, if so, schedules the next one.
     pub(super) fn start_control_tick(&mut self, now: Timestamp) -> bool {
         let is_due = now >= self.next_control_tick;
         if is_due {
@@ -53,18 +54,19 @@
         is_due
     }
 
-    /// Whether a broadcast of usage is due.
+    /// Returns whether a broadcast of usage counts is due.
     pub(super) fn is_broadcast_due(&self, now: Timestamp) -> bool {
         self.next_broadcast.is_some_and(|due_at| now >= due_at)
     }
 
-    /// Schedules the next broadcast of usage.
+    /// Schedules the next broadcast of usage counts.
     pub(super) fn schedule_broadcast(&mut self, at: Timestamp) {
         self.next_broadcast = Some(at);
     }
 
-    /// The delay after which a new timer is to fire, if it has to fire before the one that is set:
-    /// every [`TIMER_PERIOD`] while requests are open, otherwise when periodic work is due.
+    /// Returns the delay of a new timer, or `None` if the timer that is set fires early enough. The
+    /// timer fires every [`TIMER_PERIOD`] while requests are open, otherwise when periodic work is
+    /// due, but not before one [`TIMER_PERIOD`] has passed.
     pub(super) fn rearm(&mut self, now: Timestamp, has_open_requests: bool) -> Option<Duration> {
         let earliest = now + TIMER_PERIOD;
         let next = if has_open_requests {
