--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The simulated gateways, and the endpoint lists that they are notified of.
+//! The gateways of a simulation, and the endpoint lists that updates to them refer to.
 
 use crate::line::Line;
 use crate::line_error::{LineError, LineErrorKind};
@@ -8,7 +8,7 @@
 use gateway_core::{Action, Gateway, Timestamp};
 use std::collections::BTreeMap;
 
-/// A gateway with the names that its settings define.
+/// A running gateway, and its settings with the names of classes, plans and zones.
 struct GatewayInstance {
     gateway: Gateway,
     settings: ResolvedSettings,
@@ -17,75 +17,78 @@
 /// All gateways of a simulation.
 #[derive(Default)]
 pub(crate) struct Adapter {
-    lists: BTreeMap<u8, Vec<ListedEndpoint>>,
+    /// The endpoint lists by number.
+    endpoint_lists: BTreeMap<u8, Vec<ListedEndpoint>>,
+    /// The running gateways by number.
     gateways: BTreeMap<u64, GatewayInstance>,
-    /// The actions of the last event; retained so that their memory is used again.
+    /// The actions of the last event. The buffer is reused to avoid an allocation per event.
     actions: Vec<Action>,
 }
 
 impl Adapter {
-    /// Stores an endpoint list for updates to refer to. It replaces the list that had its number
-    /// before.
-    pub(crate) fn register_list(&mut self, list: u8, endpoints: Vec<ListedEndpoint>) {
-        self.lists.insert(list, endpoints);
+    /// Stores an endpoint list under the number by which updates refer to it, and replaces an
+    /// earlier list of the same number.
+    pub(crate) fn register_list(&mut self, list_number: u8, endpoints: Vec<ListedEndpoint>) {
+        self.endpoint_lists.insert(list_number, endpoints);
     }
 
-    /// Handles a line that is for one gateway, at `now` in µs. The gateway's actions are appended
-    /// to the reply.
+    /// Handles a line that is addressed to one gateway, and appends the gateway's actions to the
+    /// reply. `now` is the time of the line's frame.
     ///
     /// # Errors
-    /// The line is malformed, or its gateway was never started.
+    /// Returns an error if the line is malformed or its gateway is not running.
     pub(crate) fn handle(
         &mut self,
         now: Timestamp,
         line: &Line,
         reply: &mut String,
     ) -> Result<(), LineError> {
-        let number: u64 = line.parsed("i")?;
+        let gateway_number: u64 = line.parsed("i")?;
         match line.name {
-            "hello" => self.start(number, now, line),
-            "teardown" => self.stop(number, line),
-            _ => self.handle_event(number, now, line, reply),
+            "hello" => self.start(gateway_number, now, line),
+            "teardown" => self.stop(gateway_number, line),
+            _ => self.handle_event(gateway_number, now, line, reply),
         }
     }
 
-    fn start(&mut self, number: u64, now: Timestamp, line: &Line) -> Result<(), LineError> {
+    fn start(&mut self, gateway_number: u64, now: Timestamp, line: &Line) -> Result<(), LineError> {
         let seed: i128 = line.parsed("randomSeed")?;
         let settings = settings::parse(line.text_to_end("setup")?)
             .map_err(|error| line.error(LineErrorKind::UnparsableSettings(error)))?;
-        // Of the seed, the lower 64 bits are used.
+        // The cast keeps the lower 64 bits of the seed.
         let gateway = Gateway::new(seed as u64, settings.settings.clone(), now)
             .map_err(|error| line.error(LineErrorKind::InvalidSettings(error)))?;
         self.gateways
-            .insert(number, GatewayInstance { gateway, settings });
+            .insert(gateway_number, GatewayInstance { gateway, settings });
         Ok(())
     }
 
-    fn stop(&mut self, number: u64, line: &Line) -> Result<(), LineError> {
-        match self.gateways.remove(&number) {
+    fn stop(&mut self, gateway_number: u64, line: &Line) -> Result<(), LineError> {
+        match self.gateways.remove(&gateway_number) {
             Some(_) => Ok(()),
-            None => Err(unknown_gateway(number, line)),
+            None => Err(unknown_gateway(gateway_number, line)),
         }
     }
 
     fn handle_event(
         &mut self,
-        number: u64,
+        gateway_number: u64,
         now: Timestamp,
         line: &Line,
         reply: &mut String,
     ) -> Result<(), LineError> {
         let instance = self
             .gateways
-            .get_mut(&number)
-            .ok_or_else(|| unknown_gateway(number, line))?;
-        let Some(event) = translate::event(line, &instance.settings, &self.lists)? else {
+            .get_mut(&gateway_number)
+            .ok_or_else(|| unknown_gateway(gateway_number, line))?;
+        let Some(event) = translate::parse_event(line, &instance.settings, &self.endpoint_lists)?
+        else {
             return Ok(());
         };
         self.actions.clear();
         instance.gateway.handle(now, event, &mut self.actions);
         for action in &self.actions {
-            reply::append(reply, number, action);
+            reply::append(reply, gateway_number, action);
         }
         Ok(())
     }
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -1,5 +1,5 @@
-//! Frames: the batches of lines that the simulator sends, from a `frame` line to an `eof_batch`
-//! line.
+//! Frames: batches of lines from the simulator. A frame starts with a `frame` line and ends with an
+//! `eof_batch` line.
 
 use crate::adapter::Adapter;
 use crate::line::Line;
@@ -8,67 +8,69 @@
 use gateway_core::Timestamp;
 use std::io::BufRead;
 
-/// The largest number that an endpoint list may have.
-const MAX_LIST: u8 = 15;
-/// Ends each reply.
+/// Largest number of an endpoint list.
+const MAX_LIST_NUMBER: u8 = 15;
+/// The last line of each reply.
 const END_OF_REPLY: &str = "finished\n";
 
 /// Reads lines and counts them.
 pub(crate) struct LineReader<R> {
     input: R,
-    /// The number of the line that was read last; the first one has number 1.
-    number: usize,
+    /// Number of the line that was read last, from 1; 0 before any line is read.
+    line_number: usize,
     buffer: String,
 }
 
 impl<R: BufRead> LineReader<R> {
-    /// Reads the lines of `input`.
+    /// Creates a reader of the lines of `input`.
     pub(crate) fn new(input: R) -> LineReader<R> {
         LineReader {
             input,
-            number: 0,
+            line_number: 0,
             buffer: String::new(),
         }
     }
 
-    /// Reads the first line of the next frame: its time, or `None` at the end of the input.
+    /// Reads the `frame` line that starts the next frame. Returns the time of the frame, or `None`
+    /// at the end of the input.
     ///
     /// # Errors
-    /// The line cannot be read or does not start a frame.
+    /// Returns an error if the line cannot be read or is not a valid `frame` line.
     pub(crate) fn next_frame(&mut self) -> Result<Option<Timestamp>, LineError> {
         if !self.read_line()? {
             return Ok(None);
         }
-        let line = Line::split(self.number, &self.buffer);
+        let line = Line::split(self.line_number, &self.buffer);
         line.expect_name("frame")?;
         let now = line.parsed("nowUs")?;
         Ok(Some(Timestamp::from_micros(now)))
     }
 
-    /// Reads the next line of a frame.
+    /// Reads the next line within a frame.
     ///
     /// # Errors
-    /// The line cannot be read, or the input ends.
+    /// Returns an error if the line cannot be read or the input has ended.
     pub(crate) fn next_in_frame(&mut self) -> Result<Line<'_>, LineError> {
         if self.read_line()? {
-            Ok(Line::split(self.number, &self.buffer))
+            Ok(Line::split(self.line_number, &self.buffer))
         } else {
             Err(self.error(LineErrorKind::UnterminatedFrame))
         }
     }
 
-    /// An error at the line that was read last.
+    /// Returns an error for the line that was read last.
     pub(crate) fn error(&self, kind: LineErrorKind) -> LineError {
         LineError {
-            line: self.number,
+            line: self.line_number,
             kind,
         }
     }
 
-    /// Reads a line into the buffer, without its end; false at the end of the input.
+    /// Reads a line into the buffer, without its line ending. Returns false at the end of the
+    /// input.
     fn read_line(&mut self) -> Result<bool, LineError> {
         self.buffer.clear();
-        self.number += 1;
+        self.line_number += 1;
         let read = self.input.read_line(&mut self.buffer);
         let bytes = read.map_err(|error| self.error(LineErrorKind::Read(error)))?;
         if bytes == 0 {
@@ -84,10 +86,11 @@
     }
 }
 
-/// Processes the lines of a frame up to its end, each as soon as it is read. Returns the reply.
+/// Processes the lines of a frame up to its `eof_batch` line, each as soon as it is read. Returns
+/// the reply.
 ///
 /// # Errors
-/// A line cannot be read or is malformed. The frame gets no reply then.
+/// Returns an error, and no reply, if a line cannot be read or is malformed.
 pub(crate) fn process(
     reader: &mut LineReader<impl BufRead>,
     now: Timestamp,
@@ -100,8 +103,8 @@
             "eof_batch" => break,
             "register" => {
                 let header = ListHeader::parse(&line)?;
-                let endpoints = read_list(reader, header.length)?;
-                adapter.register_list(header.list, endpoints);
+                let endpoints = read_endpoints(reader, header.length)?;
+                adapter.register_list(header.list_number, endpoints);
             }
             _ => adapter.handle(now, &line, &mut reply)?,
         }
@@ -110,33 +113,36 @@
     Ok(reply)
 }
 
-/// The line before an endpoint list.
+/// A `register` line, which precedes the lines of an endpoint list.
 struct ListHeader {
-    /// The number by which updates refer to the list.
-    list: u8,
-    /// Lines that follow, one for each endpoint.
+    /// Number by which updates refer to the list.
+    list_number: u8,
+    /// Number of lines that follow, one for each endpoint.
     length: usize,
 }
 
 impl ListHeader {
     fn parse(line: &Line) -> Result<ListHeader, LineError> {
-        let list = line.parsed("list")?;
-        if list > MAX_LIST {
+        let list_number = line.parsed("list")?;
+        if list_number > MAX_LIST_NUMBER {
             return Err(line.invalid("list"));
         }
         let length = line.parsed("items")?;
-        Ok(ListHeader { list, length })
+        Ok(ListHeader {
+            list_number,
+            length,
+        })
     }
 }
 
-fn read_list(
+fn read_endpoints(
     reader: &mut LineReader<impl BufRead>,
     length: usize,
 ) -> Result<Vec<ListedEndpoint>, LineError> {
     let mut endpoints = Vec::new();
     for _ in 0..length {
         let line = reader.next_in_frame()?;
-        endpoints.push(translate::listed_endpoint(&line)?);
+        endpoints.push(translate::parse_listed_endpoint(&line)?);
     }
     Ok(endpoints)
 }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,5 +1,6 @@
-//! Connects the simulator to the decision library: reads the simulator's lines from an input, and
-//! writes the gateways' actions as lines to an output. It makes no decisions.
+//! Connects the simulator to the decision library `gateway-core`: reads the simulator's lines from
+//! an input, passes them to the simulated gateways as events, and writes the gateways' actions as
+//! lines to an output. The adapter itself makes no decisions.
 
 mod adapter;
 mod frame;
@@ -14,19 +15,20 @@
 use frame::LineReader;
 use std::io::{BufRead, Write};
 
-/// Answers each frame of the input with one reply, until the input ends between two frames.
+/// Writes one reply to the output for each frame of the input, until the input ends after a
+/// complete frame.
 ///
 /// # Errors
-/// A line that breaks the protocol, or a failure to read or write.
+/// Returns an error if a line violates the protocol, or if reading or writing fails.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<(), LineError> {
     let mut reader = LineReader::new(input);
     let mut adapter = Adapter::default();
     while let Some(now) = reader.next_frame()? {
         let reply = frame::process(&mut reader, now, &mut adapter)?;
-        let written = output
+        let result = output
             .write_all(reply.as_bytes())
             .and_then(|()| output.flush());
-        written.map_err(|error| reader.error(LineErrorKind::Write(error)))?;
+        result.map_err(|error| reader.error(LineErrorKind::Write(error)))?;
     }
     Ok(())
 }
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -1,19 +1,22 @@
-//! One line of the simulator's protocol: a name and fields, separated by tabs, each field as
-//! `name=value`.
+//! One line of the simulator's protocol: a name and fields of the form `name=value`, separated by
+//! tabs.
 
 use crate::line_error::{LineError, LineErrorKind};
 use std::str::FromStr;
 
-/// A line without its end.
+/// A line without its line ending.
 pub(crate) struct Line<'a> {
+    /// Number of the line in the input, from 1.
     number: usize,
-    /// Says what the line is.
+    /// The text before the first tab, which determines the kind of the line.
     pub(crate) name: &'a str,
+    /// The text after the first tab; empty if there are no fields.
     fields: &'a str,
 }
 
 impl<'a> Line<'a> {
-    /// Splits the name from the fields. `number` is the number of the line.
+    /// Splits a line into its name and fields. `number` is the number of the line in the
+    /// input, from 1.
     pub(crate) fn split(number: usize, text: &'a str) -> Line<'a> {
         let (name, fields) = text.split_once('\t').unwrap_or((text, ""));
         Line {
@@ -23,7 +26,7 @@
         }
     }
 
-    /// An error at this line.
+    /// Returns an error for this line.
     pub(crate) fn error(&self, kind: LineErrorKind) -> LineError {
         LineError {
             line: self.number,
@@ -31,13 +34,14 @@
         }
     }
 
-    /// The error that a field has a value that it cannot have.
+    /// Returns the error for a field with an invalid value.
     pub(crate) fn invalid(&self, field: &'static str) -> LineError {
         let name = self.name.to_owned();
         let value = self.optional(field).unwrap_or_default().to_owned();
         self.error(LineErrorKind::InvalidField { name, field, value })
     }
 
+    /// Returns the error for a required field that is missing.
     fn missing(&self, field: &'static str) -> LineError {
         self.error(LineErrorKind::MissingField {
             name: self.name.to_owned(),
@@ -45,10 +49,10 @@
         })
     }
 
-    /// Checks that this is the line that has to stand here.
+    /// Checks that the line has the expected name.
     ///
     /// # Errors
-    /// The line has another name.
+    /// Returns an error if the line has another name.
     pub(crate) fn expect_name(&self, expected: &'static str) -> Result<(), LineError> {
         if self.name == expected {
             return Ok(());
@@ -59,25 +63,26 @@
         }))
     }
 
-    /// The value of a field, if the line has it.
+    /// Returns the value of a field, or `None` if the line does not have the field.
     pub(crate) fn optional(&self, field: &str) -> Option<&'a str> {
         self.fields
             .split('\t')
             .find_map(|part| value_of(part, field))
     }
 
-    /// The value of a field.
+    /// Returns the value of a field.
     ///
     /// # Errors
-    /// The field is missing.
+    /// Returns an error if the field is missing.
     pub(crate) fn text(&self, field: &'static str) -> Result<&'a str, LineError> {
         self.optional(field).ok_or_else(|| self.missing(field))
     }
 
-    /// The value of a field of free text, which runs to the end of the line and may contain tabs.
+    /// Returns the value of a free-text field, which extends to the end of the line and may contain
+    /// tabs.
     ///
     /// # Errors
-    /// The field is missing.
+    /// Returns an error if the field is missing.
     pub(crate) fn text_to_end(&self, field: &'static str) -> Result<&'a str, LineError> {
         let mut rest = self.fields;
         loop {
@@ -91,18 +96,18 @@
         }
     }
 
-    /// The value of a field, parsed.
+    /// Returns the parsed value of a field.
     ///
     /// # Errors
-    /// The field is missing or cannot be parsed.
+    /// Returns an error if the field is missing or cannot be parsed.
     pub(crate) fn parsed<T: FromStr>(&self, field: &'static str) -> Result<T, LineError> {
         self.text(field)?.parse().map_err(|_| self.invalid(field))
     }
 
-    /// The value of a field, parsed, or `default` if it is missing.
+    /// Returns the parsed value of a field, or `default` if the field is missing.
     ///
     /// # Errors
-    /// The field cannot be parsed.
+    /// Returns an error if the field cannot be parsed.
     pub(crate) fn parsed_or<T: FromStr>(
         &self,
         field: &'static str,
@@ -114,10 +119,10 @@
         }
     }
 
-    /// A number that is finite and not negative.
+    /// Returns the value of a field that must be a finite number, at least 0.
     ///
     /// # Errors
-    /// The field is missing or is no such number.
+    /// Returns an error if the field is missing or has another value.
     pub(crate) fn non_negative(&self, field: &'static str) -> Result<f64, LineError> {
         let value: f64 = self.parsed(field)?;
         if value.is_finite() && value >= 0.0 {
@@ -127,10 +132,10 @@
         }
     }
 
-    /// A flag: `1` for true, `0` or a missing field for false.
+    /// Returns the value of a flag: true for `1`, false for `0` or a missing field.
     ///
     /// # Errors
-    /// The field has another value.
+    /// Returns an error if the field has another value.
     pub(crate) fn flag(&self, field: &'static str) -> Result<bool, LineError> {
         match self.optional(field) {
             Some("1") => Ok(true),
@@ -139,10 +144,12 @@
         }
     }
 
-    /// Bytes in hexadecimal digits, `-` for none.
+    /// Returns the bytes that a field gives as pairs of hexadecimal digits. `-` stands for no
+    /// bytes.
     ///
     /// # Errors
-    /// The field is missing, has an odd number of digits, or contains another character.
+    /// Returns an error if the field is missing, has an odd number of digits, or contains another
+    /// character.
     pub(crate) fn hex(&self, field: &'static str) -> Result<Vec<u8>, LineError> {
         let text = self.text(field)?;
         if text == "-" {
@@ -153,7 +160,7 @@
     }
 }
 
-/// The value in `name=value`, if the name is `field`.
+/// Returns the value of a text `name=value`, or `None` if the name is not `field`.
 fn value_of<'a>(text: &'a str, field: &str) -> Option<&'a str> {
     text.strip_prefix(field)?.strip_prefix('=')
 }
--- a/crates/simulator-adapter/src/line_error.rs
+++ b/crates/simulator-adapter/src/line_error.rs
@@ -1,48 +1,48 @@
-//! What can be wrong with a line of the simulator's protocol.
+//! Errors in the lines of the simulator's protocol.
 
 use gateway_core::settings::ParseError;
 use gateway_core::SettingsError;
 use std::io;
 use thiserror::Error;
 
-/// What is wrong, and in which line.
+/// An error, with the number of the line at which it occurred.
 #[derive(Debug, Error)]
 #[error("line {line}: {kind}")]
 pub struct LineError {
-    /// The number of the line; the first one has number 1.
+    /// Number of the line in the input, from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// The error.
     #[source]
     pub kind: LineErrorKind,
 }
 
-/// What is wrong with a line.
+/// The kinds of errors that end the adapter.
 #[derive(Debug, Error)]
 pub enum LineErrorKind {
-    /// The input cannot be read.
-    #[error("cannot be read: {0}")]
+    /// Reading the input failed.
+    #[error("failed to read the input: {0}")]
     Read(#[source] io::Error),
-    /// The input ends before the line does.
-    #[error("the line breaks off")]
+    /// The input ended before the line's newline.
+    #[error("input ended before the end of the line")]
     Truncated,
-    /// The input ends before the frame does.
-    #[error("input ends inside a batch; eof_batch is missing")]
+    /// The input ended within a frame.
+    #[error("input ended before the eof_batch line")]
     UnterminatedFrame,
-    /// The reply cannot be written.
-    #[error("the reply cannot be written: {0}")]
+    /// Writing the reply failed.
+    #[error("failed to write the reply: {0}")]
     Write(#[source] io::Error),
-    /// Another line has to stand here.
+    /// The protocol requires a line of another name at this place.
     #[error("expected {expected}, found {found:?}")]
     UnexpectedName {
-        /// The name of the line that has to stand here.
+        /// The required name.
         expected: &'static str,
-        /// The name of the line that stands here.
+        /// The name of the line.
         found: String,
     },
-    /// No line has this name.
-    #[error("{0:?} is no known message")]
+    /// The protocol has no line of this name.
+    #[error("unknown line name {0:?}")]
     UnknownName(String),
-    /// A field that is required is missing.
+    /// A required field is missing.
     #[error("{name}: field {field} is missing")]
     MissingField {
         /// The name of the line.
@@ -50,32 +50,32 @@
         /// The name of the field.
         field: &'static str,
     },
-    /// A field has a value that it cannot have.
-    #[error("{name}: field {field} cannot be {value:?}")]
+    /// A field has an invalid value.
+    #[error("{name}: field {field}: invalid value {value:?}")]
     InvalidField {
         /// The name of the line.
         name: String,
         /// The name of the field.
         field: &'static str,
-        /// Its value; empty if it is missing.
+        /// The value; empty if the field is missing.
         value: String,
     },
     /// The settings of a gateway cannot be parsed.
     #[error("hello: field setup: {0}")]
     UnparsableSettings(#[source] ParseError),
-    /// The settings of a gateway make no sense.
+    /// The settings of a gateway contradict each other or are out of range.
     #[error("hello: field setup: {0}")]
     InvalidSettings(#[source] SettingsError),
-    /// The line is for a gateway that was never started, or was stopped.
-    #[error("{name}: field i: {gateway} was never started")]
+    /// The line is addressed to a gateway that was never started, or was stopped.
+    #[error("{name}: field i: gateway {gateway} is not running")]
     UnknownGateway {
         /// The name of the line.
         name: String,
         /// The number of the gateway.
         gateway: u64,
     },
-    /// An endpoint's zone is not in the settings.
-    #[error("update: field list: no zone {zone:?}")]
+    /// The settings of the gateway do not have an endpoint's zone.
+    #[error("update: field list: unknown zone {zone:?}")]
     UnknownZone {
         /// The name of the zone.
         zone: String,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `simulator-adapter`: the adapter on standard input and output.
+//! The program `simulator-adapter`: runs the adapter on standard input and standard output.
 
 use std::io;
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,16 +1,16 @@
-//! Actions of a gateway as lines of the simulator's protocol.
+//! Formats the actions of gateways as lines of the simulator's protocol.
 
 use gateway_core::Action;
 use std::fmt::{self, Write};
 use std::time::Duration;
 
-/// Appends an action of a gateway to a reply.
+/// Appends an action of a gateway to a reply, as one line.
 pub(crate) fn append(reply: &mut String, gateway: u64, action: &Action) {
-    // Writing to a string never fails.
+    // Writing to a `String` never fails.
     let _ = writeln!(reply, "{}", ActionLine { gateway, action });
 }
 
-/// An action of a gateway; displayed as its line, without the end of the line.
+/// An action of a gateway, displayed as a line without its line ending.
 struct ActionLine<'a> {
     gateway: u64,
     action: &'a Action,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Writes a duration in µs, as a field that is left out if it has no value.
+/// Writes a duration in µs as a field, or nothing if there is no value.
 fn write_optional(
     formatter: &mut fmt::Formatter<'_>,
     field: &str,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Bytes in hexadecimal digits, `-` for none.
+/// Bytes, displayed as pairs of hexadecimal digits, or as `-` if there are none.
 struct Hex<'a>(&'a [u8]);
 
 impl fmt::Display for Hex<'_> {
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -1,4 +1,4 @@
-//! Lines of the simulator's protocol as events of a gateway.
+//! Translates lines of the simulator's protocol to events of a gateway.
 
 use crate::line::Line;
 use crate::line_error::{LineError, LineErrorKind};
@@ -11,15 +11,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An endpoint of a list. Its zone gets its id only from the settings of the gateway that is
-/// notified of it.
+/// An endpoint of a list, with the name of its zone. The id of the zone depends on the settings of
+/// the gateway that the list is sent to.
 pub(crate) struct ListedEndpoint {
     zone_name: String,
-    /// The endpoint, with a zone that means nothing yet.
+    /// The endpoint, with a placeholder as its zone.
     endpoint: Endpoint,
 }
 
 impl ListedEndpoint {
+    /// Returns the endpoint with the id that its zone has among `zone_names`.
     fn resolve(&self, line: &Line, zone_names: &[String]) -> Result<Endpoint, LineError> {
         let Some(zone) = settings::zone_by_name(zone_names, &self.zone_name) else {
             return Err(line.error(LineErrorKind::UnknownZone {
@@ -33,11 +34,11 @@
     }
 }
 
-/// Parses one line of an endpoint list.
+/// Parses an `item` line, which describes one endpoint of a list.
 ///
 /// # Errors
-/// The line is no such line, or is malformed.
-pub(crate) fn listed_endpoint(line: &Line) -> Result<ListedEndpoint, LineError> {
+/// Returns an error if the line is not an `item` line or is malformed.
+pub(crate) fn parse_listed_endpoint(line: &Line) -> Result<ListedEndpoint, LineError> {
     line.expect_name("item")?;
     let weight = line.non_negative("capacityHint")?;
     let zone_name = line.text("campus")?.to_owned();
@@ -64,18 +65,18 @@
     }
 }
 
-/// When the server started; 0 stands for a time that is not known.
+/// Parses the time at which a server started. 0 or a missing field means that it is unknown.
 fn started_at(line: &Line) -> Result<Option<Timestamp>, LineError> {
     let started_at: u64 = line.parsed_or("cameUpUs", 0)?;
     Ok((started_at != 0).then_some(Timestamp::from_micros(started_at)))
 }
 
-/// The event that a line reports to a gateway with these settings; `None` for a line that the
-/// gateway need not know.
+/// Parses the event that a line reports to a gateway with these settings. Returns `None` for a line
+/// that is not passed to the gateway.
 ///
 /// # Errors
-/// No line has this name, or the line is malformed.
-pub(crate) fn event(
+/// Returns an error if the line's name is unknown or the line is malformed.
+pub(crate) fn parse_event(
     line: &Line,
     settings: &ResolvedSettings,
     lists: &BTreeMap<u8, Vec<ListedEndpoint>>,
@@ -94,8 +95,8 @@
             token: line.parsed("nonce")?,
         },
         "whisper" => peer_message(line)?,
-        // Responses to health probes and to calls of the counter: a gateway makes neither. They are
-        // only validated.
+        // Responses to health probes and to requests to the simulator's counter. A gateway sends
+        // neither, so these lines are only validated.
         "echo" | "counter_reply" => {
             attempt_outcome(line)?;
             return Ok(None);
@@ -178,13 +179,14 @@
     }
 }
 
-/// Requests in flight at the server, if the line reports them. A malformed report counts as none.
+/// Parses the load report: the number of requests in flight at the server. Returns `None` if the
+/// report is missing or malformed.
 fn reported_load(line: &Line) -> Option<f64> {
     let report = line.optional("telemetry")?;
     load_report::parse_in_flight(report, ':')
 }
 
-/// The index of a field's value among the names that the settings define.
+/// Returns the index of a field's value in `names`, which the settings define.
 fn index_of(line: &Line, field: &'static str, names: &[String]) -> Result<usize, LineError> {
     let name = line.text(field)?;
     names
--- a/crates/simulator-adapter/tests/unit/line.rs
+++ b/crates/simulator-adapter/tests/unit/line.rs
@@ -1,4 +1,4 @@
-//! The fields of a line, and the text of each error.
+//! Parsing of lines and their fields, and the text of each error.
 
 use super::*;
 use gateway_core::settings::ParseError;
@@ -9,12 +9,12 @@
     Line::split(7, text)
 }
 
-fn text_of<T>(result: Result<T, LineError>) -> String {
-    result.err().expect("an error").to_string()
+fn error_text<T>(result: Result<T, LineError>) -> String {
+    result.err().expect("result is an error").to_string()
 }
 
 #[test]
-fn a_line_is_a_name_and_fields() {
+fn splits_line_into_name_and_fields() {
     let line = line("knock\tcall=rq_a\tcallId=4\tempty=");
     assert_eq!(line.name, "knock");
     assert_eq!(line.text("call").ok(), Some("rq_a"));
@@ -25,24 +25,24 @@
 }
 
 #[test]
-fn free_text_runs_to_the_end_of_the_line() {
+fn text_to_end_includes_tabs_and_later_fields() {
     let line = line("hello\ti=3\tsetup={\"a\":\t1}\tmore=2");
     assert_eq!(line.text_to_end("setup").ok(), Some("{\"a\":\t1}\tmore=2"));
     assert_eq!(
-        text_of(line.text_to_end("set")),
+        error_text(line.text_to_end("set")),
         "line 7: hello: field set is missing"
     );
 }
 
 #[test]
-fn numbers_have_defaults_and_bounds() {
+fn numbers_have_defaults_and_non_negative_rejects_others() {
     let line = line("x\tn=5\tnegative=-1\tinfinite=inf\tnan=NaN\tword=w");
     assert_eq!(line.parsed_or("n", 0_u64).ok(), Some(5));
     assert_eq!(line.parsed_or("missing", 9_u64).ok(), Some(9));
     assert_eq!(line.non_negative("n").ok(), Some(5.0));
     assert_eq!(
-        text_of(line.parsed_or("word", 0_u64)),
-        "line 7: x: field word cannot be \"w\""
+        error_text(line.parsed_or("word", 0_u64)),
+        "line 7: x: field word: invalid value \"w\""
     );
     for field in ["negative", "infinite", "nan", "word", "missing"] {
         assert!(line.non_negative(field).is_err(), "{field}");
@@ -50,19 +50,19 @@
 }
 
 #[test]
-fn a_flag_is_0_or_1() {
+fn flag_accepts_only_0_and_1() {
     let line = line("x\tyes=1\tno=0\tother=true");
     assert_eq!(line.flag("yes").ok(), Some(true));
     assert_eq!(line.flag("no").ok(), Some(false));
     assert_eq!(line.flag("missing").ok(), Some(false));
     assert_eq!(
-        text_of(line.flag("other")),
-        "line 7: x: field other cannot be \"true\""
+        error_text(line.flag("other")),
+        "line 7: x: field other: invalid value \"true\""
     );
 }
 
 #[test]
-fn bytes_are_pairs_of_hexadecimal_digits() {
+fn hex_accepts_only_pairs_of_hexadecimal_digits() {
     let line = line("x\tsome=00fFa7\tnone=-\todd=123\tsign=+1\tempty=");
     assert_eq!(line.hex("some").ok(), Some(vec![0x00, 0xff, 0xa7]));
     assert_eq!(line.hex("none").ok(), Some(Vec::new()));
@@ -72,42 +72,42 @@
 }
 
 #[test]
-fn errors_name_the_line_and_keep_their_text() {
+fn error_text_names_line_and_cause() {
     let line = line("update\tkind=Odd");
-    let unknown = LineErrorKind::UnknownGateway {
+    let unknown_gateway = LineErrorKind::UnknownGateway {
         name: "update".to_owned(),
         gateway: 4,
     };
     let cases = [
         (
             line.error(LineErrorKind::Truncated),
-            "line 7: the line breaks off",
+            "line 7: input ended before the end of the line",
         ),
         (
             line.error(LineErrorKind::UnterminatedFrame),
-            "line 7: input ends inside a batch; eof_batch is missing",
+            "line 7: input ended before the eof_batch line",
         ),
         (
             line.error(LineErrorKind::Read(io::Error::other("cause"))),
-            "line 7: cannot be read: cause",
+            "line 7: failed to read the input: cause",
         ),
         (
             line.error(LineErrorKind::Write(io::Error::other("cause"))),
-            "line 7: the reply cannot be written: cause",
+            "line 7: failed to write the reply: cause",
         ),
         (
-            line.error(unknown),
-            "line 7: update: field i: 4 was never started",
+            line.error(unknown_gateway),
+            "line 7: update: field i: gateway 4 is not running",
         ),
         (
             line.error(LineErrorKind::UnknownName("knok".to_owned())),
-            "line 7: \"knok\" is no known message",
+            "line 7: unknown line name \"knok\"",
         ),
         (
             line.error(LineErrorKind::UnknownZone {
                 zone: "z".to_owned(),
             }),
-            "line 7: update: field list: no zone \"z\"",
+            "line 7: update: field list: unknown zone \"z\"",
         ),
         (
             line.error(LineErrorKind::InvalidSettings(SettingsError::NoPlans)),
@@ -119,30 +119,32 @@
         ),
         (
             line.invalid("kind"),
-            "line 7: update: field kind cannot be \"Odd\"",
+            "line 7: update: field kind: invalid value \"Odd\"",
         ),
         (
             line.invalid("list"),
-            "line 7: update: field list cannot be \"\"",
+            "line 7: update: field list: invalid value \"\"",
         ),
     ];
     for (error, text) in cases {
         assert_eq!(error.to_string(), text);
     }
     assert_eq!(
-        text_of(line.expect_name("item")),
+        error_text(line.expect_name("item")),
         "line 7: expected item, found \"update\""
     );
     assert_eq!(
-        text_of(line.text("list")),
+        error_text(line.text("list")),
         "line 7: update: field list is missing"
     );
 }
 
 #[test]
-fn the_source_error_is_preserved() {
+fn error_preserves_its_source() {
     let error = line("x").error(LineErrorKind::InvalidSettings(SettingsError::NoPlans));
-    let kind = std::error::Error::source(&error).expect("the kind");
-    let cause = kind.source().expect("the cause");
+    let kind = std::error::Error::source(&error).expect("error has its kind as source");
+    let cause = kind
+        .source()
+        .expect("kind has the settings error as source");
     assert_eq!(cause.downcast_ref(), Some(&SettingsError::NoPlans));
 }
--- a/crates/simulator-adapter/tests/unit/reply.rs
+++ b/crates/simulator-adapter/tests/unit/reply.rs
@@ -1,10 +1,10 @@
-//! Each action as its line, byte for byte.
+//! The line of each action, compared byte for byte.
 
 use super::*;
 use gateway_core::{AttemptNumber, GatewayId, RequestId, ServerId, Warning};
 
 #[test]
-fn each_action_has_its_line() {
+fn appends_each_action_as_one_line() {
     let id = RequestId("rq_a".into());
     let server = ServerId(51);
     let cases = [
