--- a/crates/xtask/src/known_red.rs
+++ b/crates/xtask/src/known_red.rs
@@ -1,8 +1,8 @@
-//! The format of `KNOWN-RED.txt`: tests that fail because of a fault that is known, and not yet
-//! fixed.
+//! The format of `KNOWN-RED.txt`, the list of tests that fail because of a known fault that is not
+//! fixed yet.
 //!
-//! Entries are separated by blank lines. Each has the fields `test`, `command`, `seed`, `seen` and
-//! `issue`, once, in this order, each on one line of the form `field: text`:
+//! Entries are separated by blank lines. Each entry has the fields `test`, `command`, `seed`,
+//! `seen` and `issue`, in this order. Each field is one line of the form `field: text`:
 //!
 //! ```text
 //! test: crates/edge-node/tests/edge/main.rs watch::a_lost_watch_is_opened_again
@@ -12,35 +12,35 @@
 //! issue: 31
 //! ```
 //!
-//! The field `test` is the source file of the test binary, from the root of the workspace, and the
-//! full name of the test in it. Together they name one test only, also where another package or
-//! binary has a test of the same name.
+//! The field `test` is the path of the test binary's source file, relative to the root of the
+//! workspace, and the full name of the test in that binary. Together they identify one test, even
+//! if another package or binary has a test of the same name.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The name of the list in the root of the workspace.
+/// The name of the list's file, which is in the root of the workspace.
 pub const FILE_NAME: &str = "KNOWN-RED.txt";
 
-/// The fields of an entry, in their order.
+/// The names of an entry's fields, in the required order.
 const FIELD_NAMES: [&str; 5] = ["test", "command", "seed", "seen", "issue"];
 
-/// One test, in one test binary.
+/// The identity of a test: its test binary, and its name there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TestId {
-    /// The source file of the test binary, from the root of the workspace.
+    /// The path of the test binary's source file, relative to the root of the workspace.
     pub source_file: PathBuf,
-    /// The name of the test in this binary, with its modules.
+    /// The name of the test in this binary, including its module path.
     pub name: String,
 }
 
 impl TestId {
-    /// Parses `SOURCE_FILE NAME`.
+    /// Parses a text of the form `SOURCE_FILE NAME`. Returns `None` for any other text.
     fn parse(text: &str) -> Option<TestId> {
         let (source_file, name) = text.split_once(' ')?;
-        let is_one_word = !name.is_empty() && !name.contains(char::is_whitespace);
-        is_one_word.then(|| TestId {
+        let is_valid_name = !name.is_empty() && !name.contains(char::is_whitespace);
+        is_valid_name.then(|| TestId {
             source_file: Path::new(source_file).to_owned(),
             name: name.to_owned(),
         })
@@ -56,36 +56,36 @@
 /// A test that is known to fail.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The test that CI passes over.
+    /// The test, which CI does not run.
     pub test: TestId,
-    /// The entry as it is written in the file.
+    /// The lines of the entry in the file.
     pub text: String,
 }
 
-/// Why a list can't be read.
+/// Why a list cannot be parsed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ParseError {
-    /// A line that isn't the field expected at this place of an entry, or that has no text.
+    /// A line is not the field expected at this place of an entry, or the field has no text.
     #[error("{FILE_NAME}:{line}: expected `{expected}: ...`")]
     Field {
-        /// The number of the line, from 1.
+        /// Number of the line in the file, from 1.
         line: usize,
         /// The name of the expected field.
         expected: &'static str,
     },
-    /// A field `test` that isn't a source file and the name of a test.
+    /// A field `test` is not a source file and the name of a test.
     #[error("{FILE_NAME}:{line}: expected `test: SOURCE_FILE NAME`")]
     Test {
-        /// The number of the line, from 1.
+        /// Number of the line in the file, from 1.
         line: usize,
     },
-    /// A line that follows the last field of an entry.
+    /// A line follows the last field of an entry without a blank line in between.
     #[error("{FILE_NAME}:{line}: expected a blank line before the next entry")]
     Separator {
-        /// The number of the line, from 1.
+        /// Number of the line in the file, from 1.
         line: usize,
     },
-    /// Two entries for one test.
+    /// Two entries have the same test.
     #[error("{FILE_NAME}: two entries for {0}")]
     Duplicate(TestId),
 }
@@ -93,7 +93,8 @@
 /// Parses the text of a list.
 ///
 /// # Errors
-/// An entry that isn't in the format of this module, or a test that is listed twice.
+/// Returns an error if an entry is not in the format that this module describes, or if a test is
+/// listed twice.
 pub fn parse(text: &str) -> Result<Vec<Entry>, ParseError> {
     let mut entries: Vec<Entry> = Vec::new();
     let mut lines = numbered_lines(text).peekable();
@@ -114,14 +115,14 @@
     Ok(entries)
 }
 
-/// The lines of a text with their numbers, from 1.
+/// Returns the lines of a text with their numbers, from 1.
 fn numbered_lines(text: &str) -> impl Iterator<Item = (usize, &str)> {
     text.lines()
         .enumerate()
         .map(|(index, line)| (index + 1, line))
 }
 
-/// Parses the lines of one entry, of which there is at least one.
+/// Parses the lines of one entry. There must be at least one line.
 fn parse_entry(lines: &[(usize, &str)]) -> Result<Entry, ParseError> {
     let mut values = Vec::with_capacity(FIELD_NAMES.len());
     for (index, expected) in FIELD_NAMES.into_iter().enumerate() {
@@ -141,7 +142,7 @@
     })
 }
 
-/// The text after `name:`, unless it is empty or the line is of another field.
+/// Returns the text after `name:`, or `None` if the line is another field or has no text.
 fn field_value<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     let value = line.strip_prefix(name)?.strip_prefix(':')?.trim();
     (!value.is_empty()).then_some(value)
--- a/crates/xtask/src/lib.rs
+++ b/crates/xtask/src/lib.rs
@@ -1,4 +1,5 @@
-//! What CI runs beyond cargo's own commands: all tests but those that `KNOWN-RED.txt` lists.
+//! Tasks of CI beyond cargo's own commands: running all tests except those that `KNOWN-RED.txt`
+//! lists.
 
 pub mod known_red;
 pub mod run_tests;
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,5 +1,6 @@
-//! The program `xtask`. `xtask test CARGO_ARGUMENTS...`, run in the root of a workspace, runs its
-//! tests with `cargo test CARGO_ARGUMENTS...`, but for those that `KNOWN-RED.txt` lists.
+//! The program `xtask`. `xtask test CARGO_ARGUMENTS...`, called in the root of a workspace, runs
+//! the tests that `cargo test CARGO_ARGUMENTS...` would run, except those that `KNOWN-RED.txt`
+//! lists.
 
 use std::env;
 use std::process::ExitCode;
@@ -15,7 +16,7 @@
     let root = match env::current_dir() {
         Ok(root) => root,
         Err(error) => {
-            eprintln!("error: the working directory: {error}");
+            eprintln!("error: cannot read the working directory: {error}");
             return ExitCode::FAILURE;
         }
     };
--- a/crates/xtask/src/run_tests.rs
+++ b/crates/xtask/src/run_tests.rs
@@ -1,9 +1,9 @@
-//! Runs the tests of a workspace, but for those listed in `KNOWN-RED.txt`, which are printed
+//! Runs the tests of a workspace, except those listed in `KNOWN-RED.txt`, whose entries are printed
 //! instead.
 //!
-//! Without a list this is `cargo test`. With one, cargo builds the test binaries and runs the
-//! documentation tests, and the test binaries are run from here: cargo passes arguments to all of
-//! them alike, and would pass over namesakes too.
+//! Without entries in the list, this is `cargo test`. With entries, cargo builds the test binaries
+//! and runs the documentation tests, but this module runs the test binaries. Cargo passes the same
+//! arguments to all test binaries, so it would also skip tests of the same name in other binaries.
 
 use crate::known_red::{self, Entry, ParseError, TestId, FILE_NAME};
 use crate::test_binary::TestBinary;
@@ -12,47 +12,49 @@
 use std::{env, fs, io};
 use thiserror::Error;
 
-/// How a failure of cargo is reported.
+/// The name under which errors of cargo are reported.
 const CARGO_TEST: &str = "cargo test";
 
-/// Why a run of tests isn't a success.
+/// Why a test run did not succeed.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The list can't be read.
+    /// The list cannot be parsed.
     #[error(transparent)]
     List(#[from] ParseError),
-    /// An entry of the list names a test that doesn't exist.
+    /// An entry of the list names a test that does not exist.
     #[error("{FILE_NAME}: there is no test {0}")]
     UnknownTest(TestId),
-    /// A test failed, or the tests can't be built.
+    /// A test failed, or the tests could not be built.
     #[error("{program}: {status}")]
     Failed {
-        /// What was run.
+        /// The program: `cargo test` or the source file of a test binary.
         program: String,
-        /// How it ended.
+        /// The exit status of the program.
         status: ExitStatus,
     },
-    /// The list can't be read, or a program can't be started.
-    #[error("{action}: {source}")]
+    /// The list could not be read, or a program could not be started.
+    #[error("{subject}: {source}")]
     Io {
-        /// What was tried.
-        action: String,
-        /// Why it failed.
+        /// The file or program, or the test whose binary could not be run.
+        subject: String,
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// Runs the tests of the workspace with this root, and stops at the first binary with a failed
-/// test, as cargo does. The arguments are for `cargo test`: profile and packages.
+/// Runs the tests of the workspace at `root` that are not listed in `KNOWN-RED.txt`. Stops at the
+/// first test binary with a failed test, as cargo does. `cargo_arguments` are arguments of
+/// `cargo test`, such as the profile and packages.
 ///
 /// # Errors
-/// A test fails that isn't listed, the list is wrong, or a program can't be run.
+/// Returns an error if a test fails that is not listed, if the list is malformed or names an
+/// unknown test, or if a program cannot be run.
 pub fn run_tests(root: &Path, cargo_arguments: &[String]) -> Result<(), RunError> {
     let entries = read_entries(root)?;
     if entries.is_empty() {
         return run_cargo_test(root, cargo_arguments, &[]);
     }
-    let binaries = build(root, cargo_arguments)?;
+    let binaries = build_test_binaries(root, cargo_arguments)?;
     check_that_tests_exist(&entries, &binaries, root)?;
     print_entries(&entries);
     for binary in &binaries {
@@ -61,7 +63,7 @@
     run_cargo_test(root, cargo_arguments, &["--doc"])
 }
 
-/// The entries of the list in the root, none without a list.
+/// Returns the entries of the list in the root of the workspace; none if there is no list.
 fn read_entries(root: &Path) -> Result<Vec<Entry>, RunError> {
     match fs::read_to_string(root.join(FILE_NAME)) {
         Ok(text) => Ok(known_red::parse(&text)?),
@@ -70,9 +72,12 @@
     }
 }
 
-/// Builds all test binaries.
-fn build(root: &Path, cargo_arguments: &[String]) -> Result<Vec<TestBinary>, RunError> {
-    let messages = cargo_test(root, cargo_arguments)
+/// Builds all test binaries, and returns them.
+fn build_test_binaries(
+    root: &Path,
+    cargo_arguments: &[String],
+) -> Result<Vec<TestBinary>, RunError> {
+    let messages = cargo_test_command(root, cargo_arguments)
         .args(["--no-run", "--message-format", "json-render-diagnostics"])
         .stderr(Stdio::inherit())
         .output()
@@ -85,6 +90,7 @@
         .collect())
 }
 
+/// Checks that the test of each entry exists in a test binary.
 fn check_that_tests_exist(
     entries: &[Entry],
     binaries: &[TestBinary],
@@ -119,23 +125,30 @@
         .filter(|entry| binary.is_built_from(&entry.test.source_file, root))
         .map(|entry| entry.test.name.as_str())
         .collect();
-    let status = binary.run_without(&listed);
+    let status = binary.run_all_except(&listed);
     check_status(
         &program,
         status.map_err(|source| io_error(&program, source))?,
     )
 }
 
-fn run_cargo_test(root: &Path, arguments: &[String], further: &[&str]) -> Result<(), RunError> {
-    let status = cargo_test(root, arguments).args(further).status();
+fn run_cargo_test(
+    root: &Path,
+    arguments: &[String],
+    extra_arguments: &[&str],
+) -> Result<(), RunError> {
+    let status = cargo_test_command(root, arguments)
+        .args(extra_arguments)
+        .status();
     check_status(
         CARGO_TEST,
         status.map_err(|source| io_error(CARGO_TEST, source))?,
     )
 }
 
-/// `cargo test` with these arguments: with the cargo that started this program, if one did.
-fn cargo_test(root: &Path, arguments: &[String]) -> Command {
+/// Returns the command `cargo test` with these arguments. Uses the cargo that started this program,
+/// or the one in `PATH` if this program was not started by cargo.
+fn cargo_test_command(root: &Path, arguments: &[String]) -> Command {
     let mut command = Command::new(env::var_os("CARGO").unwrap_or_else(|| "cargo".into()));
     command.arg("test").args(arguments).current_dir(root);
     command
@@ -151,9 +164,9 @@
     })
 }
 
-fn io_error(action: &str, source: io::Error) -> RunError {
+fn io_error(subject: &str, source: io::Error) -> RunError {
     RunError::Io {
-        action: action.to_owned(),
+        subject: subject.to_owned(),
         source,
     }
 }
--- a/crates/xtask/src/test_binary.rs
+++ b/crates/xtask/src/test_binary.rs
@@ -1,22 +1,22 @@
-//! The test binaries that cargo builds, and the tests in each.
+//! The test binaries that cargo builds: listing and running their tests.
 
 use serde::Deserialize;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitStatus, Stdio};
 
-/// A test binary of a package of the workspace.
+/// A test binary of a package in the workspace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TestBinary {
-    /// The file to execute.
+    /// The path of the executable.
     pub executable: PathBuf,
-    /// The source file of the binary.
+    /// The absolute path of the source file that the executable is built from.
     pub source_file: PathBuf,
-    /// The package's folder, in which cargo runs its tests.
-    pub package_folder: PathBuf,
+    /// The directory of the package. Like cargo, this program runs the package's tests there.
+    pub package_directory: PathBuf,
 }
 
-/// The part of cargo's message on a built target that is needed here.
+/// The fields of cargo's message on a built target that identify a test binary.
 #[derive(Deserialize)]
 struct ArtifactMessage {
     executable: Option<PathBuf>,
@@ -36,8 +36,8 @@
 }
 
 impl TestBinary {
-    /// Reads a line that cargo prints with `--message-format json`. `None` where it is about
-    /// anything but a test binary.
+    /// Parses a line that cargo prints with `--message-format json`. Returns `None` if the line is
+    /// not about a test binary.
     #[must_use]
     pub fn from_cargo_message(line: &str) -> Option<TestBinary> {
         let message: ArtifactMessage = serde_json::from_str(line).ok()?;
@@ -47,14 +47,14 @@
         Some(TestBinary {
             executable: message.executable?,
             source_file: message.target.src_path,
-            package_folder: message.manifest_path.parent()?.to_owned(),
+            package_directory: message.manifest_path.parent()?.to_owned(),
         })
     }
 
-    /// The names of all its tests, ignored ones too.
+    /// Returns the names of all tests in the binary, including ignored tests.
     ///
     /// # Errors
-    /// It can't be executed, or fails.
+    /// Returns an error if the binary cannot be executed or fails.
     pub fn test_names(&self) -> io::Result<Vec<String>> {
         let output = self
             .command()
@@ -70,11 +70,12 @@
         Ok(names.map(str::to_owned).collect())
     }
 
-    /// Runs all its tests but those with exactly these names.
+    /// Runs all tests in the binary except those with exactly these names. Returns the exit status
+    /// of the binary.
     ///
     /// # Errors
-    /// It can't be executed.
-    pub fn run_without(&self, names: &[&str]) -> io::Result<ExitStatus> {
+    /// Returns an error if the binary cannot be executed.
+    pub fn run_all_except(&self, names: &[&str]) -> io::Result<ExitStatus> {
         let mut command = self.command();
         if !names.is_empty() {
             command.arg("--exact");
@@ -85,15 +86,17 @@
         command.status()
     }
 
+    /// Returns the command that executes the binary as cargo does.
     fn command(&self) -> Command {
         let mut command = Command::new(&self.executable);
         command
-            .current_dir(&self.package_folder)
-            .env("CARGO_MANIFEST_DIR", &self.package_folder);
+            .current_dir(&self.package_directory)
+            .env("CARGO_MANIFEST_DIR", &self.package_directory);
         command
     }
 
-    /// Whether it is built from this source file, given from the root of the workspace.
+    /// Returns whether the binary is built from this source file. The path is relative to `root`,
+    /// the root of the workspace.
     #[must_use]
     pub fn is_built_from(&self, source_file: &Path, root: &Path) -> bool {
         self.source_file == root.join(source_file)
--- a/crates/xtask/tests/known_red.rs
+++ b/crates/xtask/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The format of `KNOWN-RED.txt`.
+//! Parsing of `KNOWN-RED.txt`.
 
 use std::path::Path;
 use xtask::known_red::{parse, ParseError};
@@ -16,27 +16,30 @@
 issue: 32";
 
 #[test]
-fn entries_are_separated_by_blank_lines() {
+fn parses_entries_separated_by_blank_lines() {
     let entries = parse(&format!("\n{FIRST}\n\n\n{SECOND}\n")).expect("two entries");
     let texts: Vec<&str> = entries.iter().map(|entry| entry.text.as_str()).collect();
     assert_eq!(texts, [FIRST, SECOND]);
     let test = &entries[0].test;
     assert_eq!(test.source_file, Path::new("crates/node/tests/edge.rs"));
     assert_eq!(test.name, "watch::opens");
-    assert_ne!(entries[1].test, *test, "a namesake in another binary");
+    assert_ne!(
+        entries[1].test, *test,
+        "tests of the same name in different binaries differ"
+    );
     assert_eq!(parse("\n"), Ok(Vec::new()));
 }
 
 #[test]
-fn each_field_is_needed_once_and_in_order() {
-    let missing = |line, expected| Err(ParseError::Field { line, expected });
+fn rejects_missing_empty_misplaced_or_extra_fields() {
+    let field_error = |line, expected| Err(ParseError::Field { line, expected });
     let cases = [
-        (FIRST.replace("seed: 17\n", ""), missing(3, "seed")),
-        (FIRST.replace("seed: 17", "seed:"), missing(3, "seed")),
-        (FIRST.replace("\nissue: 31", ""), missing(4, "issue")),
+        (FIRST.replace("seed: 17\n", ""), field_error(3, "seed")),
+        (FIRST.replace("seed: 17", "seed:"), field_error(3, "seed")),
+        (FIRST.replace("\nissue: 31", ""), field_error(4, "issue")),
         (
             format!("\n{}", FIRST.replace("test:", "name:")),
-            missing(2, "test"),
+            field_error(2, "test"),
         ),
         (
             FIRST.replace(" watch::opens\nc", "\nc"),
@@ -57,8 +60,8 @@
 }
 
 #[test]
-fn a_test_is_listed_once() {
-    let error = parse(&format!("{FIRST}\n\n{FIRST}")).expect_err("it is listed twice");
+fn rejects_test_that_is_listed_twice() {
+    let error = parse(&format!("{FIRST}\n\n{FIRST}")).expect_err("test is listed twice");
     let text = "KNOWN-RED.txt: two entries for crates/node/tests/edge.rs watch::opens";
     assert_eq!(error.to_string(), text);
 }
