--- a/crates/edge-node/src/clients/call_terms.rs
+++ b/crates/edge-node/src/clients/call_terms.rs
@@ -1,23 +1,23 @@
-//! The header `X-Call-Terms`: what a call costs, and which gateways its customer may come through.
+//! The `X-Call-Terms` header: the quota units of a request and the gateway set of its customer.
 
 use super::header_value::{parse_decimal, parse_whole_number};
 use gateway_core::{GatewayId, GatewaySet, Settings, Units};
 
-/// The terms of one call, all of them within the settings.
+/// The call terms of one request, checked against the settings.
 #[derive(Debug, PartialEq)]
 pub struct CallTerms {
-    /// Units of quota that the call costs.
+    /// Quota units that the request costs.
     pub units: Units,
-    /// The gateways that the customer is spread over.
+    /// The gateways over which the requests of the customer are spread.
     pub gateways: GatewaySet,
 }
 
 impl CallTerms {
-    /// Parses terms such as `units=2.5,spread=3,first=17`, in any order. Terms of other names are
-    /// ignored.
+    /// Parses terms such as `units=2.5,spread=3,first=17`, in any order. Ignores terms with other
+    /// names.
     ///
-    /// `None` if one of the three is missing, repeated or beyond the settings, or if any term has
-    /// no `=`.
+    /// Returns `None` if `units`, `spread` or `first` is missing, repeated or outside the range
+    /// that the settings allow, or if any term has no `=`.
     pub fn parse(text: &str, settings: &Settings) -> Option<CallTerms> {
         let mut units = None;
         let mut gateway_count = None;
@@ -42,13 +42,13 @@
     }
 }
 
-/// Sets a value that may be given once; `None` if it was set before.
+/// Sets a value that may be given only once. Returns `None` if it is already set.
 fn set_once<T>(slot: &mut Option<T>, value: T) -> Option<()> {
     slot.replace(value).is_none().then_some(())
 }
 
 fn parse_units(value: &str, settings: &Settings) -> Option<Units> {
-    // Zero in the settings stands for no limit.
+    // Zero in the settings means that there is no limit.
     let limit = if settings.max_request_units > Units::ZERO {
         settings.max_request_units
     } else {
--- a/crates/edge-node/src/clients/connection.rs
+++ b/crates/edge-node/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client, from accept to close.
+//! Serves one client connection, from accept to close.
 
 use super::connection_state::{ConnectionState, InFlightGuard};
 use super::phase::{wait_for_closing, Phase};
@@ -15,15 +15,15 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a connection may be open without a whole request head, from accept on and after each
-/// response. Without a limit, clients that send nothing, or a head that never ends, would hold
-/// their connections for ever.
+/// Maximum time for a complete request head to arrive, counted from accept and after each response.
+/// Without a limit, clients that send nothing, or a head that never ends, would hold their
+/// connections forever.
 const HEAD_READ_TIMEOUT: Duration = Duration::from_millis(2200);
-/// Most bytes buffered for one client, so that all clients together stay far below the memory
-/// limit.
+/// Maximum number of bytes buffered per client, so that all clients together stay far below the
+/// memory limit.
 const MAX_BUFFERED_BYTES: usize = 32 * 1024;
 
-/// What the requests of one connection share.
+/// State that the requests of one connection share.
 struct Connection {
     node: Rc<Node>,
     phase: watch::Receiver<Phase>,
@@ -35,7 +35,8 @@
 /// is closing and has sent the last response.
 ///
 /// Dropping the future closes the socket at once and abandons a request in flight. The connection
-/// table drops it to evict an idle connection, and with the table itself when the process ends.
+/// table drops the future to evict an idle connection, and drops all futures when it is itself
+/// dropped at the end of the process.
 pub(super) async fn serve(
     stream: ReadAheadStream,
     node: Rc<Node>,
@@ -43,7 +44,7 @@
     state: Rc<ConnectionState>,
 ) {
     // Declared first, hence dropped last: the connection is counted until its socket is closed.
-    let _counted = node.client_connected();
+    let _connection_guard = node.client_connected();
     let connection = Connection {
         node,
         phase: phase.clone(),
@@ -62,8 +63,8 @@
         _ = &mut http_connection => return,
         () = wait_for_graceful_shutdown(phase) => http_connection.as_mut().graceful_shutdown(),
     }
-    // An error needs no handling: if the client broke off within a request, the guard of that
-    // request abandoned it.
+    // An error needs no handling: if the client disconnected during a request, the `AbandonGuard`
+    // of that request has abandoned it.
     let _ = http_connection.await;
 }
 
@@ -76,17 +77,18 @@
     server
 }
 
-/// Returns when idle connections are to be closed.
+/// Waits until the connection is to be shut down gracefully.
 ///
-/// The runtime gets one turn between the phase's change and the close: a request that has arrived
-/// by then is read and answered, where an immediate close would drop it unread.
+/// Yields to the runtime once between the phase change and the shutdown, so that a request that has
+/// already arrived is read and answered. An immediate shutdown would drop the request unread.
 async fn wait_for_graceful_shutdown(phase: watch::Receiver<Phase>) {
     wait_for_closing(phase).await;
     tokio::task::yield_now().await;
 }
 
 impl Connection {
-    /// Responds to one request. While the future lives, the connection counts as busy.
+    /// Responds to one request. The connection counts as busy until the future completes or is
+    /// dropped.
     async fn respond(
         &self,
         request: Request<Incoming>,
@@ -102,10 +104,11 @@
         Ok(response)
     }
 
-    /// Lets the runtime look for a close of the client before work is done for it.
+    /// Yields to the runtime once before the first request, so that a client that has already
+    /// closed the connection is detected before any work is done for it.
     ///
-    /// What a new connection holds is read in the turn that accepts it, but that its client had
-    /// closed it before shows only in the runtime's next turn.
+    /// Data that has arrived on a new connection is read in the runtime turn that accepts the
+    /// connection, but a close behind that data is reported only in the next turn.
     async fn yield_before_first_request(&self) {
         if self.state.take_first_request() {
             tokio::task::yield_now().await;
--- a/crates/edge-node/src/clients/connection_state.rs
+++ b/crates/edge-node/src/clients/connection_state.rs
@@ -1,4 +1,4 @@
-//! What the table of connections knows of one connection.
+//! The state of a client connection that decides when the connection is evicted.
 
 use super::read_ahead::ReadAheadStream;
 use std::cell::Cell;
@@ -6,17 +6,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A connection on which no request has come yet counts as idle for this much longer than it is:
-/// well-behaved clients send one as soon as they connect.
+/// Idle time credited to a new connection, so that it is evicted before a connection that has just
+/// become idle: well-behaved clients send a request as soon as they connect.
 const INITIAL_IDLE_TIME: Duration = Duration::from_secs(1);
 
-/// What the table knows of a connection; the connection's own task keeps it up to date.
+/// State of a connection that the connection table reads. The connection's own task keeps it up to
+/// date.
 pub(super) struct ConnectionState {
-    /// Since when no request is in flight; `None` while one is.
+    /// Time at which the connection became idle; `None` while a request is in flight.
     idle_since: Cell<Option<Instant>>,
-    /// Whether the client reads so slowly that a part of a response is still unwritten.
+    /// Whether part of a response is still unwritten because the client reads slowly.
     write_blocked: Rc<Cell<bool>>,
-    /// Whether no request has come yet.
+    /// Whether no request has arrived yet.
     awaits_first_request: Cell<bool>,
 }
 
@@ -31,13 +32,13 @@
         }
     }
 
-    /// Notes that a request has come; true if it is the first.
+    /// Records that a request has arrived. Returns whether it is the first one of the connection.
     pub(super) fn take_first_request(&self) -> bool {
         self.awaits_first_request.replace(false)
     }
 
-    /// Where the connection stands in the order of eviction; `None` while a request is in flight on
-    /// it.
+    /// Returns the position of the connection in the order of eviction, or `None` while a request
+    /// is in flight on it.
     pub(super) fn eviction_order(&self) -> Option<EvictionOrder> {
         let idle_since = self.idle_since.get()?;
         Some(EvictionOrder {
@@ -47,16 +48,17 @@
     }
 }
 
-/// The order of eviction, lowest first: the longest idle, and connections with an unwritten
-/// response after all others. The derived order compares the fields from the first to the last.
+/// Sort key of the order of eviction; the connection with the lowest key is evicted first. The
+/// longest idle connection comes first, and connections with an unwritten response come after all
+/// others. The derived order compares the fields in the order of their declaration.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionOrder {
     write_blocked: bool,
     idle_since: Instant,
 }
 
-/// Marks a connection as busy while it lives. Dropping it, with the response built or its future
-/// dropped, marks the connection as idle from then on.
+/// Marks a connection as busy while it lives. Dropping it, after the response is built or together
+/// with the future that builds it, marks the connection as idle from then on.
 pub(super) struct InFlightGuard<'a>(&'a ConnectionState);
 
 impl<'a> InFlightGuard<'a> {
--- a/crates/edge-node/src/clients/connection_table.rs
+++ b/crates/edge-node/src/clients/connection_table.rs
@@ -1,4 +1,4 @@
-//! The open connections of all clients, and the choice of the one to close when there are too many.
+//! The table of open client connections, which evicts idle ones at the connection limit.
 
 use super::connection;
 use super::connection_state::ConnectionState;
@@ -11,23 +11,25 @@
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// Entries of finished connections that may stay until they are removed together.
+/// Maximum number of entries of finished connections that stay in the table before they are removed
+/// together.
 const MAX_FINISHED_ENTRIES: usize = 32;
-/// How long to wait for one connection to finish before the next one is evicted.
+/// Maximum time to wait for a connection to finish before the next one is evicted.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A connection in the table.
+/// An open client connection and the task that serves it.
 struct Entry {
     state: Rc<ConnectionState>,
     /// Aborting the task closes the connection.
     task: AbortHandle,
 }
 
-/// The open connections. Each is served by a task of its own; dropping the table aborts the tasks,
+/// The open client connections, each served by its own task. Dropping the table aborts the tasks,
 /// which closes the connections.
 pub(super) struct ConnectionTable {
     tasks: JoinSet<()>,
-    /// In the order in which the connections were accepted; finished ones may stay for a while.
+    /// Entries in the order in which the connections were accepted; entries of finished connections
+    /// may stay for a while.
     entries: Vec<Entry>,
     max_connections: usize,
     node: Rc<Node>,
@@ -35,7 +37,7 @@
 }
 
 impl ConnectionTable {
-    /// An empty table for so many connections at a time.
+    /// Creates an empty table that keeps at most `max_connections` connections open at a time.
     pub(super) fn new(
         node: Rc<Node>,
         max_connections: usize,
@@ -50,7 +52,8 @@
         }
     }
 
-    /// Takes in an accepted connection: makes room for it, then starts the task that serves it.
+    /// Inserts an accepted connection: evicts idle connections if the limit is reached, then starts
+    /// the task that serves the new one.
     pub(super) async fn insert(&mut self, stream: TcpStream) {
         self.make_room().await;
         self.spawn(stream);
@@ -61,13 +64,13 @@
         while self.tasks.try_join_next().is_some() {}
     }
 
-    /// Waits until each connection is closed.
+    /// Waits until all connections are closed.
     pub(super) async fn join_all(&mut self) {
         while self.tasks.join_next().await.is_some() {}
     }
 
     fn spawn(&mut self, stream: TcpStream) {
-        // An error means that the connection is broken, which its task finds out.
+        // An error means that the connection is broken, which its task detects.
         let _ = stream.set_nodelay(true);
         let stream = ReadAheadStream::new(stream);
         let state = Rc::new(ConnectionState::new(&stream));
@@ -85,13 +88,13 @@
     /// without using them can't shut out others.
     async fn make_room(&mut self) {
         while self.tasks.len() >= self.max_connections {
-            // A connection that was accepted in this same turn may hold a request that is still
-            // unread: it would be taken for idle. One turn of the runtime lets its task read it.
+            // A connection accepted in this turn of the runtime may hold a request that is still
+            // unread and would be mistaken for idle. Yielding once lets its task read the request.
             tokio::task::yield_now().await;
             self.remove_finished_entries();
-            self.evict_one();
-            // A task that has finished, evicted or not, has closed its socket. If none does in this
-            // time, another connection may have become idle meanwhile.
+            self.evict_idle_connection();
+            // A finished task, evicted or not, has closed its socket. If no task finishes before
+            // the timeout, another connection may have become idle meanwhile.
             let _ = tokio::time::timeout(EVICTION_TIMEOUT, self.tasks.join_next()).await;
         }
         // An abort handle retains its finished task's memory, so the number of entries must be
@@ -101,8 +104,8 @@
         }
     }
 
-    /// Closes the first connection in the order of eviction, if any is idle.
-    fn evict_one(&self) {
+    /// Closes the idle connection that is first in the order of eviction, if there is one.
+    fn evict_idle_connection(&self) {
         let idle = self
             .entries
             .iter()
--- a/crates/edge-node/src/clients/header_value.rs
+++ b/crates/edge-node/src/clients/header_value.rs
@@ -1,19 +1,19 @@
-//! Values of the headers and path segments of a client's request. Each is parsed strictly: what two
-//! readers could take in two ways is no value.
+//! Strict parsers for header values and path segments of client requests: a value that two parsers
+//! could interpret differently is rejected.
 
 use gateway_core::CustomerId;
 use std::time::Duration;
 
-/// Digits of a customer in the path.
+/// Number of hexadecimal digits of a customer in the path.
 const CUSTOMER_DIGITS: usize = 16;
-/// Customers are numbers below this.
+/// Exclusive upper bound of customer numbers.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
-/// The longest duration, in seconds.
+/// Maximum duration that a header may give, in seconds.
 const MAX_DURATION_SECONDS: f64 = 3600.0;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// A customer: exactly 16 hex digits without a sign, a number below 2^33.
+/// Parses a customer: exactly 16 hexadecimal digits without a sign, for a number below 2^33.
 pub fn parse_customer(text: &str) -> Option<CustomerId> {
     if text.len() != CUSTOMER_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
@@ -22,7 +22,7 @@
     (number < CUSTOMER_LIMIT).then_some(CustomerId(number))
 }
 
-/// A plain decimal number: no sign, no exponent, and neither `inf` nor `nan`.
+/// Parses a plain decimal number without a sign or an exponent. Rejects `inf` and `nan`.
 pub fn parse_decimal(text: &str) -> Option<f64> {
     let is_plain = !text.is_empty()
         && text
@@ -34,16 +34,16 @@
     text.parse().ok()
 }
 
-/// A whole number of decimal digits without a sign.
+/// Parses a whole number that consists of decimal digits only, without a sign.
 pub fn parse_whole_number(text: &str) -> Option<u32> {
-    // The standard parser takes a leading `+` too.
+    // The standard parser also accepts a leading `+`.
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
     }
     text.parse().ok()
 }
 
-/// A duration above zero and of an hour at most: a decimal number and its unit, `m` for
+/// Parses a duration of more than zero and at most one hour: a decimal number and its unit, `m` for
 /// milliseconds or `u` for microseconds.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let unit_start = text.len().checked_sub(1)?;
--- a/crates/edge-node/src/clients/mod.rs
+++ b/crates/edge-node/src/clients/mod.rs
@@ -1,7 +1,7 @@
-//! Clients: their connections, their requests and the responses that they get.
+//! Client connections, the requests on them and the responses to those requests.
 //!
-//! The accept loop here hands each connection to the `ConnectionTable`, which
-//! serves it in a task of its own.
+//! The accept loop in this module hands each connection to the `ConnectionTable`, which serves it
+//! in its own task.
 
 pub mod call_terms;
 mod connection;
@@ -26,11 +26,11 @@
 use tokio::sync::watch;
 use tracing::warn;
 
-/// Pause after a connection that could not be accepted, mostly for lack of descriptors.
+/// Pause after a failed accept, usually caused by a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts clients until the edge node is closing, then returns once each connection has its last
-/// response. At most `max_connections` are open at a time.
+/// Accepts client connections until the edge node is closing, then returns once every connection
+/// has sent its last response and is closed. At most `max_connections` are open at a time.
 ///
 /// Dropping the future closes the listener and all connections at once.
 pub(crate) async fn serve(
@@ -58,8 +58,8 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => connections.insert(stream).await,
                 Err(error) => {
-                    // The connection stays in the backlog until there is a descriptor for it.
-                    warn!(event = "accept_failed", cause = %error, "a connection was not accepted: {error}");
+                    // The connection stays in the backlog until a file descriptor is free.
+                    warn!(event = "accept_failed", cause = %error, "failed to accept a client connection: {error}");
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
@@ -69,8 +69,8 @@
     }
 }
 
-/// Takes in what the operating system has accepted by now. Those clients are connected already:
-/// closing the listener would reset them.
+/// Accepts the connections that are already in the listener's backlog. Closing the listener would
+/// reset them although their clients consider them established.
 async fn accept_backlog(listener: &TcpListener, connections: &mut ConnectionTable) {
     while let Ok(Ok((stream, _))) = tokio::time::timeout(Duration::ZERO, listener.accept()).await {
         connections.insert(stream).await;
--- a/crates/edge-node/src/clients/phase.rs
+++ b/crates/edge-node/src/clients/phase.rs
@@ -1,25 +1,24 @@
-//! The phases of the process's life, from start to exit.
+//! The life-cycle phases of the edge node process, from start to exit.
 
 use tokio::sync::watch;
 
-/// How far the edge node is on its way from start to exit. Phases only ever advance, so they
-/// compare in that order.
+/// Life-cycle phase of the edge node. Phases only advance, and they compare in that order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Not ready yet: connections of clients wait in the listener's backlog.
+    /// Not ready yet: client connections wait in the listener's backlog.
     Starting,
-    /// Ready.
+    /// Ready: connections are accepted and requests are served.
     Serving,
-    /// Not ready any more. New connections and requests are still served, but each answer closes
+    /// Not ready any more. New connections and requests are still served, but each response closes
     /// its connection.
     Draining,
-    /// No new connection is accepted, and idle ones are closed.
+    /// No new connection is accepted, and idle connections are closed.
     Closing,
 }
 
 impl Phase {
-    /// The word for this phase on the admin listener. Operators' tools read it: `Draining` stays
-    /// `leaving` there.
+    /// Returns the name of this phase on the admin listener. Operators' tools read it, so
+    /// `Draining` stays `leaving` there.
     pub fn as_str(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
@@ -30,11 +29,11 @@
     }
 }
 
-/// Returns once the edge node is closing, or once the sender is dropped, after which no phase can
-/// follow.
+/// Waits until the edge node is closing, or until the sender is dropped, after which the phase
+/// cannot change any more.
 ///
-/// Cancel safe: the receiver is its own, and the phase stays `Closing` once it is that.
+/// Cancel safe: the receiver is owned by the future, and the phase never leaves `Closing`.
 pub(super) async fn wait_for_closing(mut phase: watch::Receiver<Phase>) {
-    // An error means that the sender is gone, which counts as closing.
+    // An error means that the sender was dropped, which counts as closing.
     let _ = phase.wait_for(|phase| *phase == Phase::Closing).await;
 }
--- a/crates/edge-node/src/clients/read_ahead.rs
+++ b/crates/edge-node/src/clients/read_ahead.rs
@@ -1,5 +1,5 @@
-//! A client's connection that can be read ahead, so that its end is noticed behind whatever was
-//! sent before it.
+//! A client connection that is read ahead of the HTTP server, so that the end of the stream is
+//! detected even behind data that the server has not read yet.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -14,28 +14,28 @@
 use tokio::net::TcpStream;
 
 /// Maximum number of bytes read ahead of one request, which bounds the memory that clients sending
-/// at full speed can take.
-const MAX_READ_AHEAD: usize = 16 * 1024;
-/// Bytes read ahead at a time.
-const READ_AHEAD_CHUNK: usize = 1024;
-/// While the read-ahead buffer is full, the operating system is asked this often whether it has
-/// received the end of the stream. That is enough: the end of a client that has sent more than the
-/// system buffers has not arrived yet.
+/// at full speed can use.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
+/// Number of bytes read ahead at a time.
+const READ_AHEAD_CHUNK_BYTES: usize = 1024;
+/// Interval at which the operating system is asked, while the read-ahead buffer is full, whether it
+/// has received the end of the stream. This is sufficient: if a client has sent more than the
+/// operating system buffers, the end of its stream has not arrived yet.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A connection shared by the HTTP server, which reads and writes, and by whoever watches for its
-/// end. The socket is closed when the last clone is dropped.
+/// A client connection shared by the HTTP server, which reads and writes, and by request handlers,
+/// which wait for the client to close it. The socket is closed when the last clone is dropped.
 #[derive(Clone)]
 pub(super) struct ReadAheadStream(Rc<RefCell<Inner>>);
 
-/// The socket and what is known of it, behind all clones of the stream.
+/// The socket, its read-ahead buffer and its state, shared by all clones of the stream.
 struct Inner {
     stream: TokioIo<TcpStream>,
     /// Bytes read ahead that the HTTP server has not read yet.
     buffered: Vec<u8>,
-    /// Whether the stream has ended or broken, behind the buffered bytes.
+    /// Whether the stream has ended or failed after the buffered bytes.
     ended: bool,
-    /// Whether the operating system took nothing of the last write.
+    /// Whether the operating system accepted no byte of the last write.
     write_blocked: Rc<Cell<bool>>,
 }
 
@@ -50,15 +50,15 @@
         })))
     }
 
-    /// Whether the client reads so slowly that the rest of a response is still unwritten. The cell
-    /// outlives the connection.
+    /// Returns a flag that is set while the client reads so slowly that the rest of a response is
+    /// still unwritten. The flag outlives the connection.
     pub(super) fn write_blocked(&self) -> Rc<Cell<bool>> {
         Rc::clone(&self.0.borrow().write_blocked)
     }
 
-    /// Returns once the client has closed the connection, or once it broke.
+    /// Waits until the client closes the connection, or until the connection breaks.
     ///
-    /// Cancel safe: what has been read ahead stays in the stream's buffer.
+    /// Cancel safe: bytes that were read ahead stay in the stream's buffer.
     pub(super) async fn wait_for_client_close(&self) {
         loop {
             let read_ahead = poll_fn(|context| self.0.borrow_mut().poll_read_ahead(context)).await;
@@ -70,12 +70,12 @@
     }
 }
 
-/// Where reading ahead stopped.
+/// Reason why reading ahead stopped.
 #[derive(PartialEq)]
 enum ReadAhead {
-    /// At the end of the stream.
+    /// The stream has ended or failed.
     Ended,
-    /// At [`MAX_READ_AHEAD`].
+    /// The buffer holds [`MAX_READ_AHEAD_BYTES`] or more.
     BufferFull,
 }
 
@@ -87,9 +87,9 @@
 
     /// Reads ahead until the stream ends or the buffer is full.
     fn poll_read_ahead(&mut self, context: &mut Context<'_>) -> Poll<ReadAhead> {
-        let mut chunk = [0; READ_AHEAD_CHUNK];
+        let mut chunk = [0; READ_AHEAD_CHUNK_BYTES];
         while !self.ended {
-            if self.buffered.len() >= MAX_READ_AHEAD {
+            if self.buffered.len() >= MAX_READ_AHEAD_BYTES {
                 return Poll::Ready(ReadAhead::BufferFull);
             }
             let mut chunk = ReadBuf::new(&mut chunk);
@@ -100,12 +100,13 @@
         Poll::Ready(ReadAhead::Ended)
     }
 
-    /// Whether the operating system has seen the end, behind whatever has not been read.
+    /// Returns whether the operating system has received the end of the stream, even behind unread
+    /// data.
     fn is_read_closed(&self) -> bool {
         let stream = self.stream.inner();
-        // Readiness to read would be reported for unread bytes too. Asked for urgent data, which
-        // nobody sends, the system reports the end alone. The future is polled once, without
-        // waiting.
+        // Read readiness would also be reported for unread data. Urgent data, for which priority
+        // readiness is meant, is sent by no client, so that only the end of the stream is reported.
+        // The future is polled once, without waiting.
         let readiness = pin!(stream.ready(Interest::PRIORITY));
         match readiness.poll(&mut Context::from_waker(Waker::noop())) {
             Poll::Ready(ready) => ready.is_ok_and(Ready::is_read_closed),
@@ -124,7 +125,8 @@
         if inner.buffered.is_empty() && !inner.ended {
             return Pin::new(&mut inner.stream).poll_read(context, buffer);
         }
-        // At the end, with nothing buffered, this reads zero bytes: the end of the stream.
+        // At the end of the stream, once the buffer is empty, this puts no bytes into `buffer`,
+        // which signals the end to the HTTP server.
         let length = inner.buffered.len().min(buffer.remaining());
         buffer.put_slice(&inner.buffered[..length]);
         inner.buffered.drain(..length);
--- a/crates/edge-node/src/clients/request.rs
+++ b/crates/edge-node/src/clients/request.rs
@@ -1,4 +1,4 @@
-//! One request of a client, from its head to its response.
+//! Serves one client request, from its head to its response.
 
 use super::phase::Phase;
 use super::read_ahead::ReadAheadStream;
@@ -18,27 +18,29 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The path on which anyone may ask whether this process is ready.
+/// Path of the readiness probe, which any client may send.
 const READINESS_PATH: &str = "/-/ready";
-/// Part of a client's timeout that is reserved for the transfer of the response.
+/// Part of the client's timeout that is reserved for the transfer of the response.
 const RESPONSE_DELIVERY_TIME: Duration = Duration::from_millis(5);
-/// Time after its deadline at which a request fails if the decision library has not ended it.
+/// Time after a request's deadline at which the edge node fails the request if the decision library
+/// has not ended it.
 const ANSWER_GRACE: Duration = Duration::from_millis(2);
-/// Maximum time from the head of a request to the end of its body. Without a limit, clients whose
-/// bodies stop half-way would hold memory and connections.
+/// Maximum time from the head of a request to the end of its body. Without a limit, clients that
+/// never complete a body would hold memory and connections.
 const BODY_READ_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The client has disconnected: there is nobody to respond to.
+/// Error of a request whose client disconnected before the final answer, so that no response can be
+/// sent.
 #[derive(Debug, thiserror::Error)]
 #[error("the client has disconnected")]
 pub(super) struct ClientDisconnected;
 
-/// Serves one request: admits it, has it decided and builds its response.
+/// Serves one request: reads and checks it, waits for its final answer and builds the response.
 ///
-/// Dropping the future abandons the request, see [`AbandonGuard`].
+/// Dropping the future abandons the request; see [`AbandonGuard`].
 ///
 /// # Errors
-/// The client closed its connection before the answer.
+/// Returns [`ClientDisconnected`] if the client closes its connection before the final answer.
 pub(super) async fn respond(
     node: &Rc<Node>,
     request: Request<Incoming>,
@@ -48,8 +50,8 @@
     if is_readiness_probe(&request) {
         return Ok(response::readiness(phase));
     }
-    match admit(node, request).await {
-        Ok(admitted) => decide(node, admitted, stream).await,
+    match read_request(node, request).await {
+        Ok(valid_request) => submit_to_node(node, valid_request, stream).await,
         Err(error) => Ok(response::for_invalid_request(error)),
     }
 }
@@ -58,43 +60,48 @@
     request.method() == Method::GET && request.uri().path() == READINESS_PATH
 }
 
-/// A request that is complete, in the forms for the decision library and for the servers.
-struct AdmittedRequest {
-    /// For the decision library.
+/// A complete and valid request, in the forms for the decision library and for the servers.
+struct ValidRequest {
+    /// Event that reports the request to the decision library.
     event: Event,
-    /// For the servers, once the decision library sends it.
+    /// Request that is sent to a server for each attempt that the decision library starts.
     upstream_request: UpstreamRequest,
 }
 
-/// Parses the head, then reads the body to its end.
-async fn admit(node: &Node, request: Request<Incoming>) -> Result<AdmittedRequest, RequestError> {
+/// Parses the head, then reads the complete body.
+async fn read_request(
+    node: &Node,
+    request: Request<Incoming>,
+) -> Result<ValidRequest, RequestError> {
     let (parts, body) = request.into_parts();
     let head = RequestHead::parse(&node.settings, &parts)?;
     let body = read_body(node, &head, body).await?;
-    Ok(AdmittedRequest::new(head, parts, body))
+    Ok(ValidRequest::new(head, parts, body))
 }
 
-/// Reads a complete body, within its limits of size and time.
+/// Reads the complete body, within the limits of size and time.
 ///
-/// Nothing is read of a body that is too large or that should not be there. Memory for a large one
-/// is reserved while it is read; the reservation is released when this returns or is dropped.
+/// Reads nothing of a body that is too large or that the class does not allow. Memory for a large
+/// body is reserved while it is read; the reservation is released when the function returns or its
+/// future is dropped.
 async fn read_body(node: &Node, head: &RequestHead, body: Incoming) -> Result<Bytes, RequestError> {
-    let announced = body.size_hint().lower();
-    let reservation = node.upstream.body_budget.reserve(announced);
+    let declared_bytes = body.size_hint().lower();
+    let reservation = node.upstream.body_budget.reserve(declared_bytes);
     let reservation = reservation.map_err(|_| RequestError::BodyTooLarge)?;
     if !head.allows_body && !body.is_end_stream() {
         return Err(RequestError::UnexpectedBody);
     }
-    let whole = Limited::new(body, reservation.max_bytes()).collect();
-    match tokio::time::timeout(BODY_READ_TIMEOUT, whole).await {
+    let collect_body = Limited::new(body, reservation.max_bytes()).collect();
+    match tokio::time::timeout(BODY_READ_TIMEOUT, collect_body).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         _ => Err(RequestError::IncompleteBody),
     }
 }
 
-impl AdmittedRequest {
-    /// The client's timeout begins here: the request is complete at this moment.
-    fn new(head: RequestHead, parts: Parts, body: Bytes) -> AdmittedRequest {
+impl ValidRequest {
+    /// Builds both forms of the request. The client's timeout begins now, as the request is
+    /// complete.
+    fn new(head: RequestHead, parts: Parts, body: Bytes) -> ValidRequest {
         let client_timeout = head.client_timeout.saturating_sub(RESPONSE_DELIVERY_TIME);
         let deadline = Instant::now() + client_timeout;
         let event = Event::RequestReceived {
@@ -120,60 +127,60 @@
             body,
             deadline,
         };
-        AdmittedRequest {
+        ValidRequest {
             event,
             upstream_request,
         }
     }
 }
 
-/// Hands a request to the node and waits for its final answer.
-async fn decide(
+/// Submits a request to the node, waits for its final answer and builds the response.
+async fn submit_to_node(
     node: &Rc<Node>,
-    admitted: AdmittedRequest,
+    valid_request: ValidRequest,
     stream: &ReadAheadStream,
 ) -> Result<BufferedResponse, ClientDisconnected> {
-    let AdmittedRequest {
+    let ValidRequest {
         event,
         upstream_request,
-    } = admitted;
+    } = valid_request;
     let id = upstream_request.id.clone();
-    let last_moment = upstream_request.deadline + ANSWER_GRACE;
+    let answer_deadline = upstream_request.deadline + ANSWER_GRACE;
     let Some(answer) = node.accept_request(event, upstream_request) else {
         return Ok(response::for_invalid_request(RequestError::RequestIdInUse));
     };
-    // Held until the response is built, and dropped with this future if the client disconnects
+    // Kept until the response is built, and dropped with this future if the client disconnects
     // first.
     let _abandon_guard = AbandonGuard { node, id };
-    let answer = wait_for_answer(answer, last_moment, stream).await?;
+    let answer = wait_for_answer(answer, answer_deadline, stream).await?;
     Ok(response::from_answer(answer))
 }
 
-/// Waits for the final answer, until the last moment for one, or until the client disconnects.
+/// Waits for the final answer, but not beyond `answer_deadline` or the client's disconnect.
 async fn wait_for_answer(
     answer: oneshot::Receiver<Answer>,
-    last_moment: Instant,
+    answer_deadline: Instant,
     stream: &ReadAheadStream,
 ) -> Result<Answer, ClientDisconnected> {
     tokio::select! {
         biased;
-        answered = tokio::time::timeout_at(last_moment, answer) => match answered {
+        answered = tokio::time::timeout_at(answer_deadline, answer) => match answered {
             Ok(Ok(answer)) => Ok(answer),
-            // No request may stay open without end: past its last moment it fails, whatever the
-            // decision library does.
+            // A request must not stay open indefinitely: it fails at `answer_deadline`, even if the
+            // decision library never ends it.
             _ => Ok(Answer::Failed),
         },
-        // Attempts for a client that has disconnected are wasted work. hyper does not notice a
-        // close that stands behind further pipelined requests, so the stream itself is watched.
+        // Attempts for a client that has disconnected are wasted work. hyper does not detect a
+        // close behind further pipelined requests, so the stream itself is watched.
         () = stream.wait_for_client_close() => Err(ClientDisconnected),
     }
 }
 
-/// Abandons a request at the node when it is dropped; a request that has its answer is not
-/// affected.
+/// Abandons a request at the node when the guard is dropped. A request that already has its final
+/// answer is not affected.
 ///
-/// hyper drops the future of a response when the client disconnects, and so this guard in it. That
-/// is how the node learns of it and cancels the attempt in flight.
+/// hyper drops the future of a response when the client disconnects, and this guard with it. This
+/// is how the node learns of the disconnect and cancels the attempt in flight.
 struct AbandonGuard<'a> {
     node: &'a Rc<Node>,
     id: RequestId,
--- a/crates/edge-node/src/clients/request_error.rs
+++ b/crates/edge-node/src/clients/request_error.rs
@@ -1,62 +1,63 @@
-//! Why a client's request is rejected before the decision library sees it.
+//! Errors in client requests that are answered before the decision library receives the request.
 
 use hyper::StatusCode;
 
-/// A request that can't be taken. Its `Display` text and its status are what the client is sent.
+/// Reason why a client's request is invalid. Its status and its `Display` text are sent to the
+/// client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The body has a transfer encoding.
     #[error("a body needs its Content-Length")]
     TransferEncoding,
-    /// A header that may occur once occurs more often.
+    /// A header that may occur only once is repeated.
     #[error("a header is repeated")]
     RepeatedHeader,
-    /// No request id, or none of a valid length.
+    /// The request id is missing, is not visible ASCII, or has an invalid length.
     #[error("X-Request-Id: missing, or no word of 1 to 64 bytes")]
     InvalidRequestId,
     /// Another open request has the same id.
     #[error("X-Request-Id: in use")]
     RequestIdInUse,
-    /// No class.
+    /// The class header is missing or is not visible ASCII.
     #[error("X-Class: missing")]
     MissingClass,
-    /// A class that the settings don't have.
+    /// The settings have no class of that name.
     #[error("X-Class: unknown")]
     UnknownClass,
-    /// No plan, or one that the settings don't have.
+    /// The plan header is missing, or the settings have no plan of that name.
     #[error("X-Tier: missing or unknown")]
     InvalidPlan,
-    /// The first segment of the path isn't the class.
+    /// The first segment of the path is not the class.
     #[error("the path does not begin with the class")]
     PathWithoutClass,
-    /// The last segment of the path isn't a customer.
+    /// The last segment of the path is not a customer.
     #[error("the path does not end with a customer")]
     PathWithoutCustomer,
-    /// No deadline, one that can't be read, or one beyond the longest of the settings.
+    /// The deadline is missing, malformed, or longer than the longest deadline in the settings.
     #[error("X-Deadline: missing or bad")]
     InvalidDeadline,
-    /// No call terms, or terms that can't be read or are beyond the settings.
+    /// The call terms are missing, malformed, or out of the range that the settings allow.
     #[error("X-Call-Terms: missing or bad")]
     InvalidCallTerms,
-    /// The class is deduplicated by a key, and the request has none.
+    /// Requests of the class are deduplicated by idempotency key, and this one has no key.
     #[error("Idempotency-Key: missing")]
     MissingIdempotencyKey,
-    /// The class is called with another method.
+    /// The class requires another method.
     #[error("this class takes another method")]
     WrongMethod,
-    /// The body is larger than any that is taken, or than memory allows at this moment.
+    /// The body is larger than the maximum size, or than memory allows at this moment.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The class has no body, and the request has one.
+    /// The class allows no body, and the request has one.
     #[error("this class takes no body")]
     UnexpectedBody,
-    /// The body ended early, took too long or was longer than it said.
+    /// The body ended early, took too long, or exceeded its declared length.
     #[error("the body did not come whole")]
     IncompleteBody,
 }
 
 impl RequestError {
-    /// The status that the client is sent.
+    /// Returns the HTTP status that is sent to the client.
     pub fn status(self) -> StatusCode {
         match self {
             RequestError::TransferEncoding => StatusCode::LENGTH_REQUIRED,
--- a/crates/edge-node/src/clients/request_head.rs
+++ b/crates/edge-node/src/clients/request_head.rs
@@ -17,9 +17,9 @@
 const PLAN: &str = "x-tier";
 const DEADLINE: &str = "x-deadline";
 const CALL_TERMS: &str = "x-call-terms";
-/// The key by which the back end deduplicates requests of some classes.
+/// Header with the key by which servers deduplicate requests of keyed classes.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Headers that a request may have once at most.
+/// Headers that may occur at most once in a request.
 const SINGLE_HEADERS: [&str; 8] = [
     REQUEST_ID,
     CLASS,
@@ -30,33 +30,36 @@
     "content-length",
     "host",
 ];
-/// Bytes of a request id.
-const REQUEST_ID_LENGTH: RangeInclusive<usize> = 1..=64;
+/// Valid lengths of a request id, in bytes.
+const REQUEST_ID_BYTES: RangeInclusive<usize> = 1..=64;
 
-/// What the head of a request says, all of it within the settings.
+/// The parsed head of a request, checked against the settings.
 #[derive(Debug, PartialEq)]
 pub struct RequestHead {
-    /// The id under which the request is answered, once at a time.
+    /// Request id, which only one open request at a time may have.
     pub id: RequestId,
-    /// Its class of service.
+    /// Class of the request.
     pub class: ClassId,
-    /// The plan of its customer.
+    /// Plan of the customer.
     pub plan: PlanId,
-    /// Whose quota it uses.
+    /// Customer whose quota the request uses.
     pub customer: CustomerId,
-    /// Its costs and the gateways of its customer.
+    /// Quota units of the request and gateway set of its customer.
     pub terms: CallTerms,
-    /// How long its client waits for the answer, counted from when the request is whole.
+    /// How long the client waits for the response, counted from the arrival of the complete
+    /// request.
     pub client_timeout: Duration,
-    /// Whether requests of its class may have a body.
+    /// Whether requests of the class may have a body.
     pub allows_body: bool,
 }
 
 impl RequestHead {
-    /// Parses the head. It changes nothing, so a rejected request leaves no trace.
+    /// Parses and checks a request head. Changes no state, so that an invalid request leaves
+    /// nothing behind.
     ///
     /// # Errors
-    /// The first rule that the head breaks; the rules are checked in a fixed order.
+    /// Returns the error for the first rule that the head breaks; the rules are checked in a fixed
+    /// order.
     pub fn parse(settings: &ResolvedSettings, parts: &Parts) -> Result<RequestHead, RequestError> {
         let headers = &parts.headers;
         check_framing(headers)?;
@@ -69,7 +72,7 @@
         let client_timeout = parse_client_timeout(headers, settings)?;
         let terms = parse_call_terms(headers, settings)?;
         let idempotency = settings.settings.classes[class_index].idempotency;
-        check_method(idempotency, parts)?;
+        check_method_and_key(idempotency, parts)?;
         Ok(RequestHead {
             id,
             class: ClassId(class_index),
@@ -82,14 +85,15 @@
     }
 }
 
-/// Rejects heads that two readers could take in two ways.
+/// Rejects heads that two HTTP implementations could interpret differently.
 fn check_framing(headers: &HeaderMap) -> Result<(), RequestError> {
-    // A request with both a length and an encoding may hide another request in its body, and hyper
-    // drops one of the two headers without a word. So an encoding is never taken.
+    // A request with both a content length and a transfer encoding may hide another request in its
+    // body, and hyper silently drops one of the two headers. Transfer encodings are therefore never
+    // accepted.
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::TransferEncoding);
     }
-    // Of a repeated header one reader takes the first value and another the last.
+    // Of a repeated header, one implementation uses the first value and another the last.
     if SINGLE_HEADERS
         .iter()
         .any(|name| headers.get_all(*name).iter().count() > 1)
@@ -101,7 +105,7 @@
 
 fn parse_request_id(headers: &HeaderMap) -> Result<RequestId, RequestError> {
     let id = header_text(headers, REQUEST_ID).ok_or(RequestError::InvalidRequestId)?;
-    if !REQUEST_ID_LENGTH.contains(&id.len()) {
+    if !REQUEST_ID_BYTES.contains(&id.len()) {
         return Err(RequestError::InvalidRequestId);
     }
     Ok(RequestId(id.into()))
@@ -114,8 +118,8 @@
         .ok_or(RequestError::InvalidPlan)
 }
 
-/// The customer that the path ends with. Between it and the class, with which the path begins,
-/// anything may stand.
+/// Returns the customer, which is the last segment of the path. The first segment has to be the
+/// class; there may be any segments in between.
 fn parse_path(uri: &Uri, class_name: &str) -> Result<CustomerId, RequestError> {
     let mut segments = uri.path().trim_start_matches('/').split('/');
     if segments.next() != Some(class_name) {
@@ -146,9 +150,9 @@
     CallTerms::parse(text, &settings.settings).ok_or(RequestError::InvalidCallTerms)
 }
 
-/// Checks that a class is called with its own method, and with a key where its requests are
-/// deduplicated by one.
-fn check_method(idempotency: Idempotency, parts: &Parts) -> Result<(), RequestError> {
+/// Checks that the method is the one that the class requires, and that a request of a keyed class
+/// has an idempotency key.
+fn check_method_and_key(idempotency: Idempotency, parts: &Parts) -> Result<(), RequestError> {
     let expected = match idempotency {
         Idempotency::Idempotent => Method::GET,
         Idempotency::Keyed { .. } | Idempotency::NonIdempotent => Method::POST,
@@ -163,7 +167,7 @@
     Ok(())
 }
 
-/// The value of a header, if it is there and is visible ASCII.
+/// Returns the value of a header, if the header is present and its value is visible ASCII.
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/edge-node/src/clients/response.rs
+++ b/crates/edge-node/src/clients/response.rs
@@ -1,4 +1,4 @@
-//! The responses that clients get.
+//! Responses to clients.
 
 use super::phase::Phase;
 use super::request_error::RequestError;
@@ -9,26 +9,26 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// A response whose body is held whole.
+/// A response whose complete body is in memory.
 pub(super) type BufferedResponse = Response<Full<Bytes>>;
 
-/// Makes a response the last one on its connection.
+/// Adds the header that makes a response the last one on its connection.
 pub(super) fn close_connection(response: &mut BufferedResponse) {
     response
         .headers_mut()
         .insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// The response to a readiness probe.
+/// Returns the response to a readiness probe.
 pub(super) fn readiness(phase: Phase) -> BufferedResponse {
     match phase {
-        Phase::Serving => with_status(StatusCode::OK),
-        _ => with_status(StatusCode::SERVICE_UNAVAILABLE),
+        Phase::Serving => empty_response(StatusCode::OK),
+        _ => empty_response(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
-/// The response to a request that can't be taken. It closes the connection: where one message could
-/// not be read, what follows it on the connection can't be trusted either.
+/// Returns the response to an invalid request. It closes the connection: if one message could not
+/// be parsed, the data that follows it on the connection can't be trusted either.
 pub(super) fn for_invalid_request(error: RequestError) -> BufferedResponse {
     let mut response = Response::new(Full::from(format!("{error}\n")));
     *response.status_mut() = error.status();
@@ -36,20 +36,20 @@
     response
 }
 
-/// The response for the final answer of a request that was taken.
+/// Returns the response for the final answer to a valid request.
 pub(super) fn from_answer(answer: Answer) -> BufferedResponse {
     match answer {
         Answer::Served(body) => Response::new(Full::new(body)),
         Answer::Rejected(retry_after) => rejection(retry_after),
-        Answer::Failed => with_status(StatusCode::BAD_GATEWAY),
+        Answer::Failed => empty_response(StatusCode::BAD_GATEWAY),
     }
 }
 
 fn rejection(retry_after: Option<Duration>) -> BufferedResponse {
-    let mut response = with_status(StatusCode::SERVICE_UNAVAILABLE);
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     if let Some(retry_after) = retry_after {
         let seconds = format!("{:.3}", retry_after.as_secs_f64());
-        // A decimal number is always a valid value.
+        // A decimal number is always a valid header value.
         if let Ok(value) = HeaderValue::try_from(seconds) {
             response.headers_mut().insert(RETRY_AFTER, value);
         }
@@ -57,7 +57,7 @@
     response
 }
 
-fn with_status(status: StatusCode) -> BufferedResponse {
+fn empty_response(status: StatusCode) -> BufferedResponse {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
