--- a/crates/edge-node/src/upstream/attempt.rs
+++ b/crates/edge-node/src/upstream/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt to have a request answered by a server, from the connection to the end.
+//! Makes one attempt of a request at a server: obtains a connection, sends the request and reads
+//! the response.
 
 use super::attempt_result::AttemptResult;
 use super::body_budget::BodyBudget;
@@ -15,38 +16,38 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The header with the milliseconds that remain for the server's answer.
+/// Header with the time that remains for the server's response, in milliseconds.
 const DEADLINE: &str = "x-deadline";
-/// The header by which a server recognises a request that it has already executed.
+/// Header by which a server recognises a request that it has already executed.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// A client's request as it is sent to a server.
 pub(crate) struct UpstreamRequest {
-    /// Its id, unique for ever.
+    /// Request id, which no other request ever has.
     pub(crate) id: RequestId,
-    /// Its method.
+    /// HTTP method.
     pub(crate) method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub(crate) target: String,
-    /// Its idempotency key, if it has one.
+    /// Value of the idempotency key header; `None` if the request has no key.
     pub(crate) idempotency_key: Option<HeaderValue>,
-    /// Its whole body.
+    /// Complete body.
     pub(crate) body: Bytes,
-    /// When the edge node stops waiting for an answer.
+    /// Time at which the edge node stops waiting for an answer.
     pub(crate) deadline: Instant,
 }
 
-/// What to attempt, and what ends it early.
+/// An attempt to make, and the conditions that end it early.
 pub(crate) struct Attempt<'a, F> {
-    /// The request.
+    /// Request to send.
     pub(crate) request: &'a UpstreamRequest,
-    /// The server to send it to.
+    /// Server to send the request to.
     pub(crate) server: ServerId,
-    /// When the attempt is given up; never later than the request's deadline.
+    /// Time at which the attempt is given up; never later than the request's deadline.
     pub(crate) deadline: Instant,
-    /// A message, or the loss of its sender, cancels the attempt.
+    /// Cancels the attempt when it receives a message or its sender is dropped.
     pub(crate) cancelled: oneshot::Receiver<()>,
-    /// Whether the request still has no final answer.
+    /// Returns whether the request still has no final answer.
     pub(crate) is_open: F,
 }
 
@@ -60,22 +61,23 @@
     }
 }
 
-/// Why an attempt ended without a response that can be used.
+/// Reason why an attempt ended without a usable response.
 #[derive(Debug, Error)]
 enum AttemptError {
-    /// There is no connection: nothing was sent.
+    /// No connection could be obtained, so nothing was sent.
     #[error("no connection to the server")]
     Connect(#[from] ConnectError),
-    /// The request was answered, its deadline passed, or the server drained or moved, before
-    /// anything was sent.
-    #[error("the attempt was no longer wanted once it had a connection")]
-    Superseded,
+    /// Before anything was sent, the request was answered, the attempt's deadline passed, or the
+    /// server started draining or moved to another address.
+    #[error("the attempt was no longer needed once it had a connection")]
+    NoLongerNeeded,
     /// The exchange on the connection failed.
     #[error("the exchange with the server failed")]
     Exchange {
-        /// Why.
+        /// Cause of the failure.
         source: ExchangeError,
-        /// Whether any byte was written: if so, the server may have executed the request.
+        /// Whether any byte of the request was written; if so, the server may have executed the
+        /// request.
         request_written: bool,
     },
 }
@@ -84,7 +86,7 @@
     fn outcome(&self) -> AttemptOutcome {
         match self {
             AttemptError::Connect(error) => error.outcome(),
-            AttemptError::Superseded => AttemptOutcome::NotSent,
+            AttemptError::NoLongerNeeded => AttemptOutcome::NotSent,
             AttemptError::Exchange {
                 source,
                 request_written: true,
@@ -97,7 +99,7 @@
     }
 }
 
-/// Why a request that was about to be sent got no response that can be used.
+/// Reason why an exchange on an open connection ended without a usable response.
 #[derive(Debug, Error)]
 enum ExchangeError {
     /// The gateway cancelled the attempt.
@@ -118,8 +120,8 @@
 }
 
 impl ExchangeError {
-    /// The outcome if some bytes of the request were written: it counts as one that the server may
-    /// have executed.
+    /// Returns the outcome if part of the request was written, so that the server may have executed
+    /// the request.
     fn outcome(&self) -> AttemptOutcome {
         match self {
             ExchangeError::Cancelled => AttemptOutcome::Cancelled,
@@ -131,7 +133,8 @@
         }
     }
 
-    /// The outcome if no byte of the request was written: the server cannot have executed it.
+    /// Returns the outcome if no byte of the request was written, so that the server cannot have
+    /// executed the request.
     fn outcome_if_unwritten(&self) -> AttemptOutcome {
         match self {
             ExchangeError::Cancelled | ExchangeError::InvalidRequest(_) => AttemptOutcome::NotSent,
@@ -143,10 +146,11 @@
 }
 
 impl Upstream {
-    /// Makes one attempt. When it returns, its connection is closed or back in its pool.
+    /// Makes one attempt. When the future completes, the connection of the attempt is closed or
+    /// back in its pool.
     ///
-    /// If the future is dropped instead, the connection is dropped with it and hyper closes the
-    /// socket in a later turn of the runtime; nothing returns to the pool.
+    /// If the future is dropped instead, the connection is dropped with it: hyper closes the socket
+    /// in a later turn of the runtime, and the connection does not return to the pool.
     pub(crate) async fn attempt(&self, attempt: Attempt<'_, impl Fn() -> bool>) -> AttemptResult {
         let result = self.try_attempt(attempt).await;
         result.unwrap_or_else(AttemptResult::from)
@@ -157,18 +161,18 @@
         mut attempt: Attempt<'_, impl Fn() -> bool>,
     ) -> Result<AttemptResult, AttemptError> {
         let connection = self.obtain_connection(&mut attempt).await?;
-        // Much may have changed while the connection came up: the request may have been answered,
-        // the server may drain or have moved. A request of which nothing was written has not been
-        // executed.
-        let is_wanted = (attempt.is_open)() && Instant::now() < attempt.deadline;
-        if !is_wanted || !self.leads_to(attempt.server, &connection) {
+        // While the connection was being established, the request may have been answered, or the
+        // server may have started draining or moved to another address. Nothing has been written
+        // yet, so the server cannot have executed the request.
+        let is_needed = (attempt.is_open)() && Instant::now() < attempt.deadline;
+        if !is_needed || !self.has_current_address(attempt.server, &connection) {
             self.release(attempt.server, connection);
-            return Err(AttemptError::Superseded);
+            return Err(AttemptError::NoLongerNeeded);
         }
         self.send(&mut attempt, connection).await
     }
 
-    /// An idle connection, or else a new one.
+    /// Returns an idle connection to the server, or else a new one.
     async fn obtain_connection(
         &self,
         attempt: &mut Attempt<'_, impl Fn() -> bool>,
@@ -176,7 +180,8 @@
         if let Some(connection) = self.take_idle(attempt.server) {
             return Ok(connection);
         }
-        // A branch that is not chosen is dropped: a connection that is coming up is closed then.
+        // `select!` drops the branches that do not complete, which closes a connection that is
+        // still being established.
         tokio::select! {
             biased;
             _ = &mut attempt.cancelled => Err(ConnectError::Cancelled),
@@ -185,16 +190,16 @@
         }
     }
 
-    /// Sends the request and reads the response. A connection that has carried a whole response is
-    /// released, any other is closed.
+    /// Sends the request and reads the response. A connection that has carried a complete response
+    /// is released; any other is closed.
     async fn send(
         &self,
         attempt: &mut Attempt<'_, impl Fn() -> bool>,
         mut connection: PooledConnection,
     ) -> Result<AttemptResult, AttemptError> {
         connection.reset_written();
-        // The response comes first: a server must not be blamed for a response that this node was
-        // late to read.
+        // The exchange is polled first: a response that arrived in time but was read late by this
+        // node must not count against the server.
         let exchanged = tokio::select! {
             biased;
             result = exchange(&mut connection, attempt.request, attempt.deadline, &self.body_budget) => result,
@@ -208,7 +213,7 @@
                 Ok(result)
             }
             Err(source) => {
-                let request_written = connection.is_written();
+                let request_written = connection.has_written();
                 connection.close().await;
                 Err(AttemptError::Exchange {
                     source,
@@ -219,8 +224,8 @@
     }
 }
 
-/// Writes the request and reads its whole response. If the future is dropped, the connection has to
-/// be closed.
+/// Writes the request and reads its complete response. If the future is dropped, the connection has
+/// to be closed.
 async fn exchange(
     connection: &mut PooledConnection,
     request: &UpstreamRequest,
--- a/crates/edge-node/src/upstream/attempt_result.rs
+++ b/crates/edge-node/src/upstream/attempt_result.rs
@@ -1,15 +1,15 @@
-//! How an attempt ended.
+//! The result of an attempt.
 
 use bytes::Bytes;
 use gateway_core::AttemptOutcome;
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Debug, PartialEq)]
 pub(crate) struct AttemptResult {
-    /// How it ended, in the gateway's terms.
+    /// Outcome that is reported to the gateway.
     pub(crate) outcome: AttemptOutcome,
-    /// The body of a successful response.
+    /// Body of a successful response; `None` for any other outcome.
     pub(crate) body: Option<Bytes>,
-    /// Requests in flight at the server, if its response reported them.
+    /// Number of requests in flight at the server, if its response reported it.
     pub(crate) reported_load: Option<f64>,
 }
--- a/crates/edge-node/src/upstream/connect_error.rs
+++ b/crates/edge-node/src/upstream/connect_error.rs
@@ -1,12 +1,13 @@
-//! Why there is no connection to a server, and whether the cause lies with the server or with
+//! Errors in connecting to a server, and whether their cause may lie with the server or lies with
 //! this machine.
 
 use gateway_core::AttemptOutcome;
 use std::io;
 use thiserror::Error;
 
-/// Errors of the operating system by which this process, not the server, lacks something:
-/// descriptors of the process or of the whole system, local addresses, buffers or memory.
+/// Error codes of the operating system for a lack of resources of this process or machine, not of
+/// the server: descriptors of the process or of the whole system, local addresses, buffers or
+/// memory.
 const LOCAL_RESOURCE_ERRORS: [i32; 5] = [
     libc::EMFILE,
     libc::ENFILE,
@@ -15,38 +16,38 @@
     libc::ENOMEM,
 ];
 
-/// Why there is no connection to a server. Nothing was sent.
+/// Reason why there is no connection to a server. Nothing was sent in any of these cases.
 #[derive(Debug, Error)]
 pub(super) enum ConnectError {
-    /// The gateway cancelled the attempt before the connection was up.
+    /// The gateway cancelled the attempt before the connection was established.
     #[error("cancelled while connecting")]
     Cancelled,
-    /// The attempt's deadline passed before the connection was up.
+    /// The attempt's deadline passed before the connection was established.
     #[error("the attempt's deadline passed while connecting")]
     DeadlineExceeded,
     /// No address is known for the server, or it is not ready.
-    #[error("the server has no address")]
+    #[error("no address is known for the server")]
     UnknownServer,
-    /// All sockets that this process may have are in use, and none is idle.
-    #[error("no socket is left")]
+    /// All sockets that this process may open are in use, and no connection is idle.
+    #[error("the socket limit is reached and no connection is idle")]
     SocketLimit,
-    /// This process or its machine lacks something that a connection needs.
-    #[error("too few local resources for a connection")]
+    /// This process or its machine lacks a resource that a connection needs.
+    #[error("insufficient local resources for a connection")]
     LocalResources(#[source] io::Error),
-    /// The server, or the way there, refused the connection.
+    /// The server or the network refused the connection, or connecting failed in another way.
     #[error("the connection failed")]
     Failed(#[source] io::Error),
-    /// The connection did not come up within the connect timeout.
+    /// The connection was not established within the connect timeout.
     #[error("the connect timeout passed")]
     TimedOut,
-    /// The connection came up but cannot carry HTTP.
+    /// The connection was established but cannot carry HTTP.
     #[error("the HTTP handshake failed")]
     Handshake(#[source] hyper::Error),
 }
 
 impl ConnectError {
-    /// The outcome that is reported to the gateway: a server is reported as unreachable only if the
-    /// cause may lie with the server.
+    /// Returns the outcome that is reported to the gateway: a server is reported as unreachable
+    /// only if the cause may lie with the server.
     pub(super) fn outcome(&self) -> AttemptOutcome {
         match self {
             ConnectError::Cancelled
--- a/crates/edge-node/src/upstream/connection.rs
+++ b/crates/edge-node/src/upstream/connection.rs
@@ -20,25 +20,26 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// Maximum number of bytes of a response's head that are buffered. A head without end could
-/// otherwise use up the memory limit of the process.
+/// Maximum number of bytes of a response head that are buffered. An endless head could otherwise
+/// use up the memory limit of the process.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// A connection that carries one request at a time and stays in a pool in between.
+
+/// A connection that carries one request at a time and stays in a pool between requests.
 ///
-/// A task, the driver, owns the socket. Whoever has the connection ends it by
-/// [`close`](Self::close) or [`close_in_background`](Self::close_in_background). If it is dropped
-/// instead, as when the future of an attempt is dropped, hyper sees that the sender is gone, ends
-/// the driver and so closes the socket.
+/// A task, the driver, owns the socket. The owner of the connection ends it with
+/// [`close`](Self::close) or [`close_in_background`](Self::close_in_background). If the connection
+/// is dropped instead, for example with the future of an attempt, hyper detects that the sender is
+/// gone and ends the driver, which closes the socket.
 pub(super) struct PooledConnection {
     address: SocketAddr,
     /// Weak, so that the socket is closed as soon as the driver ends.
     stream: Weak<RefCell<TokioIo<TcpStream>>>,
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
-    /// Whether a byte was written since the last [`reset_written`](Self::reset_written).
+    /// Whether any byte was written since the last [`reset_written`](Self::reset_written).
     request_written: Rc<Cell<bool>>,
     idle_since: Instant,
-    /// The last request that was answered on it.
+    /// Id of the last request that was answered on this connection.
     last_answered: Option<RequestId>,
 }
 
@@ -46,8 +47,8 @@
     /// Connects to a server. Dropping the future closes the socket, then releases its guard.
     ///
     /// # Errors
-    /// The connection was refused, did not come up within `connect_timeout`, or lacked local
-    /// resources.
+    /// Returns an error if the connection is refused, is not established within `connect_timeout`,
+    /// or lacks local resources.
     pub(super) async fn open(
         address: SocketAddr,
         connect_timeout: Duration,
@@ -72,7 +73,7 @@
             .await;
         let (sender, connection) = handshake.map_err(ConnectError::Handshake)?;
         let driver = tokio::task::spawn_local(async move {
-            // An error of the connection is also reported to the exchange that it ends.
+            // An error of the connection is also reported to the exchange that it interrupts.
             let _ = connection.await;
         });
         Ok(PooledConnection {
@@ -86,39 +87,40 @@
         })
     }
 
-    /// Where it leads to.
+    /// Returns the address of the server.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the socket and returns when that is done. If the future is dropped, the socket is
-    /// still closed, but in a later turn of the runtime.
+    /// Closes the socket and returns once it is closed. If the future is dropped, the socket is
+    /// closed in a later turn of the runtime.
     pub(super) async fn close(self) {
         self.driver.abort();
-        // An error means that the driver was aborted or had ended: the socket is closed in either
-        // case.
+        // The result does not matter: whether the driver was aborted or had already ended, the
+        // socket is closed.
         let _ = self.driver.await;
     }
 
-    /// Has the socket closed in a later turn of the runtime.
+    /// Closes the socket in a later turn of the runtime.
     pub(super) fn close_in_background(self) {
         self.driver.abort();
     }
 
-    /// Whether the server has closed the connection, as far as hyper has noticed.
+    /// Returns whether the server has closed the connection, as far as hyper has detected it.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Whether it can take a request and has been idle for less than `idle_timeout`.
+    /// Returns whether the connection can take a request and has been idle for less than
+    /// `idle_timeout`.
     pub(super) fn is_fresh(&self, idle_timeout: Duration) -> bool {
         let can_send = self.sender.is_ready() && !self.sender.is_closed();
         can_send && self.idle_time() < idle_timeout
     }
 
-    /// Whether nothing has been received since the last response, not even its end. What stands in
-    /// the socket would be read as the response to the next request. The operating system is asked,
-    /// as hyper may not have read yet.
+    /// Returns whether neither data nor the end of the stream has been received since the last
+    /// response. Data in the socket would be read as the response to the next request. Asks the
+    /// operating system, as hyper may not have read the data yet.
     pub(super) fn has_received_nothing(&self) -> bool {
         let Some(stream) = self.stream.upgrade() else {
             return false;
@@ -128,43 +130,43 @@
         peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// How long it has been idle.
+    /// Returns how long the connection has been idle.
     pub(super) fn idle_time(&self) -> Duration {
         self.idle_since.elapsed()
     }
 
-    /// Since when it has been idle.
+    /// Returns the time at which the connection became idle.
     pub(super) fn idle_since(&self) -> Instant {
         self.idle_since
     }
 
-    /// Counts as idle from now on.
+    /// Records that the connection is idle from now on.
     pub(super) fn mark_idle(&mut self) {
         self.idle_since = Instant::now();
     }
 
-    /// Counts as not written to from now on.
+    /// Clears the record of written bytes before the next request.
     pub(super) fn reset_written(&self) {
         self.request_written.set(false);
     }
 
-    /// Whether a byte was written since the last [`reset_written`](Self::reset_written).
-    pub(super) fn is_written(&self) -> bool {
+    /// Returns whether any byte was written since the last [`reset_written`](Self::reset_written).
+    pub(super) fn has_written(&self) -> bool {
         self.request_written.get()
     }
 
-    /// The last request that was answered on it.
+    /// Returns the id of the last request that was answered on this connection.
     pub(super) fn last_answered(&self) -> Option<&RequestId> {
         self.last_answered.as_ref()
     }
 
-    /// Records the last request that was answered on it.
+    /// Records the id of the last request that was answered on this connection.
     pub(super) fn set_last_answered(&mut self, id: RequestId) {
         self.last_answered = Some(id);
     }
 
     /// Sends a request and returns the head of its response. If the future is dropped, the
-    /// connection cannot be used any more: the response would be read as that of the next request.
+    /// connection must not be used again: the response would be read as that of the next request.
     pub(super) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -176,8 +178,8 @@
 async fn connect_tcp(address: SocketAddr, timeout: Duration) -> Result<TcpStream, ConnectError> {
     let connected = tokio::time::timeout(timeout, TcpStream::connect(address)).await;
     let stream = connected.map_err(|_elapsed| ConnectError::TimedOut)??;
-    // Without this option a request in two segments would wait for an acknowledgement. It also
-    // works without it, so that an error is no reason to give the connection up.
+    // Without this option, the second segment of a request would wait for the acknowledgement of
+    // the first. The connection also works without the option, so an error is ignored.
     let _ = stream.set_nodelay(true);
     Ok(stream)
 }
--- a/crates/edge-node/src/upstream/mod.rs
+++ b/crates/edge-node/src/upstream/mod.rs
@@ -1,9 +1,9 @@
-//! App servers as this node sees them: connection pools, and the attempts that use them.
+//! Connections to servers, and the attempts that use them.
 //!
-//! [`Upstream`] follows the endpoint list and makes attempts. `attempt` takes one attempt from its
-//! connection to its end, `response` validates what the server answers, `pool` and `connection`
-//! keep connections, `connect_error` says why there is none, `socket` counts them, and
-//! `body_budget` bounds the memory of bodies.
+//! [`Upstream`] applies updates of the endpoint list and makes attempts. Its modules: `attempt`
+//! makes one attempt, `response` reads and validates a response, `pool` and `connection` keep
+//! connections open between requests, `connect_error` classifies failures to connect, `socket`
+//! counts open sockets, and `body_budget` bounds the memory of bodies.
 
 mod attempt;
 mod attempt_result;
@@ -29,21 +29,20 @@
 use std::time::Duration;
 
 /// Fraction of the servers' idle timeout for which a connection stays in its pool. A request that
-/// is written while the server closes the connection ends with a reset, after which it may have
-/// been executed.
+/// is written while the server closes the connection ends with a reset and may have been executed.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
-/// Time between two evictions of idle connections.
+/// Interval between evictions of idle connections.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A server of the endpoint list.
+/// A server of the endpoint list and its current address.
 pub(crate) struct ServerAddress {
-    /// The server.
+    /// Id of the server.
     pub(crate) server: ServerId,
-    /// Where it is reached; `None` if nothing may be sent to it.
+    /// Address to connect to; `None` if nothing may be sent to the server.
     pub(crate) address: Option<SocketAddr>,
 }
 
-/// The servers that are ready, and the connections to them.
+/// The ready servers and the connections to them.
 pub(crate) struct Upstream {
     /// Memory for the large bodies of requests and responses.
     pub(crate) body_budget: BodyBudget,
@@ -55,8 +54,8 @@
 }
 
 impl Upstream {
-    /// No servers yet. `max_sockets` connections may be open at a time; the idle timeout
-    /// is the one after which a server closes a connection.
+    /// Creates an upstream without servers. At most `max_sockets` connections may be open at a
+    /// time; `connection_idle_timeout` is the time after which a server closes an idle connection.
     pub(crate) fn new(
         body_budget: BodyBudget,
         max_sockets: usize,
@@ -73,19 +72,19 @@
         }
     }
 
-    /// Connections to servers that are open.
+    /// Returns the number of sockets to servers that are open or being opened.
     pub(crate) fn open_sockets(&self) -> usize {
         self.open_sockets.count()
     }
 
-    /// Servers that are ready.
+    /// Returns the number of ready servers.
     pub(crate) fn ready_servers(&self) -> usize {
         self.pools.borrow().len()
     }
 
-    /// Follows the endpoint list. The idle connections of a server are closed if it is no longer
-    /// ready, has moved, or is missing from a snapshot; those in use are closed when their attempt
-    /// ends.
+    /// Applies an update of the endpoint list. The idle connections of a server are closed if it is
+    /// no longer ready, has moved, or is missing from a snapshot; connections in use are closed
+    /// when their attempt ends.
     pub(crate) fn update_endpoints(
         &self,
         kind: EndpointUpdate,
@@ -107,8 +106,8 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, for ever. It holds nothing while it
-    /// waits, so that the future may be dropped at any time.
+    /// Closes connections that have been idle for too long, at regular intervals, and never
+    /// returns. Holds nothing while it waits, so the future may be dropped at any time.
     pub(crate) async fn evict_idle_connections(&self) {
         loop {
             tokio::time::sleep(EVICTION_INTERVAL).await;
@@ -118,9 +117,9 @@
         }
     }
 
-    /// Whether a connection reaches the server at its current address. An address may pass from one
-    /// server to another.
-    fn leads_to(&self, server: ServerId, connection: &PooledConnection) -> bool {
+    /// Returns whether a connection leads to the current address of the server. An address may pass
+    /// from one server to another.
+    fn has_current_address(&self, server: ServerId, connection: &PooledConnection) -> bool {
         self.pools
             .borrow()
             .get(&server)
@@ -134,10 +133,10 @@
             .take_idle(self.idle_timeout)
     }
 
-    /// Returns a connection to its pool, or closes it if it does not belong there any more.
+    /// Returns a connection to its pool, or closes it if it is no longer usable for the server.
     fn release(&self, server: ServerId, mut connection: PooledConnection) {
         connection.mark_idle();
-        let is_usable = self.leads_to(server, &connection) && !connection.is_closed();
+        let is_usable = self.has_current_address(server, &connection) && !connection.is_closed();
         match self.pools.borrow_mut().get_mut(&server) {
             Some(pool) if is_usable => pool.put_idle(connection),
             _ => connection.close_in_background(),
@@ -156,11 +155,11 @@
         PooledConnection::open(address, self.connect_timeout, guard).await
     }
 
-    /// Closes the connection that has been idle for the longest time, and returns when that is
-    /// done.
+    /// Closes the connection that has been idle for the longest time, and returns once it is
+    /// closed.
     ///
     /// # Errors
-    /// No connection is idle.
+    /// Returns [`ConnectError::SocketLimit`] if no connection is idle.
     async fn close_oldest_idle(&self) -> Result<(), ConnectError> {
         let oldest = self.take_oldest_idle().ok_or(ConnectError::SocketLimit)?;
         oldest.close().await;
@@ -169,15 +168,16 @@
 
     fn take_oldest_idle(&self) -> Option<PooledConnection> {
         let mut pools = self.pools.borrow_mut();
-        let with_idle = pools
+        let pools_with_idle = pools
             .values_mut()
             .filter_map(|pool| Some((pool.oldest_idle_since()?, pool)));
-        let (_since, pool) = with_idle.min_by_key(|(since, _pool)| *since)?;
+        let (_since, pool) = pools_with_idle.min_by_key(|(since, _pool)| *since)?;
         pool.take_oldest()
     }
 }
 
-/// The pool of a server at `address`: the existing one if the server has not moved.
+/// Returns the pool for a server at `address`, which is the existing pool if the address has not
+/// changed.
 fn updated_pool(existing: Option<ServerPool>, address: Option<SocketAddr>) -> Option<ServerPool> {
     if let Some(pool) = existing {
         if address == Some(pool.address()) {
--- a/crates/edge-node/src/upstream/pool.rs
+++ b/crates/edge-node/src/upstream/pool.rs
@@ -1,8 +1,8 @@
 //! The idle connections of one server.
 //!
-//! The pooled client of `hyper-util` is not used: it sends a request again by itself where a
-//! connection was closed, and doesn't tell whether a byte was written, which decides whether a
-//! request may be retried.
+//! The pooled client of `hyper-util` is not used: it resends a request by itself if the connection
+//! was closed, and does not report whether a byte was written, which decides whether a request may
+//! be retried.
 
 use super::connection::PooledConnection;
 use std::net::SocketAddr;
@@ -11,20 +11,19 @@
 
 /// Maximum number of idle connections per server.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// How long a connection rests after a response before it is used again. A second copy of that
-/// response which arrives only after the next request was written would be read as the response to
-/// it.
-const SETTLING_TIME: Duration = Duration::from_millis(10);
+/// Minimum idle time of a connection before it is used again. If a second copy of a response
+/// arrived only after the next request was written, it would be read as the response to that
+/// request.
+const REUSE_DELAY: Duration = Duration::from_millis(10);
 
-/// A server that is ready: its address and its idle connections, those that became idle first in
-/// front.
+/// A ready server: its address and its idle connections, in the order in which they became idle.
 pub(super) struct ServerPool {
     address: SocketAddr,
     idle: Vec<PooledConnection>,
 }
 
 impl ServerPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub(super) fn new(address: SocketAddr) -> ServerPool {
         ServerPool {
             address,
@@ -32,20 +31,20 @@
         }
     }
 
-    /// Where the server is reached.
+    /// Returns the address of the server.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes the connection that was used last among those that have settled, so that the others
-    /// may expire. Connections that turn out to be unusable are closed.
+    /// Takes the most recently used of the connections that have been idle for [`REUSE_DELAY`] or
+    /// longer, so that the others may expire. Closes connections that turn out to be unusable.
     pub(super) fn take_idle(&mut self, idle_timeout: Duration) -> Option<PooledConnection> {
         loop {
-            let settled = self
+            let reusable = self
                 .idle
                 .iter()
-                .rposition(|connection| connection.idle_time() >= SETTLING_TIME)?;
-            let connection = self.idle.remove(settled);
+                .rposition(|connection| connection.idle_time() >= REUSE_DELAY)?;
+            let connection = self.idle.remove(reusable);
             if connection.is_fresh(idle_timeout) && connection.has_received_nothing() {
                 return Some(connection);
             }
@@ -73,8 +72,8 @@
         }
     }
 
-    /// Since when the connection that became idle first has been idle; `None` if there is no idle
-    /// connection.
+    /// Returns the time at which the longest idle connection became idle; `None` if there is no
+    /// idle connection.
     pub(super) fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.first().map(PooledConnection::idle_since)
     }
--- a/crates/edge-node/src/upstream/response.rs
+++ b/crates/edge-node/src/upstream/response.rs
@@ -9,41 +9,41 @@
 use hyper::{Response, StatusCode};
 use thiserror::Error;
 
-/// The header by which a server may name the request that it answers.
+/// Header by which a server may name the request that it answers.
 pub(super) const REQUEST_ID: &str = "x-request-id";
-/// The header by which a server reports its load.
+/// Header by which a server reports its load.
 const LOAD: &str = "x-load";
-/// The header, with the value `1`, by which a server says that it has not executed the request.
+/// Header, with the value `1`, by which a server states that it has not executed the request.
 const NOT_RUN: &str = "x-not-run";
 
-/// Why a response is not used. Its connection is in an unknown state and has to be closed.
+/// Reason why a response is not used. Its connection is in an unknown state and has to be closed.
 #[derive(Debug, Error)]
 pub(super) enum ResponseError {
-    /// It names the request that was answered on this connection before.
+    /// The response names the request that was previously answered on this connection.
     #[error("a copy of the previous response")]
     RepeatsPrevious,
-    /// Its status is 1xx.
+    /// The status is 1xx.
     #[error("an informational response")]
     Informational,
-    /// It has neither a length nor a transfer encoding.
-    #[error("the response ends with its connection")]
+    /// The response has neither a content length nor a transfer encoding.
+    #[error("the response has neither a content length nor a transfer encoding")]
     Unframed,
-    /// Its body is too large.
-    #[error("the response's body is not accepted")]
+    /// The body is too large.
+    #[error("the response body is not accepted")]
     NotAccepted(#[from] BodyBudgetError),
-    /// Its body ended early, or is longer than was declared.
-    #[error("the response's body cannot be read")]
+    /// The body ended early, or is longer than declared.
+    #[error("the response body cannot be read")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// Reads a whole response, so that no client ever receives one that was cut. `previous` is the
-/// request that was answered on the same connection before.
+/// Reads a complete response, so that no client ever receives a truncated one. `previous` is the
+/// request that was previously answered on the same connection.
 ///
-/// If the future is dropped, the rest of the body stays unread and the connection cannot be used
-/// any more.
+/// If the future is dropped, the rest of the body remains unread and the connection must not be
+/// used again.
 ///
 /// # Errors
-/// The response is not for this request, is not complete, or is too large.
+/// Returns an error if the response is not for this request, is incomplete, or is too large.
 pub(super) async fn read(
     response: Response<Incoming>,
     previous: Option<&RequestId>,
@@ -63,23 +63,25 @@
     })
 }
 
-/// Checks what can be checked before the body is read.
+/// Checks everything that can be checked before the body is read.
 fn check_head<B>(
     response: &Response<B>,
     previous: Option<&RequestId>,
 ) -> Result<(), ResponseError> {
-    // A late copy of the previous response would pass for the response to this request. Only an id
-    // that was sent on this connection tells: a server may use the header as it likes.
+    // A late copy of the previous response must not be taken for the response to this request. Only
+    // an id that was sent on this connection identifies such a copy: a server may use the header
+    // for values of its own.
     if let (Some(previous), Some(id)) = (previous, response.headers().get(REQUEST_ID)) {
         if id.as_bytes() == previous.0.as_bytes() {
             return Err(ResponseError::RepeatsPrevious);
         }
     }
-    // It would turn the connection into something else, or be followed by another response.
+    // An informational response would switch the connection to another protocol, or be followed by
+    // another response.
     if response.status().is_informational() {
         return Err(ResponseError::Informational);
     }
-    // Whether a response that ends with its connection is complete cannot be known.
+    // It cannot be known whether a response that ends with its connection is complete.
     if !is_framed(response.headers()) {
         return Err(ResponseError::Unframed);
     }
@@ -90,7 +92,7 @@
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// How an attempt with this response has ended.
+/// Returns the outcome of an attempt that received this response.
 fn classify<B>(response: &Response<B>) -> AttemptOutcome {
     let not_run = response
         .headers()
@@ -105,7 +107,7 @@
     }
 }
 
-/// Requests in flight at the server, if it reports them.
+/// Returns the number of requests in flight at the server, if the response reports it.
 fn reported_load(headers: &HeaderMap) -> Option<f64> {
     let report = headers.get(LOAD)?.to_str().ok()?;
     load_report::parse_in_flight(report, '=')
--- a/crates/edge-node/src/upstream/socket.rs
+++ b/crates/edge-node/src/upstream/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets to servers: they are counted while they are open, and remember whether anything was
+//! Sockets to servers, which are counted while they are open and record whether anything was
 //! written to them.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -10,14 +10,14 @@
 use std::task::{Context, Poll};
 use tokio::net::TcpStream;
 
-/// The number of sockets that are open.
+/// Counter of open sockets.
 #[derive(Default)]
 pub(super) struct OpenSockets {
     count: Rc<Cell<usize>>,
 }
 
 impl OpenSockets {
-    /// Sockets that are open, or are being opened.
+    /// Returns the number of sockets that are open or being opened.
     pub(super) fn count(&self) -> usize {
         self.count.get()
     }
@@ -43,19 +43,20 @@
     }
 }
 
-/// A socket that its driver reads and writes, and that its connection looks at in between.
+/// A socket shared by the driver, which reads and writes, and by the connection, which inspects the
+/// socket between requests.
 pub(super) type SharedStream = Rc<RefCell<TokioIo<TcpStream>>>;
 
 /// A socket that records whether a byte has been written to it.
 pub(super) struct ObservedStream {
     stream: SharedStream,
     request_written: Rc<Cell<bool>>,
-    /// Declared after the stream, so that the socket is closed before it is no longer counted.
+    /// Declared after the stream, so that the socket is closed before it stops being counted.
     _guard: OpenSocketGuard,
 }
 
 impl ObservedStream {
-    /// Sets `request_written` when a byte is written to `stream`.
+    /// Wraps `stream` and sets `request_written` when a byte is written to it.
     pub(super) fn new(
         stream: SharedStream,
         request_written: Rc<Cell<bool>>,
@@ -68,7 +69,7 @@
         }
     }
 
-    fn record(&self, written: &Poll<io::Result<usize>>) {
+    fn record_write(&self, written: &Poll<io::Result<usize>>) {
         if matches!(written, Poll::Ready(Ok(1..))) {
             self.request_written.set(true);
         }
@@ -92,7 +93,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write(context, bytes);
-        self.record(&written);
+        self.record_write(&written);
         written
     }
 
@@ -102,7 +103,7 @@
         parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write_vectored(context, parts);
-        self.record(&written);
+        self.record_write(&written);
         written
     }
 
--- a/crates/edge-node/tests/unit/upstream_attempt.rs
+++ b/crates/edge-node/tests/unit/upstream_attempt.rs
@@ -141,7 +141,7 @@
             );
         }
     }
-    assert_eq!(AttemptError::Superseded.outcome(), NotSent);
+    assert_eq!(AttemptError::NoLongerNeeded.outcome(), NotSent);
     for (error, expected) in [
         (ConnectError::Cancelled, NotSent),
         (ConnectError::UnknownServer, NotSent),
