--- a/crates/edge-node/tests/library/call_terms.rs
+++ b/crates/edge-node/tests/library/call_terms.rs
@@ -1,20 +1,20 @@
-//! Call terms: all three, once each, within the settings.
+//! Tests the call terms: all three are required, once each, within the range of the settings.
 
 use edge_node::clients::call_terms::CallTerms;
 use gateway_core::{settings, GatewayId, GatewaySet, Settings, Units};
 
-/// Settings of three gateways, with 8 units for a request at most.
+/// Settings of three gateways that allow a request at most 8 units.
 fn settings() -> Settings {
     let config: serde_json::Value =
         serde_json::from_str(include_str!("../fixtures/platform-config.json"))
-            .expect("a configuration");
+            .expect("the fixture is not JSON");
     settings::parse(&config["settings"].to_string())
-        .expect("settings")
+        .expect("the fixture has invalid settings")
         .settings
 }
 
 #[test]
-fn terms_may_come_in_any_order_beside_unknown_ones() {
+fn accepts_terms_in_any_order_and_ignores_unknown_ones() {
     let gateways = GatewaySet {
         first: GatewayId(2),
         count: 3,
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn terms_that_are_missing_repeated_or_out_of_range_are_rejected() {
-    let bad = [
+fn rejects_missing_repeated_or_out_of_range_terms() {
+    let invalid = [
         "",
         "units=1,spread=1",
         "units=1,first=0",
@@ -54,7 +54,7 @@
         "units=1,spread=1,first=3",
         "units=1,spread=1,first=-0",
     ];
-    for text in bad {
+    for text in invalid {
         assert_eq!(CallTerms::parse(text, &settings()), None, "{text:?}");
     }
 }
--- a/crates/edge-node/tests/library/phase.rs
+++ b/crates/edge-node/tests/library/phase.rs
@@ -1,8 +1,8 @@
-//! Phases: their order and the words that operators' tools read.
+//! Tests the order of the phases and the names that operators' tools read.
 
 use edge_node::clients::Phase;
 
-const ALL: [Phase; 4] = [
+const PHASES: [Phase; 4] = [
     Phase::Starting,
     Phase::Serving,
     Phase::Draining,
@@ -10,14 +10,14 @@
 ];
 
 #[test]
-fn phases_keep_their_words() {
+fn phases_have_stable_names() {
     assert_eq!(
-        ALL.map(Phase::as_str),
+        PHASES.map(Phase::as_str),
         ["starting", "serving", "leaving", "closing"]
     );
 }
 
 #[test]
-fn phases_compare_in_the_order_in_which_they_follow() {
-    assert!(ALL.is_sorted());
+fn phases_compare_in_life_cycle_order() {
+    assert!(PHASES.is_sorted());
 }
--- a/crates/edge-node/tests/library/request_error.rs
+++ b/crates/edge-node/tests/library/request_error.rs
@@ -1,10 +1,9 @@
-//! What a client is sent for each way in which its request can be wrong: clients read the status,
-//! people the text.
+//! Tests what a client is sent for each invalid request: programs read the status, people the text.
 
 use edge_node::clients::request_error::RequestError;
 
 #[test]
-fn each_error_keeps_its_status_and_text() {
+fn errors_have_stable_status_and_text() {
     let expected = [
         (
             RequestError::TransferEncoding,
--- a/crates/edge-node/tests/library/request_head.rs
+++ b/crates/edge-node/tests/library/request_head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests: what a good one says, and which rule a bad one breaks first.
+//! Tests the parsing of request heads, and which rule is reported first for an invalid head.
 
 use edge_node::clients::call_terms::CallTerms;
 use edge_node::clients::request_error::RequestError;
@@ -11,12 +11,12 @@
 fn resolved_settings() -> ResolvedSettings {
     let config: serde_json::Value =
         serde_json::from_str(include_str!("../fixtures/platform-config.json"))
-            .expect("a configuration");
-    settings::parse(&config["settings"].to_string()).expect("settings")
+            .expect("the fixture is not JSON");
+    settings::parse(&config["settings"].to_string()).expect("the fixture has invalid settings")
 }
 
-/// The head of a good request whose class is deduplicated by a key, in lines as on the wire.
-const KEYED: &str = "POST /submit-loan/any/00000000b4d65521?game=7
+/// A valid head of a request of a keyed class, in lines as on the wire.
+const KEYED_HEAD: &str = "POST /submit-loan/any/00000000b4d65521?game=7
 x-request-id: a
 x-class: submit-loan
 x-tier: premier
@@ -25,23 +25,26 @@
 idempotency-key: k
 host: n0";
 
-fn parse(head: &str) -> Result<RequestHead, RequestError> {
+fn parse_head(head: &str) -> Result<RequestHead, RequestError> {
     let mut lines = head.lines();
     let (method, target) = lines
         .next()
         .and_then(|line| line.split_once(' '))
-        .expect("a method and a target");
+        .expect("no method and target");
     let mut request = Request::builder().method(method).uri(target);
     for line in lines {
-        let (name, value) = line.split_once(": ").expect("a header");
+        let (name, value) = line.split_once(": ").expect("no header name and value");
         request = request.header(name, value);
     }
-    let (parts, ()) = request.body(()).expect("a request").into_parts();
+    let (parts, ()) = request
+        .body(())
+        .expect("failed to build the request")
+        .into_parts();
     RequestHead::parse(&resolved_settings(), &parts)
 }
 
 #[test]
-fn a_good_head_is_parsed() {
+fn parses_valid_head() {
     let expected = RequestHead {
         id: RequestId("a".into()),
         class: ClassId(1),
@@ -57,16 +60,16 @@
         client_timeout: Duration::from_millis(480),
         allows_body: true,
     };
-    assert_eq!(parse(KEYED), Ok(expected));
-    let read = KEYED
+    assert_eq!(parse_head(KEYED_HEAD), Ok(expected));
+    let read = KEYED_HEAD
         .replace("submit-loan", "balance-read")
         .replace("POST", "GET");
-    let read = parse(&read).expect("a good head");
+    let read = parse_head(&read).expect("a valid head was rejected");
     assert_eq!((read.class, read.allows_body), (ClassId(0), false));
 }
 
 #[test]
-fn a_bad_head_is_rejected_for_the_rule_that_it_breaks() {
+fn rejects_head_with_error_of_broken_rule() {
     let long_id = format!("x-request-id: {}", "a".repeat(65));
     let cases = [
         (
@@ -125,18 +128,18 @@
         ),
     ];
     for (from, to, error) in cases {
-        assert!(KEYED.contains(from), "{from:?}");
+        assert!(KEYED_HEAD.contains(from), "{from:?}");
         assert_eq!(
-            parse(&KEYED.replacen(from, to, 1)),
+            parse_head(&KEYED_HEAD.replacen(from, to, 1)),
             Err(error),
             "{from:?} to {to:?}"
         );
     }
 }
 
-/// Clients see one text for each request, so which rule counts first is part of what they see.
+/// Clients are sent a single error text per request, so the order of the rules is visible to them.
 #[test]
-fn of_several_broken_rules_the_first_counts() {
+fn reports_first_of_several_broken_rules() {
     let order = [
         (
             "host: n0",
@@ -177,10 +180,10 @@
             RequestError::MissingIdempotencyKey,
         ),
     ];
-    // Each round breaks one more rule, from the last to the first.
-    let mut head = KEYED.to_owned();
+    // Each iteration breaks one more rule, from the last rule to the first.
+    let mut head = KEYED_HEAD.to_owned();
     for (from, to, error) in order.iter().rev() {
         head = head.replacen(from, to, 1);
-        assert_eq!(parse(&head), Err(*error), "{from:?} to {to:?}");
+        assert_eq!(parse_head(&head), Err(*error), "{from:?} to {to:?}");
     }
 }
--- a/crates/edge-node/tests/unit/client_response.rs
+++ b/crates/edge-node/tests/unit/client_response.rs
@@ -1,17 +1,20 @@
-//! Responses to clients: their status, headers and bodies.
+//! Tests the status, headers and body of each response to a client.
 
 use super::*;
 use http_body_util::BodyExt;
 use hyper::header::HeaderMap;
 
-/// Status, headers and body of a response.
-fn parts(response: BufferedResponse) -> (u16, HeaderMap, Bytes) {
+/// Returns the status, headers and body of a response.
+fn status_headers_and_body(response: BufferedResponse) -> (u16, HeaderMap, Bytes) {
     let (parts, body) = response.into_parts();
-    // The body is held whole, so that no wait is needed for it.
+    // The body is in memory, so collecting it never waits.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
-        .expect("a runtime");
-    let body = runtime.block_on(body.collect()).expect("a body").to_bytes();
+        .expect("failed to build a runtime");
+    let body = runtime
+        .block_on(body.collect())
+        .expect("failed to collect the body")
+        .to_bytes();
     (parts.status.as_u16(), parts.headers, body)
 }
 
@@ -20,7 +23,7 @@
         .iter()
         .map(|(name, value)| {
             (
-                name.parse().expect("a name"),
+                name.parse().expect("invalid header name"),
                 HeaderValue::from_static(value),
             )
         })
@@ -28,42 +31,42 @@
 }
 
 #[test]
-fn each_answer_has_its_response() {
+fn maps_final_answer_to_status_headers_and_body() {
     let served = Answer::Served(Bytes::from_static(b"ranks"));
     assert_eq!(
-        parts(from_answer(served)),
+        status_headers_and_body(from_answer(served)),
         (200, HeaderMap::new(), Bytes::from_static(b"ranks"))
     );
     assert_eq!(
-        parts(from_answer(Answer::Failed)),
+        status_headers_and_body(from_answer(Answer::Failed)),
         (502, HeaderMap::new(), Bytes::new())
     );
     assert_eq!(
-        parts(from_answer(Answer::Rejected(None))),
+        status_headers_and_body(from_answer(Answer::Rejected(None))),
         (503, HeaderMap::new(), Bytes::new())
     );
-    let later = Answer::Rejected(Some(Duration::from_micros(1_020_499)));
+    let rejected_with_retry_after = Answer::Rejected(Some(Duration::from_micros(1_020_499)));
     assert_eq!(
-        parts(from_answer(later)),
+        status_headers_and_body(from_answer(rejected_with_retry_after)),
         (503, headers(&[("retry-after", "1.020")]), Bytes::new())
     );
 }
 
 #[test]
-fn a_rejection_says_why_and_closes_the_connection() {
+fn invalid_request_response_states_reason_and_closes_connection() {
     let expected = (
         400,
         headers(&[("connection", "close")]),
         Bytes::from_static(b"X-Class: missing\n"),
     );
     assert_eq!(
-        parts(for_invalid_request(RequestError::MissingClass)),
+        status_headers_and_body(for_invalid_request(RequestError::MissingClass)),
         expected
     );
 }
 
 #[test]
-fn the_edge_node_is_ready_only_while_it_serves() {
+fn readiness_probe_gets_200_only_in_serving_phase() {
     for phase in [
         Phase::Starting,
         Phase::Serving,
@@ -72,7 +75,7 @@
     ] {
         let status = if phase == Phase::Serving { 200 } else { 503 };
         assert_eq!(
-            parts(readiness(phase)),
+            status_headers_and_body(readiness(phase)),
             (status, HeaderMap::new(), Bytes::new()),
             "{phase:?}"
         );
--- a/crates/edge-node/tests/unit/connection_state.rs
+++ b/crates/edge-node/tests/unit/connection_state.rs
@@ -1,8 +1,8 @@
-//! Which connection is closed first when there are too many.
+//! Tests in which order connections are evicted when there are too many.
 
 use super::*;
 
-fn state(idle_since: Option<Instant>, write_blocked: bool) -> ConnectionState {
+fn connection_state(idle_since: Option<Instant>, write_blocked: bool) -> ConnectionState {
     ConnectionState {
         idle_since: Cell::new(idle_since),
         write_blocked: Rc::new(Cell::new(write_blocked)),
@@ -11,13 +11,13 @@
 }
 
 #[test]
-fn the_longest_idle_is_evicted_first_and_one_with_an_unwritten_response_last() {
+fn evicts_longest_idle_first_and_unwritten_response_last() {
     let start = Instant::now();
     let later = start + Duration::from_millis(1);
     let in_order = [
-        state(Some(start), false),
-        state(Some(later), false),
-        state(Some(start), true),
+        connection_state(Some(start), false),
+        connection_state(Some(later), false),
+        connection_state(Some(start), true),
     ];
     let order = in_order.map(|state| state.eviction_order());
     assert!(order.iter().all(Option::is_some));
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn a_connection_with_a_request_in_flight_is_not_evicted() {
-    let state = state(Some(Instant::now()), false);
+fn connection_with_request_in_flight_is_not_evicted() {
+    let state = connection_state(Some(Instant::now()), false);
     let guard = InFlightGuard::new(&state);
     assert!(state.eviction_order().is_none());
     drop(guard);
@@ -34,28 +34,28 @@
 }
 
 #[test]
-fn only_one_request_of_a_connection_is_its_first() {
-    let state = state(None, false);
+fn take_first_request_returns_true_only_once() {
+    let state = connection_state(None, false);
     assert!(state.take_first_request());
     assert!(!state.take_first_request());
 }
 
 #[test]
-fn a_connection_without_a_request_is_evicted_before_one_that_has_just_become_idle() {
+fn connection_without_request_is_evicted_before_newly_idle_one() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .build()
-        .expect("a runtime");
+        .expect("failed to build a runtime");
     let unused = runtime.block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
-            .expect("a port");
-        let address = listener.local_addr().expect("an address");
+            .expect("failed to bind a port");
+        let address = listener.local_addr().expect("the listener has no address");
         let stream = tokio::net::TcpStream::connect(address)
             .await
-            .expect("a connection");
+            .expect("failed to connect");
         ConnectionState::new(&ReadAheadStream::new(stream))
     });
-    let just_idle = state(Some(Instant::now()), false);
+    let just_idle = connection_state(Some(Instant::now()), false);
     assert!(unused.eviction_order() < just_idle.eviction_order());
 }
--- a/crates/edge-node/tests/unit/upstream.rs
+++ b/crates/edge-node/tests/unit/upstream.rs
@@ -1,4 +1,4 @@
-//! What happens to an attempt whose request or server changes while its connection comes up.
+//! Tests attempts whose request or server changes while their connection is being established.
 
 use super::*;
 use bytes::Bytes;
@@ -18,11 +18,15 @@
     })
 }
 
-/// An attempt during whose connecting `change` is called: how it ends, and what was written before
-/// the connection was closed.
-async fn attempt_with(change: impl Fn(&Upstream, SocketAddr) -> bool) -> (AttemptOutcome, Vec<u8>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+/// Makes an attempt and calls `change` once its connection is established, before anything is
+/// written. Returns the outcome and the bytes that were written before the connection was closed.
+async fn attempt_with_change_before_write(
+    change: impl Fn(&Upstream, SocketAddr) -> bool,
+) -> (AttemptOutcome, Vec<u8>) {
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("failed to bind a port");
+    let address = listener.local_addr().expect("the listener has no address");
     let upstream = Upstream::new(
         BodyBudget::new(0),
         8,
@@ -54,45 +58,51 @@
     } = upstream.attempt(attempt).await;
     assert!(body.is_none() && reported_load.is_none());
     upstream.update_endpoints(EndpointUpdate::Snapshot, std::iter::empty());
-    let (mut stream, _) = listener.accept().await.expect("it connected");
+    let (mut stream, _) = listener
+        .accept()
+        .await
+        .expect("failed to accept the connection");
     let mut written = Vec::new();
-    stream.read_to_end(&mut written).await.expect("it closes");
+    stream
+        .read_to_end(&mut written)
+        .await
+        .expect("failed to read until the connection is closed");
     (outcome, written)
 }
 
-async fn all_end_unsent() {
+async fn assert_changes_end_attempt_unsent() {
     let answered = |_: &Upstream, _| false;
     assert_eq!(
-        attempt_with(answered).await,
+        attempt_with_change_before_write(answered).await,
         (AttemptOutcome::NotSent, Vec::new()),
-        "answered meanwhile"
+        "request answered while connecting"
     );
     let drains = |upstream: &Upstream, _| {
         upstream.update_endpoints(EndpointUpdate::Delta, endpoint(None));
         true
     };
     assert_eq!(
-        attempt_with(drains).await,
+        attempt_with_change_before_write(drains).await,
         (AttemptOutcome::NotSent, Vec::new()),
-        "drains meanwhile"
+        "server drains while connecting"
     );
     let moves = |upstream: &Upstream, address: SocketAddr| {
-        let elsewhere = SocketAddr::new(address.ip(), address.port() ^ 1);
-        upstream.update_endpoints(EndpointUpdate::Delta, endpoint(Some(elsewhere)));
+        let new_address = SocketAddr::new(address.ip(), address.port() ^ 1);
+        upstream.update_endpoints(EndpointUpdate::Delta, endpoint(Some(new_address)));
         true
     };
     assert_eq!(
-        attempt_with(moves).await,
+        attempt_with_change_before_write(moves).await,
         (AttemptOutcome::NotSent, Vec::new()),
-        "moves meanwhile"
+        "server moves while connecting"
     );
 }
 
 #[test]
-fn nothing_is_written_once_the_request_is_answered_or_the_server_drains_or_moves() {
+fn writes_nothing_if_request_is_answered_or_server_drains_or_moves_while_connecting() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
-    tokio::task::LocalSet::new().block_on(&runtime, all_end_unsent());
+        .expect("failed to build a runtime");
+    tokio::task::LocalSet::new().block_on(&runtime, assert_changes_end_attempt_unsent());
 }
--- a/crates/edge-node/tests/unit/upstream_attempt.rs
+++ b/crates/edge-node/tests/unit/upstream_attempt.rs
@@ -1,4 +1,4 @@
-//! Each way in which an attempt can end, and what is on the wire meanwhile.
+//! Tests each outcome of an attempt, and the bytes on the wire.
 
 use super::super::{BodyBudget, ServerAddress};
 use super::*;
@@ -13,22 +13,24 @@
 const SECOND: ServerId = ServerId(2);
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nranks";
 
-fn run(test: impl Future<Output = ()>) {
+fn block_on(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("failed to build a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
 async fn listen() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("failed to bind a port");
+    let address = listener.local_addr().expect("the listener has no address");
     (listener, address)
 }
 
-/// Servers at these addresses, and so many sockets for them at the most.
-fn upstream(max_sockets: usize, servers: &[(ServerId, SocketAddr)]) -> Upstream {
+/// Creates an upstream with these servers that may open at most `max_sockets` sockets.
+fn upstream_with_servers(max_sockets: usize, servers: &[(ServerId, SocketAddr)]) -> Upstream {
     let upstream = Upstream::new(
         BodyBudget::new(0),
         max_sockets,
@@ -54,8 +56,8 @@
     }
 }
 
-/// An attempt that nothing cancels.
-async fn attempt(upstream: &Upstream, server: ServerId, deadline: Instant) -> AttemptResult {
+/// Makes an attempt that is not cancelled.
+async fn make_attempt(upstream: &Upstream, server: ServerId, deadline: Instant) -> AttemptResult {
     let request = request();
     let (_cancel, cancelled) = oneshot::channel();
     upstream
@@ -73,7 +75,7 @@
     Instant::now() + Duration::from_secs(60)
 }
 
-fn outcome_alone(outcome: AttemptOutcome) -> AttemptResult {
+fn result_without_response(outcome: AttemptOutcome) -> AttemptResult {
     AttemptResult {
         outcome,
         body: None,
@@ -85,38 +87,48 @@
     let mut received = Vec::new();
     while !received.ends_with(b"time") {
         assert_ne!(
-            stream.read_buf(&mut received).await.expect("it reads"),
+            stream
+                .read_buf(&mut received)
+                .await
+                .expect("failed to read the request"),
             0,
             "the connection was closed"
         );
     }
-    String::from_utf8(received).expect("text")
+    String::from_utf8(received).expect("the request is not UTF-8")
 }
 
-/// Answers one request on a new connection, which stays open.
-async fn respond(listener: &TcpListener, response: &[u8]) -> (TcpStream, String) {
-    let (mut stream, _) = listener.accept().await.expect("it connects");
+/// Accepts a connection and responds to one request on it. Returns the connection, which stays
+/// open, and the request.
+async fn accept_and_respond(listener: &TcpListener, response: &[u8]) -> (TcpStream, String) {
+    let (mut stream, _) = listener
+        .accept()
+        .await
+        .expect("failed to accept a connection");
     let received = read_request(&mut stream).await;
     stream
         .write_all(response)
         .await
-        .expect("it takes the response");
+        .expect("failed to write the response");
     (stream, received)
 }
 
-/// Comes back once the other side has closed the connection.
-async fn until_closed(stream: &mut TcpStream) {
+/// Waits until the other side closes the connection. Fails if it sends anything more.
+async fn wait_until_closed(stream: &mut TcpStream) {
     let mut rest = Vec::new();
-    stream.read_to_end(&mut rest).await.expect("it is closed");
+    stream
+        .read_to_end(&mut rest)
+        .await
+        .expect("failed to read until the connection is closed");
     assert!(rest.is_empty());
 }
 
 #[test]
-fn an_error_becomes_an_outcome_by_whether_the_request_was_written() {
+fn maps_error_to_outcome_by_whether_request_was_written() {
     use AttemptOutcome::{Cancelled, ConnectionLost, NotSent, TimedOut, Unreachable};
     type MakeError = fn() -> ExchangeError;
     let invalid =
-        || ExchangeError::InvalidRequest(Method::from_bytes(b"").expect_err("no method").into());
+        || ExchangeError::InvalidRequest(Method::from_bytes(b"").expect_err("empty method").into());
     let cases: [(MakeError, AttemptOutcome, AttemptOutcome); 4] = [
         (|| ExchangeError::Cancelled, Cancelled, NotSent),
         (|| ExchangeError::DeadlineExceeded, TimedOut, Unreachable),
@@ -135,7 +147,7 @@
             };
             assert_eq!(
                 AttemptResult::from(error),
-                outcome_alone(expected),
+                result_without_response(expected),
                 "{:?}",
                 make_error()
             );
@@ -154,13 +166,13 @@
 }
 
 #[test]
-fn the_request_is_written_byte_for_byte() {
-    run(async {
+fn writes_expected_request_bytes() {
+    block_on(async {
         let (listener, address) = listen().await;
-        let upstream = upstream(8, &[(FIRST, address)]);
+        let upstream = upstream_with_servers(8, &[(FIRST, address)]);
         let (result, (_stream, received)) = tokio::join!(
-            attempt(&upstream, FIRST, in_one_minute()),
-            respond(&listener, OK)
+            make_attempt(&upstream, FIRST, in_one_minute()),
+            accept_and_respond(&listener, OK)
         );
         let body = Some(Bytes::from_static(b"ranks"));
         assert_eq!(
@@ -171,8 +183,12 @@
                 reported_load: None
             }
         );
-        let (before, after) = received.split_once("x-deadline: ").expect("a deadline");
-        let (deadline, after) = after.split_once("\r\n").expect("the end of the line");
+        let (before, after) = received
+            .split_once("x-deadline: ")
+            .expect("no x-deadline header");
+        let (deadline, after) = after
+            .split_once("\r\n")
+            .expect("the header line does not end");
         let start =
             format!("POST /submit/7?game=7 HTTP/1.1\r\nhost: {address}\r\nx-request-id: a\r\n");
         assert_eq!(before, start);
@@ -182,43 +198,43 @@
         );
         let milliseconds = deadline
             .strip_suffix('m')
-            .expect("a unit")
+            .expect("the deadline has no unit")
             .parse::<u64>()
-            .expect("a number");
+            .expect("the deadline is not a number");
         assert!((1..=60_000).contains(&milliseconds), "{deadline}");
     });
 }
 
 #[test]
-fn without_a_connection_nothing_counts_as_sent() {
-    run(async {
+fn attempt_without_connection_is_not_sent_or_unreachable() {
+    block_on(async {
         let (listener, address) = listen().await;
-        let known = upstream(8, &[(FIRST, address)]);
-        let unknown = attempt(&known, SECOND, in_one_minute()).await;
+        let known = upstream_with_servers(8, &[(FIRST, address)]);
+        let unknown = make_attempt(&known, SECOND, in_one_minute()).await;
         assert_eq!(
             unknown,
-            outcome_alone(AttemptOutcome::NotSent),
+            result_without_response(AttemptOutcome::NotSent),
             "no address"
         );
         let past = Instant::now() - Duration::from_secs(60);
-        let late = attempt(&known, FIRST, past).await;
+        let late = make_attempt(&known, FIRST, past).await;
         assert_eq!(
             late,
-            outcome_alone(AttemptOutcome::Unreachable),
+            result_without_response(AttemptOutcome::Unreachable),
             "past the deadline"
         );
-        let without_sockets = upstream(0, &[(FIRST, address)]);
-        let limited = attempt(&without_sockets, FIRST, in_one_minute()).await;
+        let without_sockets = upstream_with_servers(0, &[(FIRST, address)]);
+        let limited = make_attempt(&without_sockets, FIRST, in_one_minute()).await;
         assert_eq!(
             limited,
-            outcome_alone(AttemptOutcome::NotSent),
+            result_without_response(AttemptOutcome::NotSent),
             "no socket left"
         );
         drop(listener);
-        let refused = attempt(&known, FIRST, in_one_minute()).await;
+        let refused = make_attempt(&known, FIRST, in_one_minute()).await;
         assert_eq!(
             refused,
-            outcome_alone(AttemptOutcome::Unreachable),
+            result_without_response(AttemptOutcome::Unreachable),
             "refused"
         );
         assert_eq!(known.open_sockets(), 0);
@@ -226,15 +242,15 @@
 }
 
 #[test]
-fn a_cancelled_attempt_closes_its_connection_and_says_whether_it_was_written() {
-    run(async {
+fn cancelled_attempt_closes_connection_and_reports_whether_written() {
+    block_on(async {
         let (listener, address) = listen().await;
-        let upstream = upstream(8, &[(FIRST, address)]);
+        let upstream = upstream_with_servers(8, &[(FIRST, address)]);
         let request = request();
         let deadline = in_one_minute();
         let (cancel, cancelled) = oneshot::channel();
         drop(cancel);
-        let early = Attempt {
+        let cancelled_before_start = Attempt {
             request: &request,
             server: FIRST,
             deadline,
@@ -242,11 +258,11 @@
             is_open: || true,
         };
         assert_eq!(
-            upstream.attempt(early).await,
-            outcome_alone(AttemptOutcome::NotSent)
+            upstream.attempt(cancelled_before_start).await,
+            result_without_response(AttemptOutcome::NotSent)
         );
         let (cancel, cancelled) = oneshot::channel();
-        let sent = Attempt {
+        let cancelled_after_write = Attempt {
             request: &request,
             server: FIRST,
             deadline,
@@ -254,78 +270,89 @@
             is_open: || true,
         };
         let cancel_once_received = async {
-            let (mut stream, _) = listener.accept().await.expect("it connects");
+            let (mut stream, _) = listener
+                .accept()
+                .await
+                .expect("failed to accept a connection");
             read_request(&mut stream).await;
             drop(cancel);
-            until_closed(&mut stream).await;
+            wait_until_closed(&mut stream).await;
         };
-        let (result, ()) = tokio::join!(upstream.attempt(sent), cancel_once_received);
-        assert_eq!(result, outcome_alone(AttemptOutcome::Cancelled));
+        let (result, ()) = tokio::join!(
+            upstream.attempt(cancelled_after_write),
+            cancel_once_received
+        );
+        assert_eq!(result, result_without_response(AttemptOutcome::Cancelled));
         assert_eq!(upstream.open_sockets(), 0);
     });
 }
 
 #[test]
-fn an_incomplete_response_is_a_lost_connection() {
-    run(async {
+fn incomplete_response_is_reported_as_connection_lost() {
+    block_on(async {
         let (listener, address) = listen().await;
-        let upstream = upstream(8, &[(FIRST, address)]);
-        let cut = async { drop(respond(&listener, &OK[..OK.len() - 1]).await) };
-        let (result, ()) = tokio::join!(attempt(&upstream, FIRST, in_one_minute()), cut);
-        assert_eq!(result, outcome_alone(AttemptOutcome::ConnectionLost));
+        let upstream = upstream_with_servers(8, &[(FIRST, address)]);
+        let truncated = async { drop(accept_and_respond(&listener, &OK[..OK.len() - 1]).await) };
+        let (result, ()) = tokio::join!(make_attempt(&upstream, FIRST, in_one_minute()), truncated);
+        assert_eq!(
+            result,
+            result_without_response(AttemptOutcome::ConnectionLost)
+        );
         assert_eq!(upstream.open_sockets(), 0);
     });
 }
 
 #[test]
-fn an_attempt_without_a_response_times_out() {
-    run(async {
+fn attempt_without_response_times_out() {
+    block_on(async {
         let (listener, address) = listen().await;
-        let upstream = upstream(8, &[(FIRST, address)]);
+        let upstream = upstream_with_servers(8, &[(FIRST, address)]);
         let deadline = Instant::now() + Duration::from_millis(200);
-        let (result, (mut stream, _)) =
-            tokio::join!(attempt(&upstream, FIRST, deadline), respond(&listener, b""));
-        assert_eq!(result, outcome_alone(AttemptOutcome::TimedOut));
-        until_closed(&mut stream).await;
+        let (result, (mut stream, _)) = tokio::join!(
+            make_attempt(&upstream, FIRST, deadline),
+            accept_and_respond(&listener, b"")
+        );
+        assert_eq!(result, result_without_response(AttemptOutcome::TimedOut));
+        wait_until_closed(&mut stream).await;
     });
 }
 
 #[test]
-fn dropping_an_attempt_closes_its_connection() {
-    run(async {
+fn dropped_attempt_closes_connection() {
+    block_on(async {
         let (listener, address) = listen().await;
-        let upstream = upstream(8, &[(FIRST, address)]);
+        let upstream = upstream_with_servers(8, &[(FIRST, address)]);
         let mut stream = tokio::select! {
-            result = attempt(&upstream, FIRST, in_one_minute()) => panic!("it ended: {result:?}"),
-            (stream, _) = respond(&listener, b"") => stream,
+            result = make_attempt(&upstream, FIRST, in_one_minute()) => panic!("the attempt ended: {result:?}"),
+            (stream, _) = accept_and_respond(&listener, b"") => stream,
         };
-        until_closed(&mut stream).await;
+        wait_until_closed(&mut stream).await;
         assert_eq!(upstream.open_sockets(), 0);
     });
 }
 
 #[test]
-fn at_the_limit_of_sockets_the_oldest_idle_connection_makes_way() {
-    run(async {
+fn socket_limit_closes_oldest_idle_connection() {
+    block_on(async {
         let (first_listener, first) = listen().await;
         let (second_listener, second) = listen().await;
-        let upstream = upstream(1, &[(FIRST, first), (SECOND, second)]);
+        let upstream = upstream_with_servers(1, &[(FIRST, first), (SECOND, second)]);
         let (result, (mut idle, _)) = tokio::join!(
-            attempt(&upstream, FIRST, in_one_minute()),
-            respond(&first_listener, OK)
+            make_attempt(&upstream, FIRST, in_one_minute()),
+            accept_and_respond(&first_listener, OK)
         );
         assert_eq!(
             (result.outcome, upstream.open_sockets()),
             (AttemptOutcome::Success, 1)
         );
         let (result, _served) = tokio::join!(
-            attempt(&upstream, SECOND, in_one_minute()),
-            respond(&second_listener, OK)
+            make_attempt(&upstream, SECOND, in_one_minute()),
+            accept_and_respond(&second_listener, OK)
         );
         assert_eq!(
             (result.outcome, upstream.open_sockets()),
             (AttemptOutcome::Success, 1)
         );
-        until_closed(&mut idle).await;
+        wait_until_closed(&mut idle).await;
     });
 }
--- a/crates/edge-node/tests/unit/upstream_connect_error.rs
+++ b/crates/edge-node/tests/unit/upstream_connect_error.rs
@@ -1,4 +1,4 @@
-//! Which errors of the operating system are the server's, and which are this machine's own.
+//! Tests which operating system errors are attributed to the server and which to this machine.
 
 use super::*;
 
@@ -6,16 +6,17 @@
     ConnectError::from(io::Error::from_raw_os_error(code)).outcome()
 }
 
-/// The codes of Linux, by number: the names must not change what they stand for.
+/// The codes are those of Linux, written as numbers so that the test does not depend on the
+/// constants that it checks.
 #[test]
-fn a_lack_of_local_resources_is_not_attributed_to_the_server() {
+fn local_resource_error_is_reported_as_not_sent() {
     for code in [24, 23, 99, 105, 12] {
         assert_eq!(outcome(code), AttemptOutcome::NotSent, "{code}");
     }
 }
 
 #[test]
-fn any_other_error_makes_the_server_unreachable() {
+fn other_io_error_is_reported_as_unreachable() {
     for code in [
         libc::ECONNREFUSED,
         libc::ECONNRESET,
@@ -30,9 +31,11 @@
 }
 
 #[test]
-fn the_source_error_is_preserved() {
+fn preserves_source_error() {
     let error = ConnectError::from(io::Error::from_raw_os_error(libc::EMFILE));
-    let source = std::error::Error::source(&error).expect("the error of the operating system");
-    let source = source.downcast_ref::<io::Error>().expect("an I/O error");
+    let source = std::error::Error::source(&error).expect("the error has no source");
+    let source = source
+        .downcast_ref::<io::Error>()
+        .expect("the source is not an I/O error");
     assert_eq!(source.raw_os_error(), Some(libc::EMFILE));
 }
--- a/crates/edge-node/tests/unit/upstream_response.rs
+++ b/crates/edge-node/tests/unit/upstream_response.rs
@@ -1,4 +1,4 @@
-//! Which responses are used, and what they are taken for.
+//! Tests which responses are accepted, and which outcome each has.
 
 use super::*;
 
@@ -7,11 +7,11 @@
     for (name, value) in headers {
         builder = builder.header(*name, *value);
     }
-    builder.body(()).expect("a response")
+    builder.body(()).expect("failed to build a response")
 }
 
 #[test]
-fn only_200_is_a_success_and_only_a_marked_503_or_504_was_not_executed() {
+fn only_200_is_success_and_only_503_or_504_with_x_not_run_is_overloaded() {
     let cases = [
         (200, "1", AttemptOutcome::Success),
         (201, "1", AttemptOutcome::ServerError),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_head_without_framing_is_rejected() {
+fn rejects_response_without_length_or_transfer_encoding() {
     assert!(matches!(
         check_head(&response(200, &[]), None),
         Err(ResponseError::Unframed)
@@ -43,16 +43,16 @@
 }
 
 #[test]
-fn an_informational_response_is_rejected() {
-    let switching = response(101, &[("content-length", "0")]);
+fn rejects_informational_response() {
+    let switching_protocols = response(101, &[("content-length", "0")]);
     assert!(matches!(
-        check_head(&switching, None),
+        check_head(&switching_protocols, None),
         Err(ResponseError::Informational)
     ));
 }
 
 #[test]
-fn a_copy_of_the_previous_response_is_rejected() {
+fn rejects_copy_of_previous_response() {
     let previous = RequestId("a".into());
     let head = |id| response(200, &[("content-length", "0"), ("x-request-id", id)]);
     assert!(matches!(
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_load_is_read_from_its_header() {
+fn reads_load_from_x_load_header() {
     let head = response(200, &[("x-load", "other=1, concurrent=7")]);
     assert_eq!(reported_load(head.headers()), Some(7.0));
     assert_eq!(
