--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -5,9 +5,9 @@
 use super::Gateway;
 use crate::message::{self, LeaseDecision, LeaseRequest, LeaseResponse, Message, PermitRelease};
 use crate::policy::quota_sharing::lease::{
-    self as policy, AfterMiss, ResponseDecision, UnsentDecision,
+    self as policy, MissDecision, ResponseDecision, UnsentDecision,
 };
-use crate::policy::quota_sharing::owner::{lease_lifetime, owners_of, OwnerRequest};
+use crate::policy::quota_sharing::owner::{lease_lifetime, owners_of, ReceivedLeaseRequest};
 use crate::state::deployment::Context;
 use crate::state::quota::{
     CustomerAccount, HeldLease, PendingLease, PermitHolder, QuotaOwner, RequestGrant,
@@ -101,7 +101,7 @@
         request: &LeaseRequest,
     ) -> Option<LeaseResponse> {
         let settings = &self.deployment.settings;
-        let request = OwnerRequest::received(settings, from, request)?;
+        let request = ReceivedLeaseRequest::new(settings, from, request)?;
         let owned = self
             .quotas
             .owned_or_insert(request.customer(), || request.new_part(settings, now));
@@ -208,10 +208,11 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.quota.record_miss();
+        request.quota.record_timeout();
         self.quotas.remove_pending(pending.sequence);
         let owner = request.quota.owner().gateway;
-        self.quotas.record_miss(owner, now + policy::OWNER_COOLDOWN);
+        self.quotas
+            .record_timeout(owner, now + policy::OWNER_COOLDOWN);
     }
 
     /// Asks again, or carries out what this gateway has decided alone.
@@ -220,10 +221,10 @@
         now: Timestamp,
         id: RequestId,
         pending: PendingLease,
-        next: AfterMiss,
+        next: MissDecision,
         actions: &mut Vec<Action>,
     ) {
-        if matches!(next, AfterMiss::AskAgain) {
+        if matches!(next, MissDecision::AskAgain) {
             return self.request_lease(now, id, actions);
         }
         // Also a request that is rejected right after is granted first: the rejection releases it.
@@ -235,7 +236,7 @@
             };
             grant_request(now, request, own_grant);
         }
-        if let AfterMiss::Reject(reason) = next {
+        if let MissDecision::Reject(reason) = next {
             self.reject_or_fail(now, &id, reason, actions);
         } else {
             self.requests.enqueue(id);
@@ -251,21 +252,21 @@
     ) {
         let sequence = grant.sequence;
         match policy::permit_release(&self.deployment, &self.quotas, customer, grant) {
-            policy::PermitReleaseTarget::OwnPart => {
+            policy::PermitReleaseTarget::ThisGateway => {
                 let holder = PermitHolder {
                     gateway: grant.owner,
                     sequence,
                 };
                 self.quotas.release_permit(customer, holder);
             }
-            policy::PermitReleaseTarget::SendTo(owner) => {
+            policy::PermitReleaseTarget::Owner(owner) => {
                 let release = Message::PermitRelease(PermitRelease { sequence, customer });
                 actions.push(Action::SendToPeer {
                     to: owner,
                     bytes: message::encode(&release),
                 });
             }
-            policy::PermitReleaseTarget::Unneeded => {}
+            policy::PermitReleaseTarget::Nobody => {}
         }
     }
 }
@@ -292,5 +293,5 @@
 /// From now on only the servers delay a request.
 fn grant_request(now: Timestamp, request: &mut Request, grant: RequestGrant) {
     request.quota.set_grant(grant);
-    request.delayed_by_quota_until(now);
+    request.record_quota_delay(now);
 }
--- a/crates/gateway-core/src/gateway/servers/control_tick.rs
+++ b/crates/gateway-core/src/gateway/servers/control_tick.rs
@@ -6,7 +6,7 @@
 use crate::policy::health_reports::REPORT_LIFETIME;
 use crate::policy::outlier_detection::MAX_SERVER_IDLE;
 use crate::policy::slow_start::SlowStart;
-use crate::settings::Rules;
+use crate::settings::ServerRules;
 use crate::state::deployment::{Context, Deployment};
 use crate::state::servers::Server;
 use crate::time::Timestamp;
@@ -18,9 +18,9 @@
         let throughput_weight = self.estimation.own_throughput_weight();
         self.estimates
             .merge_own_throughput(TICK_PERIOD, throughput_weight);
-        let latencies_us = self.table.sorted(Server::observed_latency_us);
+        let latencies_us = self.table.sorted_values(Server::observed_latency_us);
         let median_us = self.estimation.median(&latencies_us);
-        let load_factors = self.table.sorted(|server| {
+        let load_factors = self.table.sorted_values(|server| {
             let load = server.recent_load(now, REPORT_LIFETIME);
             load.map(|load| server.load_factor(load))
         });
@@ -49,7 +49,7 @@
     }
 
     /// How many of the ready servers are warm.
-    fn warm_count(&mut self, now: Timestamp, rules: &Rules) -> usize {
+    fn warm_count(&mut self, now: Timestamp, rules: &ServerRules) -> usize {
         if !self.table.scans_all() {
             return self.table.warm_count(now);
         }
--- a/crates/gateway-core/src/policy/quota_sharing/owner.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -4,16 +4,18 @@
 //!
 //! The rules, in the order in which they apply to a lease request:
 //! 1. [`owner_count`], [`owners_of`]: which gateways own the quota.
-//! 2. [`OwnerRequest::received`]: whether the gateway that received the request is the owner that
+//! 2. [`ReceivedLeaseRequest::new`]: whether the gateway that received the request is the owner that
 //!    is asked.
-//! 3. [`OwnerRequest::new_part`]: the owner's part of the quota and of the hard limit.
-//! 4. [`OwnerRequest::decide`]: whether the request is granted, and which units go on lease beyond
+//! 3. [`ReceivedLeaseRequest::new_part`]: the owner's part of the quota and of the hard limit.
+//! 4. [`ReceivedLeaseRequest::decide`]: whether the request is granted, and which units go on lease beyond
 //!    it.
 //! 5. [`throttle_requests`]: with which probability further requests may ask.
 
 use crate::message::{LeaseDecision, LeaseRequest, LeaseResponse};
 use crate::settings::{HardLimit, Plan, Settings};
-use crate::state::quota::{permits_of_owner, OwnedPart, OwnedQuota, PermitHolder, QuotaOwners};
+use crate::state::quota::{
+    permits_of_owner, OwnedQuota, OwnedQuotaConfig, PermitHolder, QuotaOwners,
+};
 use crate::time::{DurationExt, Timestamp, MICROS_PER_SECOND};
 use crate::types::{CustomerId, GatewayId, GatewaySet};
 use crate::units::Units;
@@ -53,7 +55,7 @@
     let Some(limit) = hard_limit else {
         return MAX_LEASE_LIFETIME;
     };
-    let refill_seconds = limit.capacity.seconds_at(limit.rate);
+    let refill_seconds = limit.capacity.seconds_to_refill(limit.rate);
     let lifetime_us = refill_seconds * MAX_LIFETIME_REFILL_FRACTION * MICROS_PER_SECOND;
     Duration::from_micros_f64(lifetime_us).clamp(MIN_LEASE_LIFETIME, MAX_LEASE_LIFETIME)
 }
@@ -79,7 +81,7 @@
 }
 
 /// A lease request as its owner decides on it.
-pub(crate) struct OwnerRequest<'a> {
+pub(crate) struct ReceivedLeaseRequest<'a> {
     /// The gateway that sent it.
     from: GatewayId,
     /// The request.
@@ -90,10 +92,10 @@
     plan: &'a Plan,
 }
 
-impl<'a> OwnerRequest<'a> {
+impl<'a> ReceivedLeaseRequest<'a> {
     /// A lease request that this gateway has received; `None` if it names an unknown plan, or this
     /// gateway is not the owner that is asked.
-    pub(crate) fn received(
+    pub(crate) fn new(
         settings: &'a Settings,
         from: GatewayId,
         request: &'a LeaseRequest,
@@ -106,7 +108,7 @@
         let owners = owners_of(settings, request.customer, plan, gateways);
         let is_for_this_gateway = owners.gateway(request.owner_index) == settings.gateway_id
             && request.owner_index <= owners.standby_index();
-        is_for_this_gateway.then_some(OwnerRequest {
+        is_for_this_gateway.then_some(ReceivedLeaseRequest {
             from,
             request,
             owners,
@@ -122,7 +124,7 @@
     /// A new part for this owner: of the quota, full, and of the hard limit, empty.
     pub(crate) fn new_part(&self, settings: &Settings, now: Timestamp) -> OwnedQuota {
         let fractions = self.fractions();
-        let part = OwnedPart {
+        let part = OwnedQuotaConfig {
             plan_id: self.request.plan,
             plan: self.plan,
             quota_fraction: fractions.quota,
@@ -167,7 +169,7 @@
         owned: &mut OwnedQuota,
     ) -> LeaseResponse {
         let returned = self.request.returned;
-        let seconds_since_refill = owned.begin_request(now, self.plan, self.from, returned);
+        let seconds_since_refill = owned.begin_lease_request(now, self.plan, self.from, returned);
         throttle_requests(owned, settings, self.plan, seconds_since_refill);
         if !self.fits_limits(owned) {
             return self.response(LeaseDecision::QuotaExceeded, owned, Units::ZERO);
--- a/crates/gateway-core/src/state/servers/server_table/mod.rs
+++ b/crates/gateway-core/src/state/servers/server_table/mod.rs
@@ -17,7 +17,7 @@
 use super::server_index::{ServerGuard, ServerIndex};
 use super::slow_start_credit::SlowStartCredit;
 use crate::message::ShortServerId;
-use crate::settings::{Rules, Settings};
+use crate::settings::{ServerRules, Settings};
 use crate::time::Timestamp;
 use crate::types::{CellId, Endpoint, ServerId};
 use std::cell::Cell;
@@ -105,11 +105,15 @@
 
     /// Tracks a server from now on.
     pub(crate) fn track(&mut self, now: Timestamp, id: &ServerId) {
-        self.get_mut(now, id);
+        self.get_or_track(now, id);
     }
 
     /// A server to be changed. It is tracked from now on, and counts as used now.
-    pub(crate) fn get_mut(&mut self, now: Timestamp, id: &ServerId) -> Option<ServerGuard<'_>> {
+    pub(crate) fn get_or_track(
+        &mut self,
+        now: Timestamp,
+        id: &ServerId,
+    ) -> Option<ServerGuard<'_>> {
         self.visit();
         let server = match self.tracked.entry(*id) {
             Entry::Occupied(known) => known.into_mut(),
@@ -143,7 +147,7 @@
     pub(crate) fn warming_up_mut<'a>(
         &'a mut self,
         now: Timestamp,
-        rules: &'a Rules,
+        rules: &'a ServerRules,
     ) -> impl Iterator<Item = WarmingServer<'a>> {
         let visited = &self.visited;
         self.tracked
