--- a/crates/xtask/src/known_red.rs
+++ b/crates/xtask/src/known_red.rs
@@ -5,8 +5,8 @@
 //! `seen` and `issue`, in this order. Each field is one line of the form `field: text`:
 //!
 //! ```text
-//! test: crates/edge-node/tests/edge/main.rs watch::a_lost_watch_is_opened_again
-//! command: cargo test --release -p edge-node --test edge watch::a_lost_watch_is_opened_again
+//! test: crates/edge-node/tests/edge/main.rs watch::reopens_lost_watch
+//! command: cargo test --release -p edge-node --test edge watch::reopens_lost_watch
 //! seed: none
 //! seen: the second watch is opened after 3 s; the bound is 1 s
 //! issue: 31
