--- a/crates/edge-node/src/config/environment.rs
+++ b/crates/edge-node/src/config/environment.rs
@@ -25,7 +25,7 @@
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
         let path = path.or_else(|| variable(CONFIG_VARIABLE).map(PathBuf::from));
-        let path = path.ok_or(ConfigError::NotGiven)?;
+        let path = path.ok_or(ConfigError::MissingPath)?;
         let mut config = Config::read(&path)?;
         if let Some(name) = variable(NAME_VARIABLE) {
             config.name = name;
--- a/crates/edge-node/src/config/error.rs
+++ b/crates/edge-node/src/config/error.rs
@@ -11,7 +11,7 @@
 pub enum ConfigError {
     /// Neither the command line nor the environment names a file.
     #[error("no configuration: LB_CONFIG is not set, and there is no --config")]
-    NotGiven,
+    MissingPath,
     /// The file can't be read.
     #[error("{}", path.display())]
     Unreadable {
--- a/crates/edge-node/src/config/file/mod.rs
+++ b/crates/edge-node/src/config/file/mod.rs
@@ -46,11 +46,11 @@
     /// Items in a row.
     List(Vec<ConfigItem>),
     /// A string.
-    Text(String),
+    String(String),
     /// A whole number.
     Integer(i128),
     /// Any other number.
-    Number(f64),
+    Float(f64),
     /// `true` or `false`.
     Boolean(bool),
     /// JSON's null.
@@ -72,9 +72,9 @@
     }
 
     /// The string, if this is one.
-    pub fn as_text(&self) -> Option<&str> {
+    pub fn as_str(&self) -> Option<&str> {
         match &self.value {
-            ConfigValue::Text(text) => Some(text),
+            ConfigValue::String(text) => Some(text),
             _ => None,
         }
     }
@@ -91,15 +91,15 @@
     pub fn as_number(&self) -> Option<f64> {
         match self.value {
             ConfigValue::Integer(number) => Some(number as f64),
-            ConfigValue::Number(number) => Some(number),
+            ConfigValue::Float(number) => Some(number),
             _ => None,
         }
     }
 
     /// The strings of a list; none if this is no list.
-    pub fn texts(&self) -> Vec<&str> {
+    pub fn strings(&self) -> Vec<&str> {
         match &self.value {
-            ConfigValue::List(items) => items.iter().filter_map(ConfigItem::as_text).collect(),
+            ConfigValue::List(items) => items.iter().filter_map(ConfigItem::as_str).collect(),
             _ => Vec::new(),
         }
     }
--- a/crates/edge-node/src/config/file/parse_json.rs
+++ b/crates/edge-node/src/config/file/parse_json.rs
@@ -78,12 +78,12 @@
 
 fn scalar(value: Value) -> ConfigValue {
     match value {
-        Value::String(text) => ConfigValue::Text(text),
+        Value::String(text) => ConfigValue::String(text),
         Value::Bool(boolean) => ConfigValue::Boolean(boolean),
         Value::Null => ConfigValue::Null,
         Value::Number(number) => match (number.as_i128(), number.as_f64()) {
             (Some(integer), _) => ConfigValue::Integer(integer),
-            (None, Some(number)) => ConfigValue::Number(number),
+            (None, Some(number)) => ConfigValue::Float(number),
             (None, None) => ConfigValue::Unsupported,
         },
         Value::Array(_) | Value::Object(_) => ConfigValue::Unsupported,
--- a/crates/edge-node/src/config/file/parse_toml.rs
+++ b/crates/edge-node/src/config/file/parse_toml.rs
@@ -56,7 +56,7 @@
 
 fn convert(lines: &LineIndex, value: &DeValue<'_>) -> ConfigValue {
     match value {
-        DeValue::String(text) => ConfigValue::Text(text.to_string()),
+        DeValue::String(text) => ConfigValue::String(text.to_string()),
         DeValue::Integer(number) => integer(number),
         DeValue::Float(number) => float(number),
         DeValue::Boolean(boolean) => ConfigValue::Boolean(*boolean),
@@ -76,5 +76,5 @@
     let digits = number.as_str().replace('_', "");
     digits
         .parse()
-        .map_or(ConfigValue::Unsupported, ConfigValue::Number)
+        .map_or(ConfigValue::Unsupported, ConfigValue::Float)
 }
--- a/crates/edge-node/src/config/mod.rs
+++ b/crates/edge-node/src/config/mod.rs
@@ -45,7 +45,7 @@
     /// The settings of the decision library.
     pub settings: ResolvedSettings,
     /// What only operators' files can configure.
-    pub operator: OperatorOptions,
+    pub operator_options: OperatorOptions,
     /// The values that can't change without a restart.
     pub restart_values: RestartValues,
 }
--- a/crates/edge-node/src/config/platform.rs
+++ b/crates/edge-node/src/config/platform.rs
@@ -52,7 +52,7 @@
         return Err(PlatformConfigError::TooFewFileDescriptors);
     }
     let restart_values = RestartValues::from_platform_json(format, &serde_json::from_str(text)?);
-    let operator = match format {
+    let operator_options = match format {
         ConfigFormat::Toml => serde_json::from_str(text)?,
         ConfigFormat::PlatformJson => OperatorOptions::default(),
     };
@@ -67,7 +67,7 @@
         discovery: json.discovery,
         initial_endpoints: json.initial_endpoints,
         settings,
-        operator,
+        operator_options,
         restart_values,
     })
 }
--- a/crates/edge-node/src/config/schema/translate.rs
+++ b/crates/edge-node/src/config/schema/translate.rs
@@ -28,13 +28,13 @@
 /// A value in the platform's units and words; `None` if it is not of the key's type.
 fn json_value(value_type: ValueType, item: &ConfigItem) -> Option<Value> {
     let value = match (value_type, &item.value) {
-        (ValueType::Choice(choices), ConfigValue::Text(word)) => json!(json_word(choices, word)?),
+        (ValueType::Choice(choices), ConfigValue::String(word)) => json!(json_word(choices, word)?),
         (ValueType::Milliseconds { .. }, _) => json!(to_micros(item.as_number()?)),
         (ValueType::Number { .. }, _) => json!(item.as_number()?),
-        (_, ConfigValue::Text(text)) => json!(text),
+        (_, ConfigValue::String(text)) => json!(text),
         (_, ConfigValue::Integer(number)) => json!(u64::try_from(*number).ok()?),
         (_, ConfigValue::Boolean(boolean)) => json!(boolean),
-        (_, ConfigValue::List(_)) => json!(item.texts()),
+        (_, ConfigValue::List(_)) => json!(item.strings()),
         _ => return None,
     };
     Some(value)
--- a/crates/edge-node/src/config/schema/validate/relations.rs
+++ b/crates/edge-node/src/config/schema/validate/relations.rs
@@ -51,11 +51,11 @@
         let zones = self
             .locate_key("fleet.zones")
             .and_then(|location| location.item);
-        let zones = zones.map(ConfigItem::texts).unwrap_or_default();
+        let zones = zones.map(ConfigItem::strings).unwrap_or_default();
         let Some(location) = self.locate_key("fleet.zone") else {
             return;
         };
-        let zone = location.item.and_then(ConfigItem::as_text);
+        let zone = location.item.and_then(ConfigItem::as_str);
         if !zones.is_empty() && !zone.is_some_and(|zone| zones.contains(&zone)) {
             let words = zones.into_iter().map(str::to_owned).collect();
             self.report(location.line, &location.path, Problem::NotOneOf { words });
@@ -69,7 +69,7 @@
             ConfigFormat::PlatformJson => "group",
         };
         for (index, class) in self.list_items(CLASS_LIST).into_iter().enumerate() {
-            let has_keys = class.get(REPEAT).and_then(ConfigItem::as_text) == Some(IDEMPOTENCY_KEY);
+            let has_keys = class.get(REPEAT).and_then(ConfigItem::as_str) == Some(IDEMPOTENCY_KEY);
             let has_scope = class
                 .get(scope)
                 .is_some_and(|item| !matches!(item.value, ConfigValue::Null));
@@ -87,7 +87,7 @@
             let Some(name_item) = item.get("name") else {
                 continue;
             };
-            let Some(name) = name_item.as_text() else {
+            let Some(name) = name_item.as_str() else {
                 continue;
             };
             if !names.insert(name) {
@@ -117,7 +117,7 @@
         let Some(location) = self.locate_key("peers.addresses") else {
             return;
         };
-        let addresses = location.item.map_or(0, |item| item.texts().len());
+        let addresses = location.item.map_or(0, |item| item.strings().len());
         if addresses as i128 != gateways {
             self.report(
                 location.line,
--- a/crates/edge-node/src/config/schema/validate/value.rs
+++ b/crates/edge-node/src/config/schema/validate/value.rs
@@ -47,7 +47,7 @@
 fn check_text(format: ConfigFormat, item: &ConfigItem) -> Result<(), Problem> {
     let may_be_empty = format == ConfigFormat::PlatformJson;
     let is_valid = item
-        .as_text()
+        .as_str()
         .is_some_and(|text| may_be_empty || !text.is_empty());
     ensure(is_valid, Problem::NotText)
 }
@@ -57,7 +57,7 @@
 }
 
 fn check_address(item: &ConfigItem) -> Result<(), Problem> {
-    ensure(item.as_text().is_some_and(is_address), Problem::NotAddress)
+    ensure(item.as_str().is_some_and(is_address), Problem::NotAddress)
 }
 
 fn check_address_list(item: &ConfigItem) -> Result<(), Problem> {
@@ -77,7 +77,7 @@
     item: &ConfigItem,
 ) -> Result<(), Problem> {
     let words: Vec<&str> = choices.iter().map(|choice| choice.word(format)).collect();
-    let is_known = item.as_text().is_some_and(|text| words.contains(&text));
+    let is_known = item.as_str().is_some_and(|text| words.contains(&text));
     ensure(
         is_known,
         Problem::NotOneOf {
@@ -120,7 +120,7 @@
 /// Whether an item is a list of texts that all pass a check.
 fn is_list_of(item: &ConfigItem, check: impl Fn(&str) -> bool) -> bool {
     match &item.value {
-        ConfigValue::List(items) => items.iter().all(|item| item.as_text().is_some_and(&check)),
+        ConfigValue::List(items) => items.iter().all(|item| item.as_str().is_some_and(&check)),
         _ => false,
     }
 }
--- a/crates/edge-node/src/reload.rs
+++ b/crates/edge-node/src/reload.rs
@@ -38,7 +38,7 @@
     /// Reads the file and changes the log level, which is the last step that may fail.
     fn read_and_set_log_level(&self) -> Result<Config> {
         let config = Config::read(&self.path)?;
-        self.log.set_level(config.operator.log.level)?;
+        self.log.set_level(config.operator_options.log.level)?;
         Ok(config)
     }
 
@@ -47,7 +47,7 @@
         // Also sent if the address is the same: discovery may have restarted and count its lists
         // anew.
         self.discovery.send_replace(address);
-        let level = config.operator.log.level;
+        let level = config.operator_options.log.level;
         let waits = self
             .started_with
             .changed_keys(&config.restart_values)
--- a/crates/edge-node/src/startup/mod.rs
+++ b/crates/edge-node/src/startup/mod.rs
@@ -38,7 +38,7 @@
 /// An address can't be bound, a signal can't be handled, or the settings contradict each other.
 /// Once clients are served, it does not fail any more.
 pub(crate) fn run(config: Config) -> Result<()> {
-    let log = Log::start(config.operator.log)?;
+    let log = Log::start(config.operator_options.log)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/crates/edge-node/src/startup/sockets.rs
+++ b/crates/edge-node/src/startup/sockets.rs
@@ -28,7 +28,7 @@
         Ok(Sockets {
             clients: bind_clients(config.listen).await?,
             peers: bind_peers(config.peers.take(), gateway_id).await?,
-            admin: bind_admin(config.operator.admin.listen).await?,
+            admin: bind_admin(config.operator_options.admin.listen).await?,
         })
     }
 }
--- a/crates/edge-node/tests/fixtures.rs
+++ b/crates/edge-node/tests/fixtures.rs
@@ -258,7 +258,7 @@
         peers,
         initial_endpoints,
         settings,
-        operator,
+        operator_options,
         restart_values,
     } = Config::read(Path::new(PLATFORM)).expect("a valid configuration");
     assert_eq!(path, Path::new(PLATFORM));
@@ -275,7 +275,7 @@
     assert_same_peers(peers, expected_peers);
     assert_eq!(initial_endpoints, Some(platform_endpoints()));
     assert_same_resolved_settings(settings, platform_settings());
-    assert_default_operator_options(operator);
+    assert_default_operator_options(operator_options);
     assert_same_restart_values(restart_values, PLATFORM_VALUES);
 }
 
@@ -367,7 +367,7 @@
         peers,
         initial_endpoints,
         settings,
-        operator,
+        operator_options,
         restart_values,
     } = Config::read(Path::new(EXAMPLE)).expect("a valid configuration");
     assert_eq!(path, Path::new(EXAMPLE));
@@ -383,6 +383,6 @@
     assert_same_peers(peers, expected_peers);
     assert_eq!(initial_endpoints, None);
     assert_same_resolved_settings(settings, example_settings());
-    assert_default_operator_options(operator);
+    assert_default_operator_options(operator_options);
     assert_same_restart_values(restart_values, EXAMPLE_VALUES);
 }
--- a/crates/edge-node/tests/library/config_file.rs
+++ b/crates/edge-node/tests/library/config_file.rs
@@ -50,6 +50,6 @@
     let value = |name: &str| root.get(name).map(|item| &item.value);
     assert_eq!(value("a"), Some(&ConfigValue::Integer(1_000)));
     assert_eq!(value("b"), Some(&ConfigValue::Integer(16)));
-    assert_eq!(value("c"), Some(&ConfigValue::Number(1_000.0)));
+    assert_eq!(value("c"), Some(&ConfigValue::Float(1_000.0)));
     assert_eq!(value("d"), Some(&ConfigValue::Unsupported));
 }
