--- a/crates/edge-node/src/config/file/line_index.rs
+++ b/crates/edge-node/src/config/file/line_index.rs
@@ -8,8 +8,8 @@
 impl LineIndex {
     /// Finds the lines of a text.
     pub(super) fn new(text: &str) -> LineIndex {
-        let breaks = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
-        let starts = std::iter::once(0).chain(breaks.map(|(offset, _)| offset + 1));
+        let newlines = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
+        let starts = std::iter::once(0).chain(newlines.map(|(offset, _)| offset + 1));
         LineIndex {
             starts: starts.collect(),
         }
--- a/crates/edge-node/src/config/schema/keys/fleet.rs
+++ b/crates/edge-node/src/config/schema/keys/fleet.rs
@@ -52,7 +52,7 @@
     KeySpec {
         toml_path: "fleet.zones",
         json_path: "settings.zones",
-        value_type: ValueType::TextList,
+        value_type: ValueType::StringList,
         default: DefaultValue::Absent {
             meaning: "no zones",
         },
@@ -63,7 +63,7 @@
     KeySpec {
         toml_path: "fleet.zone",
         json_path: "settings.zone",
-        value_type: ValueType::Text,
+        value_type: ValueType::String,
         default: DefaultValue::Absent { meaning: "no zone" },
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
--- a/crates/edge-node/src/config/schema/keys/node.rs
+++ b/crates/edge-node/src/config/schema/keys/node.rs
@@ -10,7 +10,7 @@
 /// The least memory that the process can be given, in MiB.
 const MIN_MEMORY_MIB: u64 = 16;
 /// Far above what any machine grants, in descriptors and in MiB.
-const MAX_RESOURCE: u64 = 1 << 20;
+const MAX_RESOURCE_LIMIT: u64 = 1 << 20;
 
 /// Values of `log.level`, which only operators' files have.
 const LOG_LEVELS: &[Choice] = &[
@@ -28,7 +28,7 @@
     KeySpec {
         toml_path: "name",
         json_path: "name",
-        value_type: ValueType::Text,
+        value_type: ValueType::String,
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
@@ -55,7 +55,7 @@
     KeySpec {
         toml_path: "seed",
         json_path: "seed",
-        value_type: ValueType::Text,
+        value_type: ValueType::String,
         default: DefaultValue::Absent { meaning: "random" },
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::Ignored,
@@ -66,7 +66,7 @@
         json_path: "limits.sockets",
         value_type: ValueType::Integer {
             min: MIN_FILE_DESCRIPTORS,
-            max: MAX_RESOURCE,
+            max: MAX_RESOURCE_LIMIT,
         },
         default: DefaultValue::Integer(1024),
         in_platform_json: PlatformPresence::Optional,
@@ -78,7 +78,7 @@
         json_path: "limits.memory_mb",
         value_type: ValueType::Integer {
             min: MIN_MEMORY_MIB,
-            max: MAX_RESOURCE,
+            max: MAX_RESOURCE_LIMIT,
         },
         default: DefaultValue::Integer(32),
         in_platform_json: PlatformPresence::Optional,
--- a/crates/edge-node/src/config/schema/keys/policy.rs
+++ b/crates/edge-node/src/config/schema/keys/policy.rs
@@ -33,7 +33,7 @@
     KeySpec {
         toml_path: "classes[].name",
         json_path: "settings.classes[].name",
-        value_type: ValueType::Text,
+        value_type: ValueType::String,
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
@@ -121,7 +121,7 @@
     KeySpec {
         toml_path: "plans[].name",
         json_path: "settings.packages[].name",
-        value_type: ValueType::Text,
+        value_type: ValueType::String,
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
--- a/crates/edge-node/src/config/schema/locate.rs
+++ b/crates/edge-node/src/config/schema/locate.rs
@@ -58,9 +58,9 @@
     }];
     for segment in path_segments(path) {
         let steps = locations.into_iter().flat_map(|location| {
-            let entry = entry_of(location, segment.name);
+            let entry = entry_location(location, segment.name);
             if segment.is_list {
-                list_items(&entry)
+                item_locations(&entry)
             } else {
                 vec![entry]
             }
@@ -71,7 +71,7 @@
 }
 
 /// The place of an entry of a table.
-fn entry_of<'a>(table: Location<'a>, name: &str) -> Location<'a> {
+fn entry_location<'a>(table: Location<'a>, name: &str) -> Location<'a> {
     let item = table.item.and_then(|item| item.get(name));
     Location {
         path: join_path(&table.path, name),
@@ -82,7 +82,7 @@
 }
 
 /// The places of all items of a list.
-fn list_items<'a>(list: &Location<'a>) -> Vec<Location<'a>> {
+fn item_locations<'a>(list: &Location<'a>) -> Vec<Location<'a>> {
     let Some(ConfigValue::List(items)) = list.item.map(|item| &item.value) else {
         return Vec::new();
     };
--- a/crates/edge-node/src/config/schema/markdown.rs
+++ b/crates/edge-node/src/config/schema/markdown.rs
@@ -19,8 +19,8 @@
         description,
         ..
     } = key;
-    let takes = type_text(key.value_type);
-    let default = default_text(key.default);
+    let value_type = type_description(key.value_type);
+    let default = default_description(key.default);
     let on_reload = match key.on_reload {
         OnReload::Applied => "applied",
         OnReload::RequiresRestart | OnReload::Ignored => "at the next start",
@@ -30,13 +30,13 @@
     } else {
         "-".to_owned()
     };
-    format!("| `{toml_path}` | {description} | {takes} | {default} | {on_reload} | {json_path} |\n")
+    format!("| `{toml_path}` | {description} | {value_type} | {default} | {on_reload} | {json_path} |\n")
 }
 
-fn type_text(value_type: ValueType) -> String {
+fn type_description(value_type: ValueType) -> String {
     match value_type {
-        ValueType::Text => "text".to_owned(),
-        ValueType::TextList => "texts".to_owned(),
+        ValueType::String => "text".to_owned(),
+        ValueType::StringList => "texts".to_owned(),
         ValueType::Address => "address with port".to_owned(),
         ValueType::AddressList => "addresses with ports".to_owned(),
         ValueType::Boolean => "true, false".to_owned(),
@@ -44,22 +44,22 @@
         ValueType::Number { min, max } => format!("number, {min} to {max}"),
         ValueType::Milliseconds { min, max } => format!("ms, {min} to {max}"),
         ValueType::Choice(choices) => {
-            let words: Vec<String> = choices
+            let names: Vec<String> = choices
                 .iter()
                 .map(|choice| format!("`{}`", choice.toml))
                 .collect();
-            words.join(", ")
+            names.join(", ")
         }
     }
 }
 
-fn default_text(default: DefaultValue) -> String {
+fn default_description(default: DefaultValue) -> String {
     match default {
         DefaultValue::Required => "needed".to_owned(),
         DefaultValue::Integer(number) => number.to_string(),
         DefaultValue::Number(number) | DefaultValue::Milliseconds(number) => number.to_string(),
         DefaultValue::Boolean(boolean) => boolean.to_string(),
-        DefaultValue::Choice(word) => format!("`{word}`"),
+        DefaultValue::Choice(name) => format!("`{name}`"),
         DefaultValue::Absent { meaning } => meaning.to_owned(),
     }
 }
--- a/crates/edge-node/src/config/schema/spec.rs
+++ b/crates/edge-node/src/config/schema/spec.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ValueType {
     /// A string that is not empty.
-    Text,
+    String,
     /// A list of strings.
-    TextList,
+    StringList,
     /// An IP address with a port.
     Address,
     /// A list of IP addresses with ports.
@@ -32,26 +32,26 @@
     Choice(&'static [Choice]),
 }
 
-/// A word that a key takes, as both formats spell it.
+/// A name that a key takes, as both formats spell it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Choice {
-    /// The word in operators' files.
+    /// The name in operators' files.
     pub(super) toml: &'static str,
-    /// The word in the platform's JSON.
+    /// The name in the platform's JSON.
     pub(super) json: &'static str,
 }
 
 impl Choice {
-    /// A word that both formats spell alike.
-    pub(super) const fn same(word: &'static str) -> Choice {
+    /// A name that both formats spell alike.
+    pub(super) const fn same(name: &'static str) -> Choice {
         Choice {
-            toml: word,
-            json: word,
+            toml: name,
+            json: name,
         }
     }
 
-    /// The word in a format.
-    pub(super) fn word(&self, format: ConfigFormat) -> &'static str {
+    /// The name in a format.
+    pub(super) fn name(&self, format: ConfigFormat) -> &'static str {
         match format {
             ConfigFormat::Toml => self.toml,
             ConfigFormat::PlatformJson => self.json,
--- a/crates/edge-node/src/config/schema/suggest.rs
+++ b/crates/edge-node/src/config/schema/suggest.rs
@@ -23,7 +23,7 @@
     });
     candidates
         .filter(|candidate| candidate.similarity >= MIN_SIMILARITY)
-        .max_by(|one, other| one.similarity.total_cmp(&other.similarity))
+        .max_by(|left, right| left.similarity.total_cmp(&right.similarity))
         .map(|candidate| candidate.path)
 }
 
@@ -41,11 +41,11 @@
 /// How alike two paths are, by the whole paths or by their last names.
 fn similarity(unknown: &str, known: &str) -> f64 {
     let whole = strsim::jaro_winkler(unknown, known);
-    let last = strsim::jaro_winkler(&last_name(unknown), &last_name(known));
+    let last = strsim::jaro_winkler(&last_segment(unknown), &last_segment(known));
     whole.max(last - OTHER_TABLE_PENALTY)
 }
 
-fn last_name(path: &str) -> String {
+fn last_segment(path: &str) -> String {
     path.rsplit('.')
         .next()
         .unwrap_or_default()
--- a/crates/edge-node/src/config/schema/translate.rs
+++ b/crates/edge-node/src/config/schema/translate.rs
@@ -28,7 +28,7 @@
 /// A value in the platform's units and words; `None` if it is not of the key's type.
 fn json_value(value_type: ValueType, item: &ConfigItem) -> Option<Value> {
     let value = match (value_type, &item.value) {
-        (ValueType::Choice(choices), ConfigValue::String(word)) => json!(json_word(choices, word)?),
+        (ValueType::Choice(choices), ConfigValue::String(name)) => json!(json_name(choices, name)?),
         (ValueType::Milliseconds { .. }, _) => json!(to_micros(item.as_number()?)),
         (ValueType::Number { .. }, _) => json!(item.as_number()?),
         (_, ConfigValue::String(text)) => json!(text),
@@ -47,19 +47,19 @@
         (DefaultValue::Number(number), _) => Some(json!(number)),
         (DefaultValue::Milliseconds(millis), _) => Some(json!(to_micros(millis))),
         (DefaultValue::Boolean(boolean), _) => Some(json!(boolean)),
-        (DefaultValue::Choice(word), ValueType::Choice(choices)) => {
-            json_word(choices, word).map(|word| json!(word))
+        (DefaultValue::Choice(name), ValueType::Choice(choices)) => {
+            json_name(choices, name).map(|name| json!(name))
         }
         _ => None,
     }
 }
 
 /// The platform's word for one of operators' files.
-fn json_word(choices: &[Choice], word: &str) -> Option<&'static str> {
+fn json_name(choices: &[Choice], name: &str) -> Option<&'static str> {
     let choice = choices
         .iter()
-        .find(|choice| choice.word(ConfigFormat::Toml) == word);
-    choice.map(|choice| choice.word(ConfigFormat::PlatformJson))
+        .find(|choice| choice.name(ConfigFormat::Toml) == name);
+    choice.map(|choice| choice.name(ConfigFormat::PlatformJson))
 }
 
 fn to_micros(millis: f64) -> u64 {
--- a/crates/edge-node/src/config/schema/validate/mod.rs
+++ b/crates/edge-node/src/config/schema/validate/mod.rs
@@ -46,7 +46,7 @@
     /// As keys spell it: `classes[].name`.
     pattern: String,
     /// With indexes, as diagnostics show it: `classes[1].name`.
-    shown: String,
+    indexed: String,
 }
 
 impl ItemPath {
@@ -54,7 +54,7 @@
     fn entry(&self, name: &str) -> ItemPath {
         ItemPath {
             pattern: join_path(&self.pattern, name),
-            shown: join_path(&self.shown, name),
+            indexed: join_path(&self.indexed, name),
         }
     }
 
@@ -62,7 +62,7 @@
     fn element(&self, index: usize) -> ItemPath {
         ItemPath {
             pattern: format!("{}[]", self.pattern),
-            shown: format!("{}[{index}]", self.shown),
+            indexed: format!("{}[{index}]", self.indexed),
         }
     }
 }
@@ -79,7 +79,7 @@
     /// Checks all that a table holds.
     fn check_table(&mut self, table: &ConfigItem, path: &ItemPath) {
         let ConfigValue::Table(entries) = &table.value else {
-            return self.report(Some(table.line), &path.shown, Problem::NotTable);
+            return self.report(Some(table.line), &path.indexed, Problem::NotTable);
         };
         let mut names = HashSet::new();
         for (name, item) in entries {
@@ -87,7 +87,7 @@
             if names.insert(name) {
                 self.check_entry(item, &path);
             } else {
-                self.report(Some(item.line), &path.shown, Problem::Duplicate);
+                self.report(Some(item.line), &path.indexed, Problem::Duplicate);
             }
         }
     }
@@ -100,7 +100,7 @@
             |prefix: &str| keys_of(format).any(|key| key.path(format).starts_with(prefix));
         if let Some(key) = keys_of(format).find(|key| key.path(format) == path.pattern) {
             if let Err(problem) = check_value(format, key, item) {
-                self.report(Some(item.line), &path.shown, problem);
+                self.report(Some(item.line), &path.indexed, problem);
             }
         } else if is_in_key(&table_prefix) {
             self.check_table(item, path);
@@ -112,7 +112,7 @@
             let nearest = nearest_path(&path.pattern);
             self.report(
                 Some(item.line),
-                &path.shown,
+                &path.indexed,
                 Problem::UnknownKey { nearest },
             );
         }
@@ -121,7 +121,7 @@
     /// Checks each table of a list.
     fn check_list(&mut self, list: &ConfigItem, path: &ItemPath) {
         let ConfigValue::List(items) = &list.value else {
-            return self.report(Some(list.line), &path.shown, Problem::NotTableList);
+            return self.report(Some(list.line), &path.indexed, Problem::NotTableList);
         };
         for (index, item) in items.iter().enumerate() {
             self.check_table(item, &path.element(index));
--- a/crates/edge-node/src/config/schema/validate/problem.rs
+++ b/crates/edge-node/src/config/schema/validate/problem.rs
@@ -18,9 +18,9 @@
     #[error("has to be a list of tables")]
     NotTableList,
     #[error("has to be a text that is not empty")]
-    NotText,
+    NotString,
     #[error("has to be a list of texts")]
-    NotTextList,
+    NotStringList,
     #[error("has to be an address with a port, as \"127.0.0.1:8443\"")]
     NotAddress,
     #[error("has to be a list of addresses with ports")]
@@ -36,10 +36,10 @@
     BelowMinimum { number: f64, min: f64 },
     #[error("is {number}, and has to be from {min} to {max}")]
     OutOfRange { number: f64, min: f64, max: f64 },
-    #[error("has to be one of {}", words.join(", "))]
-    NotOneOf { words: Vec<String> },
+    #[error("has to be one of {}", choices.join(", "))]
+    NotOneOf { choices: Vec<String> },
     #[error("there are only the numbers below {gateways}")]
-    UnknownGateway { gateways: i128 },
+    GatewayNumberOutOfRange { gateways: i128 },
     #[error("is missing, and needed with an idempotency key")]
     MissingScope,
     #[error("{name:?} stands twice")]
--- a/crates/edge-node/src/config/schema/validate/relations.rs
+++ b/crates/edge-node/src/config/schema/validate/relations.rs
@@ -9,9 +9,9 @@
 use std::collections::HashSet;
 
 /// The key of a class that says whether its requests may be repeated; both formats name it so.
-const REPEAT: &str = "repeat";
+const REPEAT_KEY: &str = "repeat";
 /// Its value for requests with an idempotency key, in both formats.
-const IDEMPOTENCY_KEY: &str = "idempotency_key";
+const REPEAT_WITH_IDEMPOTENCY_KEY: &str = "idempotency_key";
 
 impl<'a> Validator<'a> {
     /// Reports keys that contradict each other. Operators' files are held to more than the
@@ -41,7 +41,7 @@
             self.report(
                 location.line,
                 &location.path,
-                Problem::UnknownGateway { gateways },
+                Problem::GatewayNumberOutOfRange { gateways },
             );
         }
     }
@@ -57,8 +57,8 @@
         };
         let zone = location.item.and_then(ConfigItem::as_str);
         if !zones.is_empty() && !zone.is_some_and(|zone| zones.contains(&zone)) {
-            let words = zones.into_iter().map(str::to_owned).collect();
-            self.report(location.line, &location.path, Problem::NotOneOf { words });
+            let choices = zones.into_iter().map(str::to_owned).collect();
+            self.report(location.line, &location.path, Problem::NotOneOf { choices });
         }
     }
 
@@ -69,7 +69,8 @@
             ConfigFormat::PlatformJson => "group",
         };
         for (index, class) in self.list_items(CLASS_LIST).into_iter().enumerate() {
-            let has_keys = class.get(REPEAT).and_then(ConfigItem::as_str) == Some(IDEMPOTENCY_KEY);
+            let has_keys = class.get(REPEAT_KEY).and_then(ConfigItem::as_str)
+                == Some(REPEAT_WITH_IDEMPOTENCY_KEY);
             let has_scope = class
                 .get(scope)
                 .is_some_and(|item| !matches!(item.value, ConfigValue::Null));
--- a/crates/edge-node/src/config/schema/validate/value.rs
+++ b/crates/edge-node/src/config/schema/validate/value.rs
@@ -7,7 +7,7 @@
 
 /// The one key whose minimum binds the platform, too: the process can't serve below it. All other
 /// numbers of the platform's JSON are bounded by their types alone.
-const FILE_DESCRIPTORS: &str = "limits.file_descriptors";
+const FILE_DESCRIPTORS_KEY: &str = "limits.file_descriptors";
 
 /// Checks that a key takes a value.
 pub(super) fn check_value(
@@ -20,14 +20,14 @@
         return Ok(());
     }
     match key.value_type {
-        ValueType::Text => check_text(format, item),
-        ValueType::TextList => check_text_list(item),
+        ValueType::String => check_string(format, item),
+        ValueType::StringList => check_string_list(item),
         ValueType::Address => check_address(item),
         ValueType::AddressList => check_address_list(item),
         ValueType::Boolean => check_boolean(item),
         ValueType::Choice(choices) => check_choice(format, choices, item),
         ValueType::Integer { min, .. } if is_platform => {
-            let min = if key.toml_path == FILE_DESCRIPTORS {
+            let min = if key.toml_path == FILE_DESCRIPTORS_KEY {
                 min
             } else {
                 0
@@ -44,16 +44,16 @@
     }
 }
 
-fn check_text(format: ConfigFormat, item: &ConfigItem) -> Result<(), Problem> {
+fn check_string(format: ConfigFormat, item: &ConfigItem) -> Result<(), Problem> {
     let may_be_empty = format == ConfigFormat::PlatformJson;
     let is_valid = item
         .as_str()
         .is_some_and(|text| may_be_empty || !text.is_empty());
-    ensure(is_valid, Problem::NotText)
+    ensure(is_valid, Problem::NotString)
 }
 
-fn check_text_list(item: &ConfigItem) -> Result<(), Problem> {
-    ensure(is_list_of(item, |_| true), Problem::NotTextList)
+fn check_string_list(item: &ConfigItem) -> Result<(), Problem> {
+    ensure(is_list_of(item, |_| true), Problem::NotStringList)
 }
 
 fn check_address(item: &ConfigItem) -> Result<(), Problem> {
@@ -76,12 +76,12 @@
     choices: &[Choice],
     item: &ConfigItem,
 ) -> Result<(), Problem> {
-    let words: Vec<&str> = choices.iter().map(|choice| choice.word(format)).collect();
-    let is_known = item.as_str().is_some_and(|text| words.contains(&text));
+    let names: Vec<&str> = choices.iter().map(|choice| choice.name(format)).collect();
+    let is_known = item.as_str().is_some_and(|text| names.contains(&text));
     ensure(
         is_known,
         Problem::NotOneOf {
-            words: words.into_iter().map(str::to_owned).collect(),
+            choices: names.into_iter().map(str::to_owned).collect(),
         },
     )
 }
