--- a/crates/edge-node/src/config/error.rs
+++ b/crates/edge-node/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration can't be used.
+//! The errors of reading a configuration.
 
 use std::error::Error;
 use std::fmt;
@@ -6,47 +6,47 @@
 use std::net::AddrParseError;
 use std::path::PathBuf;
 
-/// Why there is no configuration to start or go on with.
+/// Why no configuration could be read, at the start or at a reload.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// Neither the command line nor the environment names a file.
-    #[error("no configuration: LB_CONFIG is not set, and there is no --config")]
+    /// Neither the command line nor the environment names a configuration file.
+    #[error("no configuration file: LB_CONFIG is not set, and --config is not given")]
     MissingPath,
-    /// The file can't be read.
+    /// The configuration file can't be read.
     #[error("{}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// The I/O error; of the kind `InvalidData` if the file is not UTF-8.
         source: io::Error,
     },
-    /// An environment variable that holds an address holds something else.
-    #[error("{variable}: {value:?} is no address")]
+    /// The value of an environment variable is not a socket address.
+    #[error("{variable}: {value:?} is not an IP address with a port")]
     InvalidAddress {
         /// The name of the variable.
         variable: &'static str,
-        /// What it holds.
+        /// The value of the variable.
         value: String,
-        /// Why that is no address.
+        /// The error of parsing the value.
         source: AddrParseError,
     },
-    /// The file was read, and something in it is wrong.
+    /// The configuration file was read, but its content is invalid.
     #[error(transparent)]
     Invalid(#[from] InvalidConfig),
 }
 
-/// A configuration file with all that is wrong in it, which is at least one thing. Displayed in one
-/// line.
+/// An invalid configuration file with its diagnostics, of which there is at least one. It is
+/// displayed in one line, with the first diagnostic and the number of the others.
 #[derive(Debug)]
 pub struct InvalidConfig {
-    /// The file.
+    /// The path of the file.
     pub path: PathBuf,
-    /// What is wrong, in the order of its lines.
+    /// Everything that is wrong with the file, ordered by line.
     pub diagnostics: Vec<Diagnostic>,
 }
 
 impl InvalidConfig {
-    /// Each diagnostic in a line of its own, behind the file's path.
+    /// Returns each diagnostic as a line that begins with the path of the file.
     pub fn lines(&self) -> impl Iterator<Item = String> + '_ {
         self.diagnostics.iter().map(|diagnostic| {
             let separator = if diagnostic.line.is_some() { "" } else { " " };
@@ -61,27 +61,27 @@
         formatter.write_str(&first)?;
         match self.diagnostics.len().saturating_sub(1) {
             0 => Ok(()),
-            more => write!(formatter, " (and {more} more, which `check` tells)"),
+            more => write!(formatter, " (and {more} more; `edge-node check` lists all)"),
         }
     }
 }
 
 impl Error for InvalidConfig {}
 
-/// One thing that is wrong with a configuration.
+/// A single problem of a configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Diagnostic {
-    /// The line, from 1; `None` where something is missing and nothing around it exists.
+    /// Line number from 1; `None` if the problem has no line, such as a missing key at the root.
     pub line: Option<usize>,
-    /// The path of the key, with indexes in lists; empty if the text as a whole is meant.
+    /// Path of the key, with indexes in lists; empty if the problem concerns the whole file.
     pub path: String,
-    /// What is wrong.
+    /// Message for operators, without the path of the key.
     pub message: String,
 }
 
 impl Diagnostic {
-    /// A diagnostic without a line or key: an error with its sources, from the outermost to the
-    /// cause.
+    /// Returns a diagnostic without a line or key, with the messages of an error and of its
+    /// sources, from the error to its root cause.
     pub(super) fn from_error(error: &(dyn Error + 'static)) -> Diagnostic {
         let chain = std::iter::successors(Some(error), |error| (*error).source());
         let messages: Vec<String> = chain.map(ToString::to_string).collect();
--- a/crates/edge-node/src/config/platform.rs
+++ b/crates/edge-node/src/config/platform.rs
@@ -1,5 +1,5 @@
-//! Reads the platform's JSON, to which operators' files are translated: its names are mapped to
-//! those of the code here, and only here.
+//! Reads the platform's JSON, to which operators' TOML is translated. Only this module maps the
+//! names of the JSON, outside `settings`, to those used in the code.
 
 use super::file::ConfigFormat;
 use super::schema::{RestartValues, MIN_FILE_DESCRIPTORS};
@@ -12,35 +12,35 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// File descriptors that the process may hold, where the configuration does not say.
+/// Maximum number of file descriptors of the process if the configuration sets none.
 const DEFAULT_FILE_DESCRIPTORS: usize = 1024;
-/// Memory in MiB that the process may use, where the configuration does not say.
+/// Memory that the process may use if the configuration does not limit it, in MiB.
 const DEFAULT_MEMORY_MIB: usize = 32;
 const BYTES_PER_MIB: usize = 1024 * 1024;
 const SEED_RADIX: u32 = 16;
 
-/// Why a text is no configuration.
+/// Why a text can't be read as a configuration.
 #[derive(Debug, Error)]
 pub(super) enum PlatformConfigError {
-    /// It is not the JSON that is expected.
+    /// The text is not valid JSON, or a key is missing or has a value of the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Its settings can't be parsed.
+    /// The settings of the gateway can't be parsed.
     #[error("settings")]
     UnparsableSettings(#[source] ParseError),
-    /// Its settings make no sense.
+    /// The settings of the gateway are incomplete, contradictory, or hold invalid numbers.
     #[error("settings")]
     InvalidSettings(#[source] SettingsError),
-    /// The process could not serve with so few.
-    #[error("limits.sockets: {MIN_FILE_DESCRIPTORS} are needed")]
+    /// The limit of file descriptors is below [`MIN_FILE_DESCRIPTORS`].
+    #[error("limits.sockets: must be at least {MIN_FILE_DESCRIPTORS}")]
     TooFewFileDescriptors,
 }
 
-/// Reads a text in the platform's JSON. `path` and `format` are those of the file that it comes
-/// from.
+/// Reads a configuration from a text in the platform's JSON. `path` and `format` are those of the
+/// file that the text was read or translated from.
 ///
 /// # Errors
-/// The first thing that is wrong.
+/// Returns the first problem that is found.
 pub(super) fn read(
     path: &Path,
     format: ConfigFormat,
@@ -101,7 +101,8 @@
 }
 
 impl JsonConfig {
-    /// The seed in hex digits; a random one where it is left out or can't be read.
+    /// Returns the seed, which is written in hexadecimal digits; a random number if the seed is
+    /// absent or can't be parsed.
     fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, SEED_RADIX).unwrap_or_else(|_| fastrand::u64(..))
     }
--- a/crates/edge-node/src/config/schema/validate/problem.rs
+++ b/crates/edge-node/src/config/schema/validate/problem.rs
@@ -1,48 +1,48 @@
-//! What can be wrong with an item of a configuration, in the words that operators read.
+//! Problems of single items of a configuration, with the messages that operators read.
 
 use thiserror::Error;
 
-/// What is wrong with one item, or with one that is missing. Its text follows the item's path.
+/// A problem of an item, or of a missing item. Its message is displayed after the path of the item.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub(super) enum Problem {
-    #[error("stands twice")]
+    #[error("duplicate key")]
     Duplicate,
-    #[error("no such key{}", nearest.map(|path| format!("; the nearest known name is {path}")).unwrap_or_default())]
+    #[error("unknown key{}", nearest.map(|path| format!("; did you mean {path}?")).unwrap_or_default())]
     UnknownKey { nearest: Option<&'static str> },
     #[error("is missing")]
     Missing,
-    #[error("one is needed at the least")]
+    #[error("at least one is required")]
     EmptyList,
-    #[error("has to be a table")]
+    #[error("must be a table")]
     NotTable,
-    #[error("has to be a list of tables")]
+    #[error("must be a list of tables")]
     NotTableList,
-    #[error("has to be a text that is not empty")]
+    #[error("must be a non-empty string")]
     NotString,
-    #[error("has to be a list of texts")]
+    #[error("must be a list of strings")]
     NotStringList,
-    #[error("has to be an address with a port, as \"127.0.0.1:8443\"")]
+    #[error("must be an IP address with a port, such as \"127.0.0.1:8443\"")]
     NotAddress,
-    #[error("has to be a list of addresses with ports")]
+    #[error("must be a list of IP addresses with ports")]
     NotAddressList,
-    #[error("has to be true or false")]
+    #[error("must be true or false")]
     NotBoolean,
-    #[error("has to be a whole number")]
+    #[error("must be an integer")]
     NotInteger,
-    #[error("has to be a number")]
+    #[error("must be a number")]
     NotNumber,
-    /// The range has no upper end.
-    #[error("is {number}, and has to be {min} or more")]
+    /// The number is outside a range that counts as one without an upper bound.
+    #[error("is {number}, but must be at least {min}")]
     BelowMinimum { number: f64, min: f64 },
-    #[error("is {number}, and has to be from {min} to {max}")]
+    #[error("is {number}, but must be from {min} to {max}")]
     OutOfRange { number: f64, min: f64, max: f64 },
-    #[error("has to be one of {}", choices.join(", "))]
+    #[error("must be one of {}", choices.join(", "))]
     NotOneOf { choices: Vec<String> },
-    #[error("there are only the numbers below {gateways}")]
+    #[error("must be less than {gateways}, the number of edge nodes")]
     GatewayNumberOutOfRange { gateways: i128 },
-    #[error("is missing, and needed with an idempotency key")]
+    #[error("is missing, but required with an idempotency key")]
     MissingScope,
-    #[error("{name:?} stands twice")]
+    #[error("duplicate name {name:?}")]
     DuplicateName { name: String },
     #[error("has {addresses} addresses for {gateways} edge nodes")]
     WrongAddressCount { addresses: usize, gateways: i128 },
--- a/crates/edge-node/tests/configuration/operator_diagnostics.rs
+++ b/crates/edge-node/tests/configuration/operator_diagnostics.rs
@@ -4,21 +4,25 @@
 use super::{check, Checked, DiagnosticCase};
 
 const NAME_AND_ADDRESS_DIAGNOSTICS: &[DiagnosticCase] = &[
-    DiagnosticCase::new("name = \"edge-0\"", "name = 3", "name: has to be a text"),
+    DiagnosticCase::new(
+        "name = \"edge-0\"",
+        "name = 3",
+        "name: must be a non-empty string",
+    ),
     DiagnosticCase::new(
         "name = \"edge-0\"",
         "name = \"\"",
-        "name: has to be a text that is not empty",
+        "name: must be a non-empty string",
     ),
     DiagnosticCase::new(
         "127.0.0.1:8443",
         "127.0.0.1",
-        "listen: has to be an address",
+        "listen: must be an IP address",
     ),
     DiagnosticCase::new(
         "127.0.0.1:8500",
         "localhost:8500",
-        "discovery: has to be an address",
+        "discovery: must be an IP address",
     ),
 ];
 
@@ -26,17 +30,17 @@
     DiagnosticCase::new(
         "file_descriptors = 1024",
         "file_descriptors = 63",
-        "limits.file_descriptors: is 63, and has to be from 64",
+        "limits.file_descriptors: is 63, but must be from 64",
     ),
     DiagnosticCase::new(
         "file_descriptors = 1024",
         "file_descriptors = 1e3",
-        "limits.file_descriptors: has to be a whole number",
+        "limits.file_descriptors: must be an integer",
     ),
     DiagnosticCase::new(
         "memory_mib = 192",
         "memory_mb = 192",
-        "limits.memory_mb: no such key; the nearest known name is limits.memory_mib",
+        "limits.memory_mb: unknown key; did you mean limits.memory_mib?",
     ),
     DiagnosticCase::new(
         "memory_mib = 192",
@@ -49,17 +53,17 @@
     DiagnosticCase::new(
         "number = 0",
         "number = 3",
-        "fleet.number: there are only the numbers below 3",
+        "fleet.number: must be less than 3, the number of edge nodes",
     ),
     DiagnosticCase::new(
         "zone = \"block-a\"",
         "zone = \"block-d\"",
-        "fleet.zone: has to be one of block-a, block-b, block-c",
+        "fleet.zone: must be one of block-a, block-b, block-c",
     ),
     DiagnosticCase::new(
         "zones = [",
         "zones = [1, ",
-        "fleet.zones: has to be a list of texts",
+        "fleet.zones: must be a list of strings",
     ),
 ];
 
@@ -67,7 +71,7 @@
     DiagnosticCase::new(
         "\"127.0.0.3:7946\"",
         "\"x\"",
-        "peers.addresses: has to be a list of addresses",
+        "peers.addresses: must be a list of IP addresses",
     ),
     DiagnosticCase::new(
         "\"127.0.0.2:7946\", \"127.0.0.3:7946\"]",
@@ -82,12 +86,12 @@
     DiagnosticCase::new(
         "messages_per_s = 40",
         "messages_per_s = 1979-05-27",
-        "peers.messages_per_s: has to be a number",
+        "peers.messages_per_s: must be a number",
     ),
     DiagnosticCase::new(
         "messages_per_s = 40",
         "messages = 40",
-        "peers.messages: no such key; the nearest known name is peers.messages_per_s",
+        "peers.messages: unknown key; did you mean peers.messages_per_s?",
     ),
 ];
 
@@ -95,12 +99,12 @@
     DiagnosticCase::new(
         "max_attempts = 5",
         "max_attempts = 0",
-        "requests.max_attempts: is 0, and has to be from 1 to 100",
+        "requests.max_attempts: is 0, but must be from 1 to 100",
     ),
     DiagnosticCase::new(
         "cold_start_capacity = 0.27",
         "cold_start_capacity = 27",
-        "servers.cold_start_capacity: is 27, and has to be from 0 to 1",
+        "servers.cold_start_capacity: is 27, but must be from 0 to 1",
     ),
     DiagnosticCase::new(
         "overload_window_ms = 3_000",
@@ -113,27 +117,27 @@
     DiagnosticCase::new(
         "latency_target_ms = 1_000",
         "latency_target_ms = true",
-        "classes[0].latency_target_ms: has to be a number",
+        "classes[0].latency_target_ms: must be a number",
     ),
     DiagnosticCase::new(
         "repeat = \"never\"",
         "repeat = \"once\"",
-        "classes[1].repeat: has to be one of safe, idempotency_key, never",
+        "classes[1].repeat: must be one of safe, idempotency_key, never",
     ),
     DiagnosticCase::new(
         "\"post-payment\"",
         "\"balance-read\"",
-        "classes[1].name: \"balance-read\" stands twice",
+        "classes[1].name: duplicate name \"balance-read\"",
     ),
     DiagnosticCase::new(
         "\"premier\"",
         "\"basic\"",
-        "plans[1].name: \"basic\" stands twice",
+        "plans[1].name: duplicate name \"basic\"",
     ),
     DiagnosticCase::new(
         "units_per_s = 50",
         "units_per_second = 50\nunits_per_s = 50",
-        "plans[1].units_per_second: no such key; the nearest known name is plans[].units_per_s",
+        "plans[1].units_per_second: unknown key; did you mean plans[].units_per_s?",
     ),
 ];
 
@@ -141,14 +145,14 @@
     DiagnosticCase::new(
         "[limits]",
         "log.level = \"loud\"\n[limits]",
-        "log.level: has to be one of off, error, warn, info, debug",
+        "log.level: must be one of off, error, warn, info, debug",
     ),
     DiagnosticCase::new(
         "[requests]",
         "[reqests]",
-        "reqests: no such key; the nearest known name is requests",
+        "reqests: unknown key; did you mean requests?",
     ),
-    DiagnosticCase::new("[limits]", "qqq = 1\n[limits]", "qqq: no such key"),
+    DiagnosticCase::new("[limits]", "qqq = 1\n[limits]", "qqq: unknown key"),
 ];
 
 const EXAMPLE_DIAGNOSTICS: [&[DiagnosticCase]; 7] = [
@@ -229,7 +233,7 @@
     assert!(
         lines
             .iter()
-            .any(|line| line.contains("plans: has to be a list of tables")),
+            .any(|line| line.contains("plans: must be a list of tables")),
         "{lines:?}"
     );
 }
--- a/crates/edge-node/tests/configuration/platform_diagnostics.rs
+++ b/crates/edge-node/tests/configuration/platform_diagnostics.rs
@@ -20,41 +20,41 @@
 
 /// Each diagnostic begins with its line.
 const PLATFORM_DIAGNOSTICS: &[DiagnosticCase] = &[
-    DiagnosticCase::new("127.0.0.1:0", "nowhere", "2: listen: has to be an address"),
+    DiagnosticCase::new("127.0.0.1:0", "nowhere", "2: listen: must be an IP address"),
     DiagnosticCase::new(
         "\"sockets\": 1024",
         "\"sockets\": 63",
-        "3: limits.sockets: is 63, and has to be 64 or more",
+        "3: limits.sockets: is 63, but must be at least 64",
     ),
     DiagnosticCase::new(
         "127.0.0.1:3",
         "x",
-        "4: peers: has to be a list of addresses",
+        "4: peers: must be a list of IP addresses",
     ),
     DiagnosticCase::new(
         "\"me\": 0",
         "\"me\": 2",
-        "6: settings.me: there are only the numbers below 2",
+        "6: settings.me: must be less than 2, the number of edge nodes",
     ),
     DiagnosticCase::new(
         "\"periodUs\": 2000",
         "\"periodUs\": 2.5",
-        "6: settings.periodUs: has to be a whole number",
+        "6: settings.periodUs: must be an integer",
     ),
     DiagnosticCase::new(
         "\"zone\": \"a\"",
         "\"zone\": \"b\"",
-        "6: settings.zone: has to be one of a",
+        "6: settings.zone: must be one of a",
     ),
     DiagnosticCase::new(
         "\"automatic\"",
         "\"never\"",
-        "6: settings.discovery: has to be one of automatic, subscribe",
+        "6: settings.discovery: must be one of automatic, subscribe",
     ),
     DiagnosticCase::new(
         "\"cancel\": true",
         "\"cancel\": 1",
-        "7: settings.ceilings.cancel: has to be true or false",
+        "7: settings.ceilings.cancel: must be true or false",
     ),
     DiagnosticCase::new(
         "\"worth\": 3.0, \"repeat\": \"non",
@@ -69,12 +69,12 @@
     DiagnosticCase::new(
         "\"rate\": 1.0",
         "\"rate\": -1.0",
-        "12: settings.packages[0].rate: is -1, and has to be 0 or more",
+        "12: settings.packages[0].rate: is -1, but must be at least 0",
     ),
     DiagnosticCase::new(
         "\"name\": \"p\", ",
         "\"name\": \"p\", \"name\": \"q\", ",
-        "12: settings.packages[0].name: stands twice",
+        "12: settings.packages[0].name: duplicate key",
     ),
 ];
 
