--- a/crates/edge-node/src/config/schema/keys/fleet.rs
+++ b/crates/edge-node/src/config/schema/keys/fleet.rs
@@ -1,17 +1,17 @@
-//! Keys of the fleet of edge nodes, and of the datagrams between them.
+//! Keys of the fleet of edge nodes and of the datagrams between edge nodes.
 
 use crate::config::schema::spec::{
     Choice, DefaultValue, KeySpec, OnReload, PlatformPresence, ValueType, MAX_NUMBER,
 };
 
-/// Edge nodes of the largest fleet.
+/// Maximum number of edge nodes in a fleet.
 const MAX_GATEWAYS: u64 = 100_000;
-/// The longest time between two control ticks, in ms.
+/// Upper bound of `fleet.round_ms`.
 const MAX_ROUND_MS: f64 = 1_000.0;
-/// The platform counts whole microseconds, so this is its shortest time, in ms.
+/// Shortest time in ms, since the platform's JSON has whole microseconds.
 const MICROSECOND_MS: f64 = 0.001;
 
-/// Values of `fleet.list_changes`.
+/// Choices of `fleet.list_changes`.
 const LIST_CHANGES: &[Choice] = &[
     Choice {
         toml: "pushed",
@@ -23,7 +23,7 @@
     },
 ];
 
-/// The `[fleet]` table.
+/// The keys of the `[fleet]` table.
 pub(super) const FLEET: &[KeySpec] = &[
     KeySpec {
         toml_path: "fleet.gateways",
@@ -35,7 +35,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Edge nodes in the fleet.",
+        description: "Number of edge nodes in the fleet.",
     },
     KeySpec {
         toml_path: "fleet.number",
@@ -47,7 +47,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "This one's number, from 0.",
+        description: "Number of this edge node, from 0.",
     },
     KeySpec {
         toml_path: "fleet.zones",
@@ -67,7 +67,7 @@
         default: DefaultValue::Absent { meaning: "no zone" },
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "This edge node's zone, one of `fleet.zones`.",
+        description: "Zone of this edge node, one of `fleet.zones`.",
     },
     KeySpec {
         toml_path: "fleet.round_ms",
@@ -79,7 +79,7 @@
         default: DefaultValue::Milliseconds(2.0),
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Shortest span between two rounds of decisions, in ms.",
+        description: "Shortest time between two rounds of events, in ms.",
     },
     KeySpec {
         toml_path: "fleet.list_changes",
@@ -89,11 +89,11 @@
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
         description:
-            "How list changes reach the decisions; the edge node keeps a watch in any case.",
+            "How endpoint list changes reach the gateway; the edge node keeps a watch in any case.",
     },
 ];
 
-/// The `[peers]` table.
+/// The keys of the `[peers]` table.
 pub(super) const PEERS: &[KeySpec] = &[
     KeySpec {
         toml_path: "peers.listen",
@@ -102,7 +102,7 @@
         default: DefaultValue::Absent { meaning: "no datagrams" },
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Where datagrams of other edge nodes arrive.",
+        description: "Address on which datagrams of other edge nodes arrive.",
     },
     KeySpec {
         toml_path: "peers.addresses",
@@ -111,16 +111,16 @@
         default: DefaultValue::Absent { meaning: "none" },
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "One address for each edge node in the order of their numbers, its own among them.",
+        description: "Address of each edge node in the order of their numbers, including this edge node.",
     },
     KeySpec {
         toml_path: "peers.broadcast",
         json_path: "peers_all",
         value_type: ValueType::Address,
-        default: DefaultValue::Absent { meaning: "one datagram each" },
+        default: DefaultValue::Absent { meaning: "one datagram for each edge node" },
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "One address that reaches all of them.",
+        description: "Broadcast address that reaches all edge nodes.",
     },
     KeySpec {
         toml_path: "peers.enabled",
@@ -129,7 +129,7 @@
         default: DefaultValue::Boolean(true),
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Whether edge nodes may tell each other what they use.",
+        description: "Whether edge nodes may send each other messages.",
     },
     KeySpec {
         toml_path: "peers.messages_per_s",
@@ -138,6 +138,6 @@
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Datagrams a second that an edge node takes in; at 0 edge nodes do not tell each other their usage.",
+        description: "Maximum number of datagrams a second that an edge node can receive; at 0 edge nodes do not exchange usage counts.",
     },
 ];
--- a/crates/edge-node/src/config/schema/keys/node.rs
+++ b/crates/edge-node/src/config/schema/keys/node.rs
@@ -1,18 +1,18 @@
-//! Keys of this edge node alone: its name and addresses, limits of the process, log and admin
-//! listener.
+//! Keys of a single edge node: its name and addresses, the limits of the process, the log and the
+//! admin listener.
 
 use crate::config::schema::spec::{
     Choice, DefaultValue, KeySpec, OnReload, PlatformPresence, ValueType,
 };
 
-/// Fewer descriptors than this leave no room for clients beside servers.
+/// Minimum number of file descriptors that leaves enough for clients beside those for servers.
 pub(crate) const MIN_FILE_DESCRIPTORS: u64 = 64;
-/// The least memory that the process can be given, in MiB.
+/// Minimum memory of the process, in MiB.
 const MIN_MEMORY_MIB: u64 = 16;
-/// Far above what any machine grants, in descriptors and in MiB.
+/// Upper bound of the limits, in file descriptors and in MiB: far above what any machine grants.
 const MAX_RESOURCE_LIMIT: u64 = 1 << 20;
 
-/// Values of `log.level`, which only operators' files have.
+/// Choices of `log.level`, which only operators' TOML has.
 const LOG_LEVELS: &[Choice] = &[
     Choice::same("off"),
     Choice::same("error"),
@@ -20,10 +20,10 @@
     Choice::same("info"),
     Choice::same("debug"),
 ];
-/// Values of `log.format`, which only operators' files have.
+/// Choices of `log.format`, which only operators' TOML has.
 const LOG_FORMATS: &[Choice] = &[Choice::same("text"), Choice::same("json")];
 
-/// The name and addresses of this edge node, limits of the process, the log and the admin listener.
+/// The keys at the root and those of the `[limits]`, `[log]` and `[admin]` tables.
 pub(super) const NODE: &[KeySpec] = &[
     KeySpec {
         toml_path: "name",
@@ -32,7 +32,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Name of this edge node, as its log shows it.",
+        description: "Name of this edge node in its log.",
     },
     KeySpec {
         toml_path: "listen",
@@ -41,7 +41,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Where clients connect.",
+        description: "Address on which clients connect.",
     },
     KeySpec {
         toml_path: "discovery",
@@ -50,7 +50,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::Applied,
-        description: "Where the agent of discovery listens.",
+        description: "Address on which the discovery agent listens.",
     },
     KeySpec {
         toml_path: "seed",
@@ -59,7 +59,7 @@
         default: DefaultValue::Absent { meaning: "random" },
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::Ignored,
-        description: "Hex digits from which all chance is drawn.",
+        description: "Seed of all random decisions, in up to 16 hexadecimal digits.",
     },
     KeySpec {
         toml_path: "limits.file_descriptors",
@@ -71,7 +71,7 @@
         default: DefaultValue::Integer(1024),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "File descriptors that the process may hold.",
+        description: "Maximum number of file descriptors of the process.",
     },
     KeySpec {
         toml_path: "limits.memory_mib",
@@ -83,7 +83,7 @@
         default: DefaultValue::Integer(32),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Memory that it may use, in MiB; an eighth is for large bodies.",
+        description: "Memory that the process may use, in MiB; an eighth of it is for large bodies.",
     },
     KeySpec {
         toml_path: "log.level",
@@ -92,7 +92,7 @@
         default: DefaultValue::Choice("info"),
         in_platform_json: PlatformPresence::Absent,
         on_reload: OnReload::Applied,
-        description: "Least severity that is logged.",
+        description: "Lowest severity that is logged.",
     },
     KeySpec {
         toml_path: "log.format",
@@ -101,7 +101,7 @@
         default: DefaultValue::Choice("text"),
         in_platform_json: PlatformPresence::Absent,
         on_reload: OnReload::RequiresRestart,
-        description: "Lines for people, or a JSON object in each line.",
+        description: "Format of a log line: text for people, or a JSON object.",
     },
     KeySpec {
         toml_path: "admin.listen",
@@ -112,6 +112,6 @@
         },
         in_platform_json: PlatformPresence::Absent,
         on_reload: OnReload::RequiresRestart,
-        description: "Where operators and their monitoring connect: metrics, health, state.",
+        description: "Address of the admin listener, which serves metrics, health and state to operators and monitoring.",
     },
 ];
--- a/crates/edge-node/src/config/schema/keys/policy.rs
+++ b/crates/edge-node/src/config/schema/keys/policy.rs
@@ -1,15 +1,15 @@
-//! Keys of each class of requests and of each plan.
+//! Keys of classes and plans.
 
 use crate::config::schema::spec::{
     Choice, DefaultValue, KeySpec, OnReload, PlatformPresence, ValueType, HOUR_MS, MAX_NUMBER,
 };
 
-/// Most attempts that a plan may allow at once.
+/// Upper bound of `plans[].concurrency`.
 const MAX_CONCURRENCY: u64 = 1 << 20;
-/// The platform counts whole microseconds, so this is its shortest time, in ms.
+/// Shortest time in ms, since the platform's JSON has whole microseconds.
 const MICROSECOND_MS: f64 = 0.001;
 
-/// Values of `classes[].repeat`.
+/// Choices of `classes[].repeat`.
 const REPEATS: &[Choice] = &[
     Choice {
         toml: "safe",
@@ -21,14 +21,14 @@
         json: "non_idempotent",
     },
 ];
-/// Values of `classes[].idempotency_scope`.
+/// Choices of `classes[].idempotency_scope`.
 const IDEMPOTENCY_SCOPES: &[Choice] = &[
     Choice::same("all"),
     Choice::same("zone"),
     Choice::same("cell"),
 ];
 
-/// Each `[[classes]]` table.
+/// The keys of each `[[classes]]` table.
 pub(super) const CLASSES: &[KeySpec] = &[
     KeySpec {
         toml_path: "classes[].name",
@@ -37,7 +37,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Name of the class of requests: `X-Class`, and the path's first part.",
+        description: "Name of the class, in `X-Class` and as the first segment of the path.",
     },
     KeySpec {
         toml_path: "classes[].latency_target_ms",
@@ -49,7 +49,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "An answer within this earns the full value, in ms.",
+        description: "Latency objective, in ms: an answer within it earns the full priority weight.",
     },
     KeySpec {
         toml_path: "classes[].deadline_ms",
@@ -61,7 +61,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "The longest that its clients wait, in ms.",
+        description: "Longest time that clients wait for an answer, in ms.",
     },
     KeySpec {
         toml_path: "classes[].late_value",
@@ -70,7 +70,7 @@
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Share of the value that a later answer earns.",
+        description: "Late weight: fraction of the priority weight that a later answer earns.",
     },
     KeySpec {
         toml_path: "classes[].value",
@@ -82,7 +82,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "What an answer is worth, against other classes.",
+        description: "Priority weight of a request, relative to other classes.",
     },
     KeySpec {
         toml_path: "classes[].repeat",
@@ -91,7 +91,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Whether it may run twice: always, under its idempotency key, or never.",
+        description: "Whether a request may be repeated: always, with its idempotency key, or never.",
     },
     KeySpec {
         toml_path: "classes[].idempotency_scope",
@@ -100,7 +100,7 @@
         default: DefaultValue::Absent { meaning: "none" },
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Which servers know a key again; needed with `idempotency_key`.",
+        description: "Deduplication scope: servers that recognise an idempotency key; required with `idempotency_key`.",
     },
     KeySpec {
         toml_path: "classes[].idempotency_window_ms",
@@ -112,11 +112,11 @@
         default: DefaultValue::Milliseconds(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "For so long, in ms.",
+        description: "Time for which servers recognise an idempotency key, in ms.",
     },
 ];
 
-/// Each `[[plans]]` table.
+/// The keys of each `[[plans]]` table.
 pub(super) const PLANS: &[KeySpec] = &[
     KeySpec {
         toml_path: "plans[].name",
@@ -125,7 +125,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Name of the plan: `X-Tier`.",
+        description: "Name of the plan, in `X-Tier`.",
     },
     KeySpec {
         toml_path: "plans[].units_per_s",
@@ -150,7 +150,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Units that may be used at once.",
+        description: "Maximum number of units that may be used at one moment.",
     },
     KeySpec {
         toml_path: "plans[].concurrency",
@@ -162,7 +162,7 @@
         default: DefaultValue::Integer(0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Attempts that may be out at once; 0 for no limit.",
+        description: "Maximum number of attempts of a customer in flight at once; 0 for no limit.",
     },
     KeySpec {
         toml_path: "plans[].value_factor",
@@ -174,7 +174,7 @@
         default: DefaultValue::Number(1.0),
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "What a class's value counts for its customers.",
+        description: "Factor by which the priority weight of each class is multiplied for customers of the plan.",
     },
     KeySpec {
         toml_path: "plans[].over_quota_value",
@@ -186,7 +186,7 @@
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Share of the value that is earned beyond the quota.",
+        description: "Fraction of the priority weight that a request beyond the quota earns.",
     },
     KeySpec {
         toml_path: "plans[].over_quota_cost",
@@ -198,7 +198,7 @@
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Share of the value that a request beyond the quota costs.",
+        description: "Fraction of the priority weight that a request beyond the quota costs.",
     },
     KeySpec {
         toml_path: "plans[].ceiling_units_per_s",
@@ -210,7 +210,7 @@
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Hard ceiling of each customer, in units a second; 0 for none.",
+        description: "Hard limit of each customer over all edge nodes, in units a second; 0 for no hard limit.",
     },
     KeySpec {
         toml_path: "plans[].ceiling_burst_units",
@@ -222,6 +222,6 @@
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Most units at once under the ceiling.",
+        description: "Maximum number of units that may be used at one moment under the hard limit.",
     },
 ];
--- a/crates/edge-node/src/config/schema/keys/traffic.rs
+++ b/crates/edge-node/src/config/schema/keys/traffic.rs
@@ -1,17 +1,17 @@
-//! Keys of the requests that are forwarded, and of the servers that execute them.
+//! Keys of requests and of the servers that they are forwarded to.
 
 use crate::config::schema::spec::{
     DefaultValue, KeySpec, OnReload, PlatformPresence, ValueType, HOUR_MS, MAX_NUMBER,
 };
 
-/// Most attempts that one request may take.
+/// Upper bound of `requests.max_attempts`.
 const MAX_ATTEMPTS: u64 = 100;
-/// The shortest timeout of a connection, in ms.
+/// Lower bound of the timeouts of connections, in ms.
 const MIN_TIMEOUT_MS: f64 = 1.0;
-/// The shortest grace period of a server that drains, in ms.
+/// Lower bound of `servers.drain_grace_ms`.
 const MIN_DRAIN_GRACE_MS: f64 = 10.0;
 
-/// The `[requests]` table.
+/// The keys of the `[requests]` table.
 pub(super) const REQUESTS: &[KeySpec] = &[
     KeySpec {
         toml_path: "requests.max_attempts",
@@ -23,7 +23,7 @@
         default: DefaultValue::Integer(3),
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Attempts for one request.",
+        description: "Maximum number of attempts for one request.",
     },
     KeySpec {
         toml_path: "requests.cancel",
@@ -44,7 +44,7 @@
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Units of the largest request; 0 for no limit.",
+        description: "Maximum number of units of one request; 0 for no limit.",
     },
     KeySpec {
         toml_path: "requests.retry_after",
@@ -53,7 +53,7 @@
         default: DefaultValue::Boolean(true),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Whether refused clients are told when to come back.",
+        description: "Whether rejections carry `Retry-After`.",
     },
     KeySpec {
         toml_path: "requests.max_retry_after_ms",
@@ -67,11 +67,11 @@
         },
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "The longest that they may be told, in ms.",
+        description: "Upper bound of `Retry-After`, in ms.",
     },
 ];
 
-/// The `[servers]` table.
+/// The keys of the `[servers]` table.
 pub(super) const SERVERS: &[KeySpec] = &[
     KeySpec {
         toml_path: "servers.idle_timeout_ms",
@@ -83,7 +83,7 @@
         default: DefaultValue::Milliseconds(15_000.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "After so long a server closes an idle connection, in ms.",
+        description: "Time after which a server closes an idle connection, in ms.",
     },
     KeySpec {
         toml_path: "servers.connect_timeout_ms",
@@ -95,7 +95,7 @@
         default: DefaultValue::Milliseconds(250.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "A connection that is not up by then never comes up, in ms.",
+        description: "Time after which an attempt to establish a connection is given up, in ms.",
     },
     KeySpec {
         toml_path: "servers.drain_grace_ms",
@@ -108,7 +108,7 @@
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
         description:
-            "So long after a server was told to drain, in ms, new requests may still reach it.",
+            "Time for which new requests may still be sent to a server that was reported as draining, in ms.",
     },
     KeySpec {
         toml_path: "servers.cold_start_capacity",
@@ -117,7 +117,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "Share of its capacity with which a server starts.",
+        description: "Fraction of its capacity that a server has when it starts.",
     },
     KeySpec {
         toml_path: "servers.cold_start_ms",
@@ -129,7 +129,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "After so long it is warm, in ms.",
+        description: "Time from a server's start until it has its full capacity, in ms.",
     },
     KeySpec {
         toml_path: "servers.overload_factor",
@@ -142,7 +142,7 @@
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
         description:
-            "Work above this multiple of its present capacity makes a cold server fall ...",
+            "A server that is warming up is overloaded while its work exceeds this multiple of its current capacity.",
     },
     KeySpec {
         toml_path: "servers.overload_window_ms",
@@ -154,7 +154,7 @@
         default: DefaultValue::Required,
         in_platform_json: PlatformPresence::Required,
         on_reload: OnReload::RequiresRestart,
-        description: "... over this span, in ms.",
+        description: "Time after which a server that stays overloaded collapses, in ms.",
     },
     KeySpec {
         toml_path: "servers.cross_zone_cost",
@@ -166,6 +166,6 @@
         default: DefaultValue::Number(0.0),
         in_platform_json: PlatformPresence::Optional,
         on_reload: OnReload::RequiresRestart,
-        description: "Price of an attempt that crosses zones, in the unit of `classes[].value`.",
+        description: "Cost of an attempt that is sent to a server in another zone, in the unit of `classes[].value`.",
     },
 ];
--- a/crates/edge-node/src/config/schema/markdown.rs
+++ b/crates/edge-node/src/config/schema/markdown.rs
@@ -1,13 +1,14 @@
-//! The table of all keys, as `edge-node keys` prints it and docs/CONFIGURATION.md has it.
+//! The table of all keys in Markdown, which `edge-node keys` prints and docs/CONFIGURATION.md
+//! contains.
 
 use super::keys::all_keys;
 use super::spec::{DefaultValue, KeySpec, OnReload, ValueType};
 use crate::config::file::ConfigFormat;
 
-const HEADER: &str = "| key | what it is | takes | default | at SIGHUP | platform's JSON |\n\
+const HEADER: &str = "| key | description | type | default | at SIGHUP | platform's JSON |\n\
                       | --- | --- | --- | --- | --- | --- |\n";
 
-/// All keys as a table in Markdown, one row a key.
+/// Returns a Markdown table with one row for each key.
 pub fn markdown_table() -> String {
     let rows = all_keys().map(row);
     std::iter::once(HEADER.to_owned()).chain(rows).collect()
@@ -35,12 +36,12 @@
 
 fn type_description(value_type: ValueType) -> String {
     match value_type {
-        ValueType::String => "text".to_owned(),
-        ValueType::StringList => "texts".to_owned(),
-        ValueType::Address => "address with port".to_owned(),
-        ValueType::AddressList => "addresses with ports".to_owned(),
-        ValueType::Boolean => "true, false".to_owned(),
-        ValueType::Integer { min, max } => format!("whole number, {min} to {max}"),
+        ValueType::String => "string".to_owned(),
+        ValueType::StringList => "list of strings".to_owned(),
+        ValueType::Address => "IP address with port".to_owned(),
+        ValueType::AddressList => "list of IP addresses with ports".to_owned(),
+        ValueType::Boolean => "`true` or `false`".to_owned(),
+        ValueType::Integer { min, max } => format!("integer, {min} to {max}"),
         ValueType::Number { min, max } => format!("number, {min} to {max}"),
         ValueType::Milliseconds { min, max } => format!("ms, {min} to {max}"),
         ValueType::Choice(choices) => {
@@ -55,7 +56,7 @@
 
 fn default_description(default: DefaultValue) -> String {
     match default {
-        DefaultValue::Required => "needed".to_owned(),
+        DefaultValue::Required => "required".to_owned(),
         DefaultValue::Integer(number) => number.to_string(),
         DefaultValue::Number(number) | DefaultValue::Milliseconds(number) => number.to_string(),
         DefaultValue::Boolean(boolean) => boolean.to_string(),
