--- a/crates/edge-node/src/config/environment.rs
+++ b/crates/edge-node/src/config/environment.rs
@@ -1,4 +1,4 @@
-//! The environment variables: which file to read, and what overrides its values.
+//! The environment variables that name the configuration file and override its values.
 
 use super::error::ConfigError;
 use super::Config;
@@ -7,19 +7,21 @@
 
 /// The environment variable that names the configuration file.
 pub const CONFIG_VARIABLE: &str = "LB_CONFIG";
-/// Overrides `name`.
+/// The environment variable that overrides `name`.
 const NAME_VARIABLE: &str = "LB_NAME";
-/// Overrides `listen`.
+/// The environment variable that overrides `listen`.
 const LISTEN_VARIABLE: &str = "LB_LISTEN";
-/// Overrides `discovery`.
+/// The environment variable that overrides `discovery`.
 const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
 
 impl Config {
-    /// Reads the file that the command line, or else `LB_CONFIG`, names; the other variables
-    /// override its values. `variable` looks up an environment variable.
+    /// Reads the configuration file at `path`, or at the value of `LB_CONFIG` if `path` is `None`.
+    /// `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` override values of the file. `variable` looks up
+    /// an environment variable.
     ///
     /// # Errors
-    /// No file is named, it can't be used, or a variable holds no address where it should.
+    /// Returns an error if no file is named, if the file can't be read or is invalid, or if a
+    /// variable that overrides an address is not an IP address with a port.
     pub fn from_environment(
         path: Option<PathBuf>,
         variable: impl Fn(&str) -> Option<String>,
--- a/crates/edge-node/src/config/file/mod.rs
+++ b/crates/edge-node/src/config/file/mod.rs
@@ -1,5 +1,4 @@
-//! The text of a configuration file as a tree in which each item knows its line, from TOML or JSON
-//! alike.
+//! Parses configuration files in either format into a tree of items with line numbers.
 
 mod line_index;
 mod parse_json;
@@ -11,14 +10,15 @@
 /// The format of a configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigFormat {
-    /// TOML, written by operators.
+    /// TOML that operators write.
     Toml,
-    /// The platform's JSON.
+    /// JSON that the platform writes.
     PlatformJson,
 }
 
 impl ConfigFormat {
-    /// The format by the extension of the file's name, or else by how the text begins.
+    /// Returns the format that the file name extension indicates; without a known extension, JSON
+    /// if the text begins with `{`, and TOML otherwise.
     pub fn detect(path: &Path, text: &str) -> ConfigFormat {
         match path.extension().and_then(|extension| extension.to_str()) {
             Some("toml") => ConfigFormat::Toml,
@@ -29,38 +29,39 @@
     }
 }
 
-/// An item of a configuration.
+/// An item of a configuration file: a table, a list or a single value.
 #[derive(Debug, PartialEq)]
 pub struct ConfigItem {
-    /// The line on which it begins, from 1.
+    /// Number of the line on which the item begins, from 1.
     pub line: usize,
-    /// What it is.
+    /// The value of the item.
     pub value: ConfigValue,
 }
 
 /// The value of an item.
 #[derive(Debug, PartialEq)]
 pub enum ConfigValue {
-    /// Names with their items. A name may occur twice, which JSON allows.
+    /// A table: names with their items, in the order of the parser. JSON allows duplicate names.
     Table(Vec<(String, ConfigItem)>),
-    /// Items in a row.
+    /// A list of items.
     List(Vec<ConfigItem>),
     /// A string.
     String(String),
-    /// A whole number.
+    /// An integer.
     Integer(i128),
-    /// Any other number.
+    /// A number that is not an integer, or is written as a float.
     Float(f64),
     /// `true` or `false`.
     Boolean(bool),
-    /// JSON's null.
+    /// The `null` of JSON.
     Null,
-    /// What no key takes, such as TOML's dates.
+    /// A value of a type that no key has, such as a date in TOML.
     Unsupported,
 }
 
 impl ConfigItem {
-    /// The entry of that name, if this is a table that has one; the first of several.
+    /// Returns the first entry of that name; `None` if the item is not a table or has no such
+    /// entry.
     pub fn get(&self, name: &str) -> Option<&ConfigItem> {
         let ConfigValue::Table(entries) = &self.value else {
             return None;
@@ -71,7 +72,7 @@
             .map(|(_, item)| item)
     }
 
-    /// The string, if this is one.
+    /// Returns the string; `None` if the item is not a string.
     pub fn as_str(&self) -> Option<&str> {
         match &self.value {
             ConfigValue::String(text) => Some(text),
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The whole number, if this is one.
+    /// Returns the integer; `None` if the item is not an integer.
     pub fn as_integer(&self) -> Option<i128> {
         match self.value {
             ConfigValue::Integer(number) => Some(number),
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The number, whole or not, if this is one.
+    /// Returns the integer or float as a float; `None` if the item is not a number.
     pub fn as_number(&self) -> Option<f64> {
         match self.value {
             ConfigValue::Integer(number) => Some(number as f64),
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The strings of a list; none if this is no list.
+    /// Returns the strings in a list, without its other elements; empty if the item is not a list.
     pub fn strings(&self) -> Vec<&str> {
         match &self.value {
             ConfigValue::List(items) => items.iter().filter_map(ConfigItem::as_str).collect(),
@@ -105,10 +106,10 @@
     }
 }
 
-/// Parses a configuration file.
+/// Parses the text of a configuration file.
 ///
 /// # Errors
-/// What the grammar of the format forbids, with its lines.
+/// Returns the syntax errors with their lines: all that are found in TOML, the first in JSON.
 pub fn parse(format: ConfigFormat, text: &str) -> Result<ConfigItem, Vec<Diagnostic>> {
     match format {
         ConfigFormat::Toml => parse_toml::parse(text),
--- a/crates/edge-node/src/config/file/parse_json.rs
+++ b/crates/edge-node/src/config/file/parse_json.rs
@@ -1,4 +1,4 @@
-//! Parses the platform's JSON.
+//! Parser of the platform's JSON.
 
 use super::line_index::LineIndex;
 use super::{ConfigItem, ConfigValue};
@@ -9,15 +9,15 @@
 use serde_json::Value;
 use std::fmt;
 
-/// Levels of tables and lists within each other, far more than any key is in. What is nested deeper
-/// counts as of no supported type: parsing recurses, and an unlimited depth would overflow the
-/// stack.
+/// Maximum nesting depth of tables and lists, which is far above that of any key. A table or list
+/// that is nested deeper becomes [`ConfigValue::Unsupported`], because parsing recurses, and
+/// unlimited depth would overflow the stack.
 const MAX_NESTING: usize = 32;
 
-/// Parses a text.
+/// Parses a text in JSON.
 ///
 /// # Errors
-/// The first thing that JSON's grammar forbids.
+/// Returns the first syntax error.
 pub(super) fn parse(text: &str) -> Result<ConfigItem, Vec<Diagnostic>> {
     let parser = Parser {
         text,
@@ -41,7 +41,7 @@
 }
 
 impl Parser<'_> {
-    /// Converts a part of the text, which is inside that many tables and lists.
+    /// Converts a raw value that is inside `nesting` tables and lists.
     fn item(&self, raw: &RawValue, nesting: usize) -> serde_json::Result<ConfigItem> {
         let line = self.lines.line_at(self.offset_of(raw));
         let value = match raw.get().as_bytes().first() {
@@ -53,8 +53,8 @@
         Ok(ConfigItem { line, value })
     }
 
-    /// Where in the text a raw value begins. A raw value borrows from the text that it was parsed
-    /// from, so the difference of their addresses is the offset.
+    /// Returns the byte offset at which a raw value begins in the text. A raw value is a slice of
+    /// the text, so the difference of their addresses is the offset.
     fn offset_of(&self, raw: &RawValue) -> usize {
         (raw.get().as_ptr() as usize).saturating_sub(self.text.as_ptr() as usize)
     }
@@ -90,8 +90,8 @@
     }
 }
 
-/// The entries of an object in the order of the text, duplicates among them, which serde's own maps
-/// would drop.
+/// The entries of an object in the order of the text, including duplicate names, which the maps of
+/// serde would drop.
 struct ObjectEntries<'a>(Vec<(String, &'a RawValue)>);
 
 impl<'de> Deserialize<'de> for ObjectEntries<'de> {
--- a/crates/edge-node/src/config/file/parse_toml.rs
+++ b/crates/edge-node/src/config/file/parse_toml.rs
@@ -1,4 +1,4 @@
-//! Parses operators' TOML.
+//! Parser of operators' TOML.
 
 use super::line_index::LineIndex;
 use super::{ConfigItem, ConfigValue};
@@ -7,10 +7,10 @@
 use toml::de::{DeFloat, DeInteger, DeTable, DeValue, Error};
 use toml::Spanned;
 
-/// Parses a text.
+/// Parses a text in TOML.
 ///
 /// # Errors
-/// Everything that TOML's grammar forbids.
+/// Returns all syntax errors.
 pub(super) fn parse(text: &str) -> Result<ConfigItem, Vec<Diagnostic>> {
     let lines = LineIndex::new(text);
     let (root, errors) = DeTable::parse_recoverable(text);
--- a/crates/edge-node/src/config/mod.rs
+++ b/crates/edge-node/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! The configuration: a file in operators' TOML or the platform's JSON, and the environment, as
-//! typed values.
+//! The configuration of the edge node: typed values from a configuration file and from environment
+//! variables.
 //!
-//! The platform's JSON is read as it is. TOML is parsed into a tree, validated, and translated to
-//! the platform's JSON, so that both formats go through the same code from there on.
+//! A file is in operators' TOML or in the platform's JSON. TOML is parsed into a tree, validated,
+//! and translated to the platform's JSON, so that the same code reads both formats.
 
 mod environment;
 mod error;
@@ -22,67 +22,69 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Everything that the edge node is configured with.
+/// The complete configuration of an edge node.
 pub struct Config {
-    /// The file that it was read from, to be read again at a reload.
+    /// Path of the configuration file, which is read again at a reload.
     pub path: PathBuf,
-    /// The edge node's name in its log.
+    /// Name of the edge node in its log.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where the discovery agent listens.
+    /// Address on which the discovery agent listens.
     pub discovery: SocketAddr,
-    /// The seed of all random decisions.
+    /// Seed of all random decisions.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub max_file_descriptors: usize,
     /// Memory that the process may use, in bytes.
     pub max_memory: usize,
-    /// Where messages between edge nodes arrive and go, if there are any.
+    /// Addresses of messages between edge nodes; `None` if this edge node exchanges no messages.
     pub peers: Option<PeerAddresses>,
-    /// The endpoint list as the platform last held it, which may be outdated.
+    /// The endpoint list that the platform knew when it wrote the file, which may be outdated;
+    /// `None` if the file has none.
     pub initial_endpoints: Option<EndpointList>,
-    /// The settings of the decision library.
+    /// Settings of the gateway, and the names and timeouts that only the edge node uses.
     pub settings: ResolvedSettings,
-    /// What only operators' files can configure.
+    /// Options that only operators' TOML has.
     pub operator_options: OperatorOptions,
-    /// The values that can't change without a restart.
+    /// Values of the keys that require a restart, to find changed ones at a reload.
     pub restart_values: RestartValues,
 }
 
-/// What only operators' files have keys for. Under the platform's JSON these are the defaults.
+/// Options that only operators' TOML has keys for. They have their defaults if the file is in the
+/// platform's JSON.
 #[derive(Deserialize, Default)]
 pub struct OperatorOptions {
-    /// The log.
+    /// Level and format of the log.
     pub log: LogOptions,
-    /// The admin listener.
+    /// Options of the admin listener.
     #[serde(default)]
     pub admin: AdminOptions,
 }
 
-/// The admin listener.
+/// Options of the admin listener.
 #[derive(Deserialize, Default)]
 pub struct AdminOptions {
-    /// Where operators and their monitoring connect; `None` for no admin listener.
+    /// Address on which operators and their monitoring connect; `None` for no admin listener.
     pub listen: Option<SocketAddr>,
 }
 
-/// Where messages between edge nodes arrive and go.
+/// Addresses of the messages between edge nodes.
 pub struct PeerAddresses {
-    /// Where messages arrive.
+    /// Address on which this edge node receives messages.
     pub listen: SocketAddr,
-    /// The address of each edge node in the order of their numbers, this one's among them.
+    /// Address of each edge node in the order of their numbers, including this edge node.
     pub addresses: Vec<SocketAddr>,
-    /// An address that reaches all of them, if there is one.
+    /// Broadcast address that reaches all edge nodes; `None` if each is sent its own datagram.
     pub broadcast: Option<SocketAddr>,
 }
 
 impl Config {
-    /// Reads a file, without the environment.
+    /// Reads a configuration file, and ignores the environment.
     ///
     /// # Errors
-    /// [`ConfigError::Unreadable`] if the file can't be read, [`ConfigError::Invalid`] if something
-    /// in it is wrong.
+    /// Returns [`ConfigError::Unreadable`] if the file can't be read, and [`ConfigError::Invalid`]
+    /// if its content is invalid.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
             path: path.to_owned(),
@@ -102,7 +104,7 @@
     }
 }
 
-/// Reads an operator's file, which has to pass validation first.
+/// Reads a configuration from operators' TOML, which is validated before it is translated.
 fn read_toml(path: &Path, text: &str) -> Result<Config, Vec<Diagnostic>> {
     let root = file::parse(ConfigFormat::Toml, text)?;
     let diagnostics = schema::validate(ConfigFormat::Toml, &root);
@@ -114,8 +116,9 @@
         .map_err(|error| vec![Diagnostic::from_error(&error)])
 }
 
-/// Reads a file of the platform. Whether it is accepted is decided by reading it; validation then
-/// finds all that is wrong with one that was refused, where reading stops at the first error.
+/// Reads a configuration from the platform's JSON. The file is valid if it can be read. Since
+/// reading stops at the first error, a file that can't be read is also validated, which reports
+/// every error.
 fn read_platform_json(path: &Path, text: &str) -> Result<Config, Vec<Diagnostic>> {
     platform::read(path, ConfigFormat::PlatformJson, text).map_err(|error| {
         let diagnostics = match file::parse(ConfigFormat::PlatformJson, text) {
--- a/crates/edge-node/src/config/schema/locate.rs
+++ b/crates/edge-node/src/config/schema/locate.rs
@@ -1,17 +1,17 @@
-//! Finds every place in a configuration that a key's path names.
+//! Locates the items of a configuration that the path of a key names.
 
 use crate::config::file::{ConfigItem, ConfigValue};
 
-/// One name of a path.
+/// A segment of a path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PathSegment<'a> {
-    /// The name, without `[]`.
+    /// The name of the entry, without `[]`.
     pub(super) name: &'a str,
-    /// Whether the path continues in each item of the list of that name.
+    /// Whether the entry is a list, and the path continues in each of its items.
     pub(super) is_list: bool,
 }
 
-/// Splits a path such as `classes[].name`.
+/// Splits a path such as `classes[].name` into its segments.
 pub(super) fn path_segments(path: &str) -> impl Iterator<Item = PathSegment<'_>> {
     path.split('.')
         .map(|segment| match segment.strip_suffix("[]") {
@@ -26,7 +26,8 @@
         })
 }
 
-/// The path of an entry in the table at `parent`, which is empty for the root.
+/// Returns the path of the entry `name` of the table at the path `parent`, which is empty for the
+/// root.
 pub(super) fn join_path(parent: &str, name: &str) -> String {
     if parent.is_empty() {
         name.to_owned()
@@ -35,20 +36,21 @@
     }
 }
 
-/// A place where a key is or should be.
+/// A location in a configuration where an item is or could be.
 pub(super) struct Location<'a> {
-    /// Its path, with indexes in place of `[]`.
+    /// Path of the location, with indexes in place of `[]`.
     pub(super) path: String,
-    /// The indexes in that path.
+    /// The indexes in `path`, from the outermost list.
     pub(super) indexes: Vec<usize>,
-    /// The line of the item, or else of the closest table around it that exists.
+    /// Line number of the item or, if it is missing, of the closest table around it that exists;
+    /// `None` if that table is the root.
     pub(super) line: Option<usize>,
-    /// The item, unless it is missing.
+    /// The item; `None` if it is missing.
     pub(super) item: Option<&'a ConfigItem>,
 }
 
-/// Every place that a path names, also those where nothing is. A list that is missing has no items,
-/// and so no places.
+/// Returns every location that a path names, including those of missing items. A missing list has
+/// no items, so a path through it has no locations.
 pub(super) fn locate<'a>(root: &'a ConfigItem, path: &str) -> Vec<Location<'a>> {
     let mut locations = vec![Location {
         path: String::new(),
@@ -70,7 +72,7 @@
     locations
 }
 
-/// The place of an entry of a table.
+/// Returns the location of an entry of a table.
 fn entry_location<'a>(table: Location<'a>, name: &str) -> Location<'a> {
     let item = table.item.and_then(|item| item.get(name));
     Location {
@@ -81,7 +83,7 @@
     }
 }
 
-/// The places of all items of a list.
+/// Returns the locations of all items of a list; none if it is not a list.
 fn item_locations<'a>(list: &Location<'a>) -> Vec<Location<'a>> {
     let Some(ConfigValue::List(items)) = list.item.map(|item| &item.value) else {
         return Vec::new();
--- a/crates/edge-node/src/config/schema/mod.rs
+++ b/crates/edge-node/src/config/schema/mod.rs
@@ -1,5 +1,5 @@
-//! The keys of a configuration: one table of them, by which files are validated, translated and
-//! compared, and which `edge-node keys` prints.
+//! The keys of a configuration, in one table. Configuration files are validated, translated and
+//! compared by this table, and `edge-node keys` prints it.
 
 mod keys;
 mod locate;
--- a/crates/edge-node/src/config/schema/restart.rs
+++ b/crates/edge-node/src/config/schema/restart.rs
@@ -1,5 +1,5 @@
-//! Values that take effect only at a start, retained to name the keys that differ in a reloaded
-//! configuration.
+//! Values that take effect only at a start. They are retained, so that a reload can name the keys
+//! whose values have changed.
 
 use super::keys::keys_of;
 use super::locate::path_segments;
@@ -9,15 +9,15 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The values of all keys that require a restart, by their paths in the format of the file. A key
-/// of list items has one value an item.
+/// The values of all keys that require a restart, by the paths of the keys in the format of the
+/// file. A key of list items has one value for each item.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct RestartValues(BTreeMap<&'static str, Vec<Value>>);
 
 impl RestartValues {
-    /// Takes the values from a configuration in the platform's JSON, into which files of the other
-    /// format are translated. `format` is the file's own.
+    /// Returns the values in a configuration in the platform's JSON, to which operators' TOML is
+    /// translated. `format` is the format of the file.
     pub fn from_platform_json(format: ConfigFormat, json: &Value) -> RestartValues {
         let keys = keys_of(format).filter(|key| key.on_reload == OnReload::RequiresRestart);
         RestartValues(
@@ -26,7 +26,7 @@
         )
     }
 
-    /// The paths of the keys whose values differ, in alphabetical order.
+    /// Returns the paths of the keys whose values in `other` differ, in alphabetical order.
     pub fn changed_keys(&self, other: &RestartValues) -> Vec<&'static str> {
         let changed = self
             .0
@@ -36,7 +36,7 @@
     }
 }
 
-/// Each value that a key has; null where it is left out.
+/// Returns the values of a key, one for each list item that it is in; null where the key is absent.
 fn values_of(key: &KeySpec, json: &Value) -> Vec<Value> {
     let mut found = vec![json];
     for segment in path_segments(key.json_path) {
--- a/crates/edge-node/src/config/schema/spec.rs
+++ b/crates/edge-node/src/config/schema/spec.rs
@@ -1,18 +1,18 @@
-//! The description of a key: its paths in both formats, its type, its default and what a reload
-//! does with it.
+//! The specification of a key: its paths in both formats, its type, its default value and the
+//! effect of a reload.
 
 use crate::config::file::ConfigFormat;
 
-/// No time is longer than an hour, as no client waits longer. In ms.
+/// Upper bound of most times, in ms: no client waits longer than an hour.
 pub(super) const HOUR_MS: f64 = 3_600_000.0;
-/// Far above any number that makes sense; keeps sums finite. A range that ends here counts as one
-/// without an end.
+/// Upper bound of numbers that need no other: far above any sensible number, and low enough that
+/// sums stay finite. A range that ends here counts as one without an upper bound.
 pub(super) const MAX_NUMBER: f64 = 1e9;
 
-/// The type of a key's value, with the inclusive range of numbers.
+/// The type of a key's value. The ranges of numbers are inclusive.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ValueType {
-    /// A string that is not empty.
+    /// A non-empty string; the platform's JSON may have an empty one.
     String,
     /// A list of strings.
     StringList,
@@ -22,27 +22,28 @@
     AddressList,
     /// `true` or `false`.
     Boolean,
-    /// A whole number.
+    /// An integer.
     Integer { min: u64, max: u64 },
-    /// Any number.
+    /// An integer or a float.
     Number { min: f64, max: f64 },
-    /// Milliseconds, fractions allowed. The platform has whole microseconds instead.
+    /// A time in milliseconds, which may have a fraction. The platform's JSON has whole
+    /// microseconds instead.
     Milliseconds { min: f64, max: f64 },
-    /// One of these words.
+    /// One of these choices.
     Choice(&'static [Choice]),
 }
 
-/// A name that a key takes, as both formats spell it.
+/// A value that a key may have, by its name in each format.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Choice {
-    /// The name in operators' files.
+    /// Name in operators' TOML.
     pub(super) toml: &'static str,
-    /// The name in the platform's JSON.
+    /// Name in the platform's JSON.
     pub(super) json: &'static str,
 }
 
 impl Choice {
-    /// A name that both formats spell alike.
+    /// Returns a choice that has the same name in both formats.
     pub(super) const fn same(name: &'static str) -> Choice {
         Choice {
             toml: name,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The name in a format.
+    /// Returns the name in a format.
     pub(super) fn name(&self, format: ConfigFormat) -> &'static str {
         match format {
             ConfigFormat::Toml => self.toml,
@@ -59,68 +60,69 @@
     }
 }
 
-/// The value that a key has where an operator's file leaves it out.
+/// The value of a key that is absent from operators' TOML.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum DefaultValue {
-    /// It can't be left out.
+    /// No value: the key must be present.
     Required,
-    /// A whole number.
+    /// An integer.
     Integer(u64),
-    /// Any number.
+    /// An integer or a float.
     Number(f64),
-    /// Milliseconds.
+    /// A time in milliseconds.
     Milliseconds(f64),
     /// `true` or `false`.
     Boolean(bool),
-    /// A choice, as operators' files spell it.
+    /// The name of a choice in operators' TOML.
     Choice(&'static str),
-    /// It stays left out, which has the meaning that the page shows.
+    /// No value: the key stays absent. `meaning` says in docs/CONFIGURATION.md what that means.
     Absent { meaning: &'static str },
 }
 
-/// Whether the platform's JSON has a key.
+/// Whether a key is present in the platform's JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PlatformPresence {
-    /// It has to.
+    /// The key must be present.
     Required,
-    /// It may.
+    /// The key may be absent.
     Optional,
-    /// Only operators' files have it.
+    /// Only operators' TOML has the key.
     Absent,
 }
 
-/// What happens to a changed value when the configuration is reloaded.
+/// The effect of a reload on a key whose value has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OnReload {
-    /// It takes effect in service.
+    /// The new value takes effect at once.
     Applied,
-    /// It takes effect at the next start, and the log names it.
+    /// The new value takes effect at the next start, and the log names the key.
     RequiresRestart,
-    /// It is passed over: a seed that is left out differs at each reading.
+    /// The new value takes effect at the next start, and the log does not name the key: an
+    /// absent seed is random, so it differs at each reading.
     Ignored,
 }
 
-/// A key. Its paths are whole; `[]` stands for each item of a list.
+/// The specification of a key. Its paths begin at the root; `[]` stands for each item of a list.
 #[derive(Debug)]
 pub(super) struct KeySpec {
-    /// Its path in operators' files, by which messages and the page name it.
+    /// Path in operators' TOML, by which docs/CONFIGURATION.md names the key.
     pub(super) toml_path: &'static str,
-    /// Its path in the platform's JSON.
+    /// Path in the platform's JSON; without a meaning for keys that it does not have.
     pub(super) json_path: &'static str,
-    /// What values it takes.
+    /// Type and range of the value.
     pub(super) value_type: ValueType,
-    /// Its value where an operator's file leaves it out.
+    /// Value if the key is absent from operators' TOML.
     pub(super) default: DefaultValue,
-    /// Whether the platform's JSON has it.
+    /// Whether the platform's JSON has the key.
     pub(super) in_platform_json: PlatformPresence,
-    /// What a reload does with it.
+    /// Effect of a reload on a changed value.
     pub(super) on_reload: OnReload,
-    /// One sentence for the page.
+    /// One sentence for docs/CONFIGURATION.md.
     pub(super) description: &'static str,
 }
 
 impl KeySpec {
-    /// Its path in a format.
+    /// Returns the path in a format.
     pub(super) fn path(&self, format: ConfigFormat) -> &'static str {
         match format {
             ConfigFormat::Toml => self.toml_path,
@@ -128,12 +130,12 @@
         }
     }
 
-    /// Whether a format has it at all.
+    /// Returns whether a format has the key.
     pub(super) fn is_in(&self, format: ConfigFormat) -> bool {
         format == ConfigFormat::Toml || self.in_platform_json != PlatformPresence::Absent
     }
 
-    /// Whether a configuration in a format can't leave it out.
+    /// Returns whether the key must be present in a configuration of a format.
     pub(super) fn is_required(&self, format: ConfigFormat) -> bool {
         match format {
             ConfigFormat::Toml => matches!(self.default, DefaultValue::Required),
@@ -142,17 +144,17 @@
     }
 }
 
-/// The path of a list of tables in both formats.
+/// The paths of a list of tables in both formats.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListPaths {
-    /// Its path in operators' files.
+    /// Path in operators' TOML.
     pub(super) toml: &'static str,
-    /// Its path in the platform's JSON.
+    /// Path in the platform's JSON.
     pub(super) json: &'static str,
 }
 
 impl ListPaths {
-    /// Its path in a format.
+    /// Returns the path in a format.
     pub(super) fn path(&self, format: ConfigFormat) -> &'static str {
         match format {
             ConfigFormat::Toml => self.toml,
--- a/crates/edge-node/src/config/schema/suggest.rs
+++ b/crates/edge-node/src/config/schema/suggest.rs
@@ -1,21 +1,22 @@
-//! The known key that an unknown one is probably meant to be.
+//! Suggests a known key or table for an unknown one.
 
 use super::keys::all_keys;
 
-/// The least similarity, from 0 to 1, at which an unknown name counts as a misspelling of a known
-/// one.
+/// Minimum similarity, from 0 to 1, at which an unknown path counts as a misspelling of a known
+/// path.
 const MIN_SIMILARITY: f64 = 0.75;
-/// How much less the same name in another table counts than the same whole path.
+/// Amount by which the similarity of two last segments is reduced, so that an equal path is
+/// preferred to an equal key in another table.
 const OTHER_TABLE_PENALTY: f64 = 0.05;
 
-/// A known path and its similarity to an unknown one.
+/// A known path and its similarity to an unknown path.
 struct Candidate {
     path: &'static str,
     similarity: f64,
 }
 
-/// The path in operators' files, of a key or a table, that is most similar to `unknown`, if any is
-/// similar enough.
+/// Returns the path in operators' TOML, of a key or a table, that is most similar to `unknown`;
+/// `None` if no path is similar enough.
 pub(super) fn nearest_path(unknown: &str) -> Option<&'static str> {
     let candidates = known_paths().map(|path| Candidate {
         path,
@@ -27,7 +28,7 @@
         .map(|candidate| candidate.path)
 }
 
-/// The paths of all keys, each followed by its table's.
+/// Returns the paths of all keys, each followed by the path of its table.
 fn known_paths() -> impl Iterator<Item = &'static str> {
     all_keys().flat_map(|key| {
         let table = key
@@ -38,7 +39,8 @@
     })
 }
 
-/// How alike two paths are, by the whole paths or by their last names.
+/// Returns the similarity of two paths, from 0 to 1: that of the whole paths or, less
+/// [`OTHER_TABLE_PENALTY`], that of their last segments, whichever is higher.
 fn similarity(unknown: &str, known: &str) -> f64 {
     let whole = strsim::jaro_winkler(unknown, known);
     let last = strsim::jaro_winkler(&last_segment(unknown), &last_segment(known));
--- a/crates/edge-node/src/config/schema/translate.rs
+++ b/crates/edge-node/src/config/schema/translate.rs
@@ -1,4 +1,4 @@
-//! Translates operators' TOML to the platform's JSON, with all defaults.
+//! Translates operators' TOML to the platform's JSON, and inserts the defaults.
 
 use super::keys::all_keys;
 use super::locate::{locate, path_segments};
@@ -8,7 +8,7 @@
 
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// The platform's JSON of an operator's configuration that `validate` found nothing wrong with.
+/// Translates a configuration in operators' TOML, which must be valid, to the platform's JSON.
 pub fn to_platform_json(root: &ConfigItem) -> Value {
     let mut json = Value::Object(Map::new());
     for key in all_keys() {
@@ -25,7 +25,8 @@
     json
 }
 
-/// A value in the platform's units and words; `None` if it is not of the key's type.
+/// Returns a value in the units and names of the platform's JSON; `None` if its type is not that of
+/// the key.
 fn json_value(value_type: ValueType, item: &ConfigItem) -> Option<Value> {
     let value = match (value_type, &item.value) {
         (ValueType::Choice(choices), ConfigValue::String(name)) => json!(json_name(choices, name)?),
@@ -40,7 +41,8 @@
     Some(value)
 }
 
-/// The default in the platform's units and words; `None` if the key stays left out.
+/// Returns the default of a key in the units and names of the platform's JSON; `None` if the key
+/// stays absent.
 fn default_value(key: &KeySpec) -> Option<Value> {
     match (key.default, key.value_type) {
         (DefaultValue::Integer(number), _) => Some(json!(number)),
@@ -54,7 +56,7 @@
     }
 }
 
-/// The platform's word for one of operators' files.
+/// Returns the name in the platform's JSON of the choice that has this name in operators' TOML.
 fn json_name(choices: &[Choice], name: &str) -> Option<&'static str> {
     let choice = choices
         .iter()
@@ -66,8 +68,8 @@
     (millis * MICROS_PER_MILLI).round() as u64
 }
 
-/// Sets the value at a path, whose lists are entered at `indexes`, and creates what is missing on
-/// the way.
+/// Sets the value at a path, and creates missing objects and lists on the way. `indexes` are the
+/// indexes in the lists of the path, from the outermost list.
 fn insert(root: &mut Value, path: &str, indexes: &[usize], value: Value) {
     let mut indexes = indexes.iter();
     let mut target = root;
@@ -85,7 +87,7 @@
     *target = value;
 }
 
-/// The entry of an object, which is created where there is none.
+/// Returns the entry of an object, and creates the object and the entry if they are missing.
 fn entry_mut<'a>(value: &'a mut Value, name: &str) -> &'a mut Value {
     if !value.is_object() {
         *value = Value::Object(Map::new());
@@ -93,7 +95,8 @@
     &mut value[name]
 }
 
-/// The element of a list, which is created or extended so far.
+/// Returns the element of a list, and creates the list or extends it with nulls if it has no such
+/// element.
 fn element_mut(value: &mut Value, index: usize) -> &mut Value {
     let mut elements = match value.take() {
         Value::Array(elements) => elements,
--- a/crates/edge-node/src/config/schema/validate/mod.rs
+++ b/crates/edge-node/src/config/schema/validate/mod.rs
@@ -1,4 +1,4 @@
-//! Finds everything that is wrong with a configuration whose text could be parsed.
+//! Validates a configuration whose text could be parsed, and reports every problem.
 
 mod problem;
 mod relations;
@@ -14,8 +14,7 @@
 use std::collections::HashSet;
 use value::check_value;
 
-/// All that is wrong with a configuration, in the order of its lines; what concerns none of them
-/// comes first.
+/// Returns every problem of a configuration, ordered by line; problems without a line come first.
 pub(in crate::config) fn validate(format: ConfigFormat, root: &ConfigItem) -> Vec<Diagnostic> {
     let mut validator = Validator {
         format,
@@ -33,24 +32,24 @@
     validator.diagnostics
 }
 
-/// A configuration under validation, and what was found so far.
+/// A configuration under validation, with the diagnostics so far.
 struct Validator<'a> {
     format: ConfigFormat,
     root: &'a ConfigItem,
     diagnostics: Vec<Diagnostic>,
 }
 
-/// The path of an item; empty for the root.
+/// The path of an item in two notations, both empty for the root.
 #[derive(Default)]
 struct ItemPath {
-    /// As keys spell it: `classes[].name`.
+    /// With `[]` for each list, as in the paths of keys: `classes[].name`.
     pattern: String,
-    /// With indexes, as diagnostics show it: `classes[1].name`.
+    /// With an index for each list, as in diagnostics: `classes[1].name`.
     indexed: String,
 }
 
 impl ItemPath {
-    /// The path of an entry of the table at this path.
+    /// Returns the path of an entry of the table at this path.
     fn entry(&self, name: &str) -> ItemPath {
         ItemPath {
             pattern: join_path(&self.pattern, name),
@@ -58,7 +57,7 @@
         }
     }
 
-    /// The path of an element of the list at this path.
+    /// Returns the path of an element of the list at this path.
     fn element(&self, index: usize) -> ItemPath {
         ItemPath {
             pattern: format!("{}[]", self.pattern),
@@ -76,7 +75,7 @@
         });
     }
 
-    /// Checks all that a table holds.
+    /// Checks every entry of a table.
     fn check_table(&mut self, table: &ConfigItem, path: &ItemPath) {
         let ConfigValue::Table(entries) = &table.value else {
             return self.report(Some(table.line), &path.indexed, Problem::NotTable);
@@ -107,8 +106,8 @@
         } else if is_in_key(&list_prefix) {
             self.check_list(item, path);
         } else if format == ConfigFormat::Toml {
-            // The platform may add keys that this version does not know yet, so its JSON may hold
-            // any.
+            // The platform's JSON may have unknown keys: the platform may add keys that this
+            // version does not know yet.
             let nearest = nearest_path(&path.pattern);
             self.report(
                 Some(item.line),
@@ -118,7 +117,7 @@
         }
     }
 
-    /// Checks each table of a list.
+    /// Checks every table of a list.
     fn check_list(&mut self, list: &ConfigItem, path: &ItemPath) {
         let ConfigValue::List(items) = &list.value else {
             return self.report(Some(list.line), &path.indexed, Problem::NotTableList);
@@ -128,7 +127,7 @@
         }
     }
 
-    /// Every place of a key or list in this configuration.
+    /// Returns every location in the configuration that the path of a key or list names.
     fn locate(&self, path: &str) -> Vec<Location<'a>> {
         locate(self.root, path)
     }
--- a/crates/edge-node/src/config/schema/validate/relations.rs
+++ b/crates/edge-node/src/config/schema/validate/relations.rs
@@ -1,4 +1,4 @@
-//! Checks what several keys have to satisfy together.
+//! Checks constraints between several keys.
 
 use super::problem::Problem;
 use super::Validator;
@@ -8,14 +8,14 @@
 use crate::config::schema::spec::ListPaths;
 use std::collections::HashSet;
 
-/// The key of a class that says whether its requests may be repeated; both formats name it so.
+/// Name, in both formats, of the class key that says whether a request may be repeated.
 const REPEAT_KEY: &str = "repeat";
-/// Its value for requests with an idempotency key, in both formats.
+/// Value of [`REPEAT_KEY`], in both formats, for requests with an idempotency key.
 const REPEAT_WITH_IDEMPOTENCY_KEY: &str = "idempotency_key";
 
 impl<'a> Validator<'a> {
-    /// Reports keys that contradict each other. Operators' files are held to more than the
-    /// platform's.
+    /// Reports keys whose values contradict each other. Two of the checks apply to operators' TOML
+    /// only.
     pub(super) fn check_relations(&mut self) {
         self.check_gateway_number();
         self.check_zone();
@@ -28,7 +28,7 @@
         }
     }
 
-    /// An edge node's number is below the count of edge nodes.
+    /// Checks that the number of this edge node is less than the number of edge nodes.
     fn check_gateway_number(&mut self) {
         let Some(gateways) = self.gateway_count() else {
             return;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The edge node's zone is one of the zones, where there are any.
+    /// Checks that the zone of this edge node is on the list of zones, unless that list is empty.
     fn check_zone(&mut self) {
         let zones = self
             .locate_key("fleet.zones")
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A class with idempotency keys has a scope in which they are known.
+    /// Checks that each class with idempotency keys has a deduplication scope.
     fn check_idempotency_scopes(&mut self) {
         let scope = match self.format {
             ConfigFormat::Toml => "idempotency_scope",
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The names in a list differ.
+    /// Checks that the names of a list's items are unique.
     fn check_unique_names(&mut self, list: ListPaths) {
         let mut names = HashSet::new();
         for (index, item) in self.list_items(list).into_iter().enumerate() {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Where datagrams arrive, there is one address for each edge node.
+    /// Checks that there is one address for each edge node if this edge node receives datagrams.
     fn check_peer_addresses(&mut self) {
         let listens = self
             .locate_key("peers.listen")
@@ -131,18 +131,18 @@
         }
     }
 
-    /// How many edge nodes there are, if that is a whole number.
+    /// Returns the number of edge nodes; `None` if it is missing or not an integer.
     fn gateway_count(&self) -> Option<i128> {
         self.locate_key("fleet.gateways")?.item?.as_integer()
     }
 
-    /// The place of a key outside lists, by its path in operators' files.
+    /// Returns the location of a key outside lists, by its path in operators' TOML.
     fn locate_key(&self, toml_path: &str) -> Option<Location<'a>> {
         let key = all_keys().find(|key| key.toml_path == toml_path)?;
         self.locate(key.path(self.format)).into_iter().next()
     }
 
-    /// The items of a list; none where it is missing.
+    /// Returns the items of a list; none if it is missing or not a list.
     fn list_items(&self, list: ListPaths) -> Vec<&'a ConfigItem> {
         let location = self.locate(list.path(self.format)).into_iter().next();
         match location
--- a/crates/edge-node/src/config/schema/validate/required.rs
+++ b/crates/edge-node/src/config/schema/validate/required.rs
@@ -1,4 +1,4 @@
-//! Finds required keys and lists that are missing.
+//! Checks that required keys and lists are present.
 
 use super::problem::Problem;
 use super::Validator;
@@ -7,7 +7,7 @@
 use crate::config::schema::locate::Location;
 
 impl Validator<'_> {
-    /// Reports what a configuration of this format can't leave out.
+    /// Reports the missing keys and the missing or empty lists that this format requires.
     pub(super) fn check_required(&mut self) {
         let format = self.format;
         for key in keys_of(format).filter(|key| key.is_required(format)) {
@@ -28,7 +28,7 @@
         let problem = match location.item.map(|item| &item.value) {
             None => Problem::Missing,
             Some(ConfigValue::List(items)) if items.is_empty() => Problem::EmptyList,
-            // What is no list was reported where its type was checked.
+            // `check_list` has already reported an item that is not a list.
             Some(_) => return,
         };
         self.report(location.line, &location.path, problem);
--- a/crates/edge-node/src/config/schema/validate/value.rs
+++ b/crates/edge-node/src/config/schema/validate/value.rs
@@ -1,15 +1,15 @@
-//! Checks one value against its key's type and range.
+//! Checks a value against the type and range of its key.
 
 use super::problem::Problem;
 use crate::config::file::{ConfigFormat, ConfigItem, ConfigValue};
 use crate::config::schema::spec::{Choice, KeySpec, ValueType, MAX_NUMBER};
 use std::net::SocketAddr;
 
-/// The one key whose minimum binds the platform, too: the process can't serve below it. All other
-/// numbers of the platform's JSON are bounded by their types alone.
+/// The only key whose minimum also applies to the platform's JSON, because the process can't serve
+/// with fewer. Other numbers in the platform's JSON are limited only by their types.
 const FILE_DESCRIPTORS_KEY: &str = "limits.file_descriptors";
 
-/// Checks that a key takes a value.
+/// Checks that a value has the type and range of its key.
 pub(super) fn check_value(
     format: ConfigFormat,
     key: &KeySpec,
@@ -35,7 +35,7 @@
             check_integer(item, min as f64, u64::MAX as f64)
         }
         ValueType::Integer { min, max } => check_integer(item, min as f64, max as f64),
-        // Whole microseconds.
+        // The platform's JSON has whole microseconds.
         ValueType::Milliseconds { .. } if is_platform => check_integer(item, 0.0, u64::MAX as f64),
         ValueType::Number { .. } if is_platform => check_number(item, 0.0, f64::MAX),
         ValueType::Number { min, max } | ValueType::Milliseconds { min, max } => {
@@ -98,7 +98,7 @@
     check_range(number, min, max)
 }
 
-/// Checks a number against an inclusive range. NaN is in none.
+/// Checks a number against an inclusive range. NaN is outside every range.
 fn check_range(number: f64, min: f64, max: f64) -> Result<(), Problem> {
     if number >= min && number <= max {
         Ok(())
@@ -117,7 +117,7 @@
     }
 }
 
-/// Whether an item is a list of texts that all pass a check.
+/// Returns whether an item is a list of strings that all pass a check.
 fn is_list_of(item: &ConfigItem, check: impl Fn(&str) -> bool) -> bool {
     match &item.value {
         ConfigValue::List(items) => items.iter().all(|item| item.as_str().is_some_and(&check)),
