--- a/crates/gateway-core/src/reconnect.rs
+++ b/crates/gateway-core/src/reconnect.rs
@@ -131,9 +131,9 @@
 }
 
 impl ReconnectPolicy {
-    /// Returns the policy for a drain grace. The answer timeout, the longest backoff after a lost
-    /// connection and the read of the list after it together take less than half of the drain
-    /// grace. The timeout and the backoff are shorter where their upper bounds are.
+    /// Returns the policy for a drain grace. After a lost connection, the longest backoff and the
+    /// answer timeout, within which the next list is read, together take less than half of the drain
+    /// grace. Both are shorter where their upper bounds are.
     #[must_use]
     pub fn new(drain_grace: Duration) -> ReconnectPolicy {
         ReconnectPolicy {
--- a/crates/gateway-core/tests/reconnect.rs
+++ b/crates/gateway-core/tests/reconnect.rs
@@ -1,16 +1,18 @@
-//! When a watch on discovery is opened again, without sockets or a clock: every path that can put
-//! off the next attempt, and for how long a change that discovery has waits on it.
+//! Tests of the reconnect policy, without sockets or a clock. All sequences of events that can
+//! delay the next attempt are tried, and the longest time that a change at discovery waits for an
+//! attempt is checked.
 
 use gateway_core::reconnect::{first_list_timeout, ReconnectPolicy, WatchEvent, WatchFailure};
 use std::time::Duration;
 
-/// The rule of the platform: a change counts as known to the edge node by then.
+/// Time within which the platform requires an edge node to know a change.
 const CHANGE_KNOWN_WITHIN: Duration = Duration::from_secs(6);
-/// Left for the attempt that is answered, and for its list to be read.
+/// Time reserved for the successful attempt and the read of its list.
 const ANSWER_TIME: Duration = Duration::from_millis(500);
-const JUST_BEFORE: Duration = Duration::from_nanos(1);
-/// Graces for drains, from none to one that outlasts every bound.
-const GRACES: [Duration; 7] = [
+/// Smallest difference between two times.
+const TIME_RESOLUTION: Duration = Duration::from_nanos(1);
+/// Drain graces, from zero to one at which all upper bounds apply.
+const DRAIN_GRACES: [Duration; 7] = [
     Duration::ZERO,
     Duration::from_micros(1),
     Duration::from_millis(100),
@@ -19,10 +21,11 @@
     Duration::from_secs(20),
     Duration::from_secs(600),
 ];
-/// Steps that are tried in each order; with more the states only come again.
+/// Number of steps in a sequence; longer sequences reach no further states.
 const STEPS: u32 = 5;
 
-/// One step on a watch: an event, at once or at the last moment, or its end.
+/// A step of a simulation. Late events arrive just before the deadline of the watch, and late
+/// failures happen at the deadline; all others happen immediately.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Receives(WatchEvent),
@@ -32,7 +35,7 @@
     AddressChanges,
 }
 
-const ALL: [Step; 11] = [
+const ALL_STEPS: [Step; 11] = [
     Step::Receives(WatchEvent::Heartbeat),
     Step::Receives(WatchEvent::PartialList),
     Step::Receives(WatchEvent::List),
@@ -46,14 +49,14 @@
     Step::AddressChanges,
 ];
 
-/// A client of discovery in any state.
+/// A client of discovery, from its first watch on.
 #[derive(Clone)]
 struct Simulation {
     policy: ReconnectPolicy,
     now: Duration,
     list_received: bool,
-    /// The last time at which a change would have arrived, had discovery had it: an attempt that
-    /// could have been answered, or an event on a watch that has brought its list.
+    /// The last time at which a change at discovery would have become known: the start of an
+    /// attempt that could have been answered, or an event on a watch that has received its list.
     last_known_at: Duration,
 }
 
@@ -69,12 +72,13 @@
         }
     }
 
-    /// The longest that a change may have waited for the next attempt, once this step is done.
+    /// Takes a step, and returns the longest time that a change may wait for the next attempt after
+    /// it.
     fn step(&mut self, step: Step, jitter: f64) -> Duration {
         let last = self
             .policy
             .deadline()
-            .saturating_sub(JUST_BEFORE)
+            .saturating_sub(TIME_RESOLUTION)
             .max(self.now);
         match step {
             Step::Receives(event) => self.receives(event),
@@ -120,8 +124,9 @@
     }
 }
 
-/// Runs all orders of steps and inspects each; returns their number.
-fn in_all_orders(
+/// Runs all sequences of this many steps, inspects the simulation and the longest wait after each
+/// step, and returns the number of sequences.
+fn run_all_sequences(
     simulation: &Simulation,
     steps: u32,
     inspect: &mut impl FnMut(&Simulation, Duration),
@@ -129,19 +134,21 @@
     if steps == 0 {
         return 1;
     }
-    let run_on = |(step, jitter): (Step, f64)| {
+    let run_rest = |(step, jitter): (Step, f64)| {
         let mut next = simulation.clone();
         let waited = next.step(step, jitter);
         inspect(&next, waited);
-        in_all_orders(&next, steps - 1, inspect)
+        run_all_sequences(&next, steps - 1, inspect)
     };
-    ALL.into_iter()
+    ALL_STEPS
+        .into_iter()
         .flat_map(|step| jitters(step).iter().map(move |jitter| (step, *jitter)))
-        .map(run_on)
+        .map(run_rest)
         .sum()
 }
 
-/// The jitter of the shortest and of the longest backoff, where there is one.
+/// Returns the jitter of the shortest and of the longest backoff if a step starts a backoff, and
+/// one arbitrary jitter otherwise.
 fn jitters(step: Step) -> &'static [f64] {
     match step {
         Step::Fails(_) | Step::FailsLate(_) => &[0.0, 1.0],
@@ -150,28 +157,28 @@
 }
 
 #[test]
-fn no_order_of_events_puts_off_the_next_attempt_for_as_long_as_a_change_may_take() {
-    for grace in GRACES {
+fn next_attempt_starts_in_time_after_every_sequence_of_steps() {
+    for grace in DRAIN_GRACES {
         let mut longest = Duration::ZERO;
-        let orders = in_all_orders(&Simulation::new(grace), STEPS, &mut |_, waited| {
+        let sequences = run_all_sequences(&Simulation::new(grace), STEPS, &mut |_, waited| {
             longest = longest.max(waited);
         });
-        assert!(orders > 500_000, "{orders}");
+        assert!(sequences > 500_000, "only {sequences} sequences");
         assert!(
             longest < CHANGE_KNOWN_WITHIN - ANSWER_TIME,
-            "{longest:?} with a grace of {grace:?}"
+            "a change waited {longest:?} with a drain grace of {grace:?}"
         );
     }
 }
 
-/// Whatever happened until discovery had a change, and however one more attempt after that fails:
-/// the next one is made in time.
+/// After every sequence of steps before a change, and after every failure of the first attempt after
+/// the change, the following attempt is made in time.
 #[test]
-fn a_change_is_known_in_time_though_an_attempt_after_it_is_rejected_or_hangs() {
-    for grace in GRACES {
+fn second_attempt_after_change_starts_in_time_if_first_fails() {
+    for grace in DRAIN_GRACES {
         let mut longest = Duration::ZERO;
-        in_all_orders(&Simulation::new(grace), STEPS - 1, &mut |simulation, _| {
-            // The change comes now, and what is open from before says nothing of it.
+        run_all_sequences(&Simulation::new(grace), STEPS - 1, &mut |simulation, _| {
+            // The change happens now, and the watch that is already open does not report it.
             let change = simulation.last_known_at.max(simulation.now);
             for open in [WatchFailure::ConnectionLost, WatchFailure::Rejected] {
                 for next in [
@@ -188,14 +195,14 @@
         });
         assert!(
             longest < CHANGE_KNOWN_WITHIN - ANSWER_TIME,
-            "{longest:?} with a grace of {grace:?}"
+            "a change waited {longest:?} with a drain grace of {grace:?}"
         );
     }
 }
 
-/// An agent that sends heartbeats and no list is given up.
+/// A watch on a discovery agent that sends heartbeats but no list is given up.
 #[test]
-fn heartbeats_do_not_keep_a_watch_that_brings_no_list() {
+fn heartbeats_do_not_extend_watch_without_list() {
     let mut policy = ReconnectPolicy::new(Duration::from_secs(20));
     let mut now = Duration::from_secs(1);
     policy.attempt_started(now);
@@ -209,7 +216,7 @@
 }
 
 #[test]
-fn backoffs_grow_while_attempts_fail_and_start_anew_after_a_stable_watch() {
+fn backoff_grows_with_failures_and_resets_after_stable_watch_or_new_address() {
     let mut policy = ReconnectPolicy::new(Duration::from_secs(20));
     let mut backoffs = Vec::new();
     let mut now = Duration::ZERO;
@@ -236,36 +243,37 @@
 }
 
 #[test]
-fn a_watch_that_fails_is_read_again_in_half_the_time_that_a_drain_leaves() {
+fn list_is_read_within_half_the_drain_grace_after_lost_watch() {
     for grace in [100, 500, 2_000].map(Duration::from_millis) {
         let mut policy = ReconnectPolicy::new(grace);
         let mut now = Duration::ZERO;
         for _ in 0..10 {
             policy.attempt_started(now);
-            // Jitter makes the backoff up to half as long again; the list comes within one answer.
+            // The largest jitter makes the backoff half as long again. The list then arrives
+            // within the answer timeout.
             let answer_timeout = policy.deadline() - now;
             let backoff = policy.attempt_failed(now, WatchFailure::ConnectionLost, 1.0) - now;
             assert!(answer_timeout + backoff < grace / 2, "{policy:?}");
             assert!(
                 first_list_timeout(grace) >= answer_timeout,
-                "one answer at the least is waited for"
+                "the first-list timeout is shorter than the answer timeout"
             );
             now += answer_timeout + backoff;
         }
     }
 }
 
-/// Nine in ten restarted processes are ready within 10 s: the wait for a first list is a small part
-/// of that.
+/// Nine in ten restarted processes have to be ready within 10 s. The wait for the first list may
+/// take only a small part of that time.
 #[test]
-fn a_new_process_waits_briefly_for_its_first_list_whatever_the_grace() {
-    for grace in GRACES {
+fn first_list_timeout_is_at_most_two_seconds_for_every_drain_grace() {
+    for grace in DRAIN_GRACES {
         assert!(first_list_timeout(grace) <= Duration::from_secs(2));
         let mut policy = ReconnectPolicy::new(grace);
         policy.attempt_started(Duration::ZERO);
         assert!(
             first_list_timeout(grace) >= policy.deadline(),
-            "one answer at the least is waited for"
+            "the first-list timeout is shorter than the answer timeout"
         );
     }
 }
--- a/crates/gateway-core/tests/recovery.rs
+++ b/crates/gateway-core/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery from overload: servers that have become fast again are used again.
+//! Tests of the recovery from overload: servers that have become fast again are used again.
 
 mod common;
 
@@ -7,14 +7,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const SERVERS: u64 = 8;
-/// Requests that a server processes concurrently.
+/// Number of requests that a server processes concurrently.
 const CORES: f64 = 4.0;
-/// Requests in flight beyond which the throughput of a server falls.
+/// Number of requests in flight beyond which the throughput of a server falls.
 const THRASHING_FROM: f64 = 3.5 * CORES;
-/// Latency of a request that is alone at a healthy server.
-const HEALTHY: Micros = 100 * MS;
+/// Mean latency of a request without concurrent requests at a healthy server.
+const HEALTHY_SERVICE_TIME: Micros = 100 * MS;
 
-/// What became of the requests of some seconds.
+/// Results of one call of [`Simulation::drive`].
 struct DriveResult {
     /// Fraction of the requests of the lowest class that were sent.
     lowest_class_sent: f64,
@@ -22,15 +22,15 @@
     to_first_server: f64,
 }
 
-/// A gateway and servers that slow down beyond the number of requests that they process
+/// A gateway, and servers that slow down when they have more requests in flight than they process
 /// concurrently.
 struct Simulation {
     gateway: GatewayHarness,
-    /// When each attempt is answered.
+    /// When the attempt in flight of each request is answered.
     answers_at: BTreeMap<RequestId, Micros>,
     requests: u64,
     next_request_at: Micros,
-    /// Requests of the lowest class in the present drive.
+    /// Requests of the lowest class in the current call of [`Simulation::drive`].
     lowest_class: BTreeSet<RequestId>,
     random: fastrand::Rng,
 }
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Requests arrive at a steady rate, a third of them of the lowest class, while a server takes
-    /// `service_time` for a request that is alone.
+    /// Sends requests at a steady rate per second, a third of them of the lowest class. A server
+    /// takes `service_time` on average for a request without concurrent requests.
     fn drive(
         &mut self,
         seconds: u64,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Decides when each attempt that has just been sent is answered.
+    /// Schedules the answer of each attempt that has just been sent.
     fn schedule_answers(&mut self, service_time: impl Fn(ServerId) -> Micros) {
         let now = self.gateway.now;
         let mut in_flight = BTreeMap::<ServerId, f64>::new();
@@ -133,57 +133,57 @@
     }
 }
 
-fn healthy(_: ServerId) -> Micros {
-    HEALTHY
+fn all_healthy(_: ServerId) -> Micros {
+    HEALTHY_SERVICE_TIME
 }
 
-/// Half of the servers take eight times as long, which is more than the others can make up for.
+/// Makes half of the servers eight times as slow, more than the other servers can compensate for.
 fn half_are_slow(server: ServerId) -> Micros {
     if server.0 < SERVERS / 2 {
-        8 * HEALTHY
+        8 * HEALTHY_SERVICE_TIME
     } else {
-        HEALTHY
+        HEALTHY_SERVICE_TIME
     }
 }
 
 fn first_is_slow(server: ServerId) -> Micros {
     if server.0 == 0 {
-        7 * HEALTHY
+        7 * HEALTHY_SERVICE_TIME
     } else {
-        HEALTHY
+        HEALTHY_SERVICE_TIME
     }
 }
 
 #[test]
-fn the_lowest_class_is_admitted_again_within_five_seconds_of_an_overload() {
+fn lowest_class_is_admitted_within_five_seconds_after_overload() {
     for seed in 1..=3 {
         let mut simulation = Simulation::new(seed);
-        let before = simulation.drive(5, 250, healthy).lowest_class_sent;
+        let before = simulation.drive(5, 250, all_healthy).lowest_class_sent;
         let overloaded = simulation.drive(10, 250, half_are_slow).lowest_class_sent;
         assert!(
             before > 0.95 && overloaded < 0.5,
-            "seed {seed}: no overload, {before} and {overloaded}"
+            "seed {seed}: no overload: sent {before} of the lowest class before, {overloaded} during"
         );
-        simulation.drive(5, 250, healthy);
-        let after = simulation.drive(5, 250, healthy).lowest_class_sent;
+        simulation.drive(5, 250, all_healthy);
+        let after = simulation.drive(5, 250, all_healthy).lowest_class_sent;
         assert!(
             after > 0.95,
-            "seed {seed}: {after} of the lowest class sent"
+            "seed {seed}: sent only {after} of the lowest class"
         );
     }
 }
 
-/// Only one server was slow, and the others had enough capacity without it.
+/// Only one server is slow, and the other servers have enough capacity without it.
 #[test]
-fn a_server_that_was_slow_is_used_again_within_five_seconds() {
+fn recovered_server_is_used_within_five_seconds() {
     for seed in 1..=3 {
         let mut simulation = Simulation::new(seed);
         simulation.drive(10, 150, first_is_slow);
-        simulation.drive(5, 150, healthy);
-        let share = simulation.drive(5, 150, healthy).to_first_server;
+        simulation.drive(5, 150, all_healthy);
+        let share = simulation.drive(5, 150, all_healthy).to_first_server;
         assert!(
             share > 0.25 / SERVERS as f64,
-            "seed {seed}: {share} of what was sent"
+            "seed {seed}: only {share} of the attempts went to the recovered server"
         );
     }
 }
--- a/crates/gateway-core/tests/server_table.rs
+++ b/crates/gateway-core/tests/server_table.rs
@@ -1,4 +1,5 @@
-//! Which servers a gateway of a large fleet visits and uses: counted, not timed.
+//! Tests of which entries of the server table a gateway of a large fleet visits, and which servers
+//! it uses. Visits are counted and not timed, so that the tests do not depend on the machine.
 
 mod common;
 mod gateway_pair;
@@ -8,15 +9,16 @@
 use gateway_pair::{delta, endpoint, server_number, snapshot, GatewayPair};
 use std::collections::BTreeSet;
 
-/// Servers of a large list.
-const MANY: u64 = 110_000;
+/// Number of servers on a large endpoint list.
+const MANY_SERVERS: u64 = 110_000;
 
 fn new_pair(servers: u64) -> GatewayPair {
     GatewayPair::new(servers).expect("valid settings")
 }
 
-/// Entries that both gateways visit in a second of requests, after one second in which they get to know the servers.
-fn entries_visited_in_a_second(servers: u64) -> u64 {
+/// Returns how many entries both gateways visit in one second of requests, after one second of
+/// requests that fills their estimates of the servers.
+fn entries_visited_in_one_second(servers: u64) -> u64 {
     let mut pair = new_pair(servers);
     pair.requests(0..200);
     let before = pair.entries_visited();
@@ -24,21 +26,21 @@
     pair.entries_visited() - before
 }
 
-/// The cost of a request, a timer or a control tick must not grow with the list, or a gateway can't keep up with a
-/// large fleet.
+/// The cost of a request, a timer or a control tick must not grow with the endpoint list, or a
+/// gateway can't keep up with a large fleet.
 #[test]
-fn a_second_of_requests_visits_little_more_entries_of_a_long_list() {
-    let few = entries_visited_in_a_second(14);
-    let many = entries_visited_in_a_second(MANY);
+fn large_list_at_most_doubles_entries_visited_per_second() {
+    let few = entries_visited_in_one_second(14);
+    let many = entries_visited_in_one_second(MANY_SERVERS);
     assert!(
         few > 200 && many <= 2 * few,
-        "{few} of 14 servers, {many} of {MANY}"
+        "visited {few} entries with 14 servers, {many} with {MANY_SERVERS}"
     );
 }
 
 #[test]
-fn a_changed_entry_visits_at_most_three() {
-    let mut pair = new_pair(MANY);
+fn changed_endpoint_visits_at_most_three_entries() {
+    let mut pair = new_pair(MANY_SERVERS);
     pair.requests(0..200);
     for number in 0..1_000 {
         let server = endpoint(number / 3 * 331);
@@ -59,18 +61,21 @@
         let before = pair.gateways[0].entries_visited();
         pair.gateways[0].handle(pair.now, delta(vec![changed]), &mut Vec::new());
         let visited = pair.gateways[0].entries_visited() - before;
-        assert!(visited <= 3, "entry {number} visited {visited}");
+        assert!(
+            visited <= 3,
+            "change {number} of an endpoint visited {visited} entries"
+        );
     }
 }
 
-/// Servers to which the first gateway has sent, in the order of its attempts.
+/// Returns the servers to which the first gateway has sent attempts, in the order of the attempts.
 fn servers_of_first_gateway(pair: &GatewayPair) -> Vec<ServerId> {
     let attempts = pair.sent.iter().filter(|attempt| attempt.gateway == 0);
     attempts.map(|attempt| attempt.server).collect()
 }
 
 #[test]
-fn a_gateway_uses_all_of_its_subset_and_no_server_that_is_gone() {
+fn uses_whole_subset_and_replaces_gone_servers() {
     let servers = 20_000;
     let mut pair = new_pair(servers);
     pair.requests(0..1_500);
@@ -78,7 +83,7 @@
     let subset_size = 7 * servers as usize / 4_200 + 1;
     assert!(
         used.len() > subset_size * 3 / 4 && used.len() <= subset_size,
-        "{} of a subset of {subset_size}",
+        "used {} servers with a subset of {subset_size}",
         used.len()
     );
     let remove = |server: &ServerId| Endpoint {
@@ -90,11 +95,11 @@
     pair.sent.clear();
     pair.requests(1_500..3_000);
     let later = servers_of_first_gateway(&pair);
-    assert!(later.len() > 500, "{} attempts were sent", later.len());
+    assert!(later.len() > 500, "sent only {} attempts", later.len());
     let is_used = |endpoint: &Endpoint| later.contains(&endpoint.server);
     assert!(
         !removed.iter().any(is_used),
-        "a server that is gone was used"
+        "sent an attempt to a server that is gone"
     );
     let replacements: BTreeSet<_> = later
         .iter()
@@ -102,15 +107,16 @@
         .collect();
     assert!(
         replacements.len() >= removed.len() / 2,
-        "{} replaced {}",
+        "{} servers replaced {} removed servers",
         replacements.len(),
         removed.len()
     );
 }
 
-/// Servers that a snapshot does not list are gone, used or not; those that it lists are there again.
+/// Servers that a snapshot does not list are gone, whether they were used or not. Servers that it
+/// lists are used.
 #[test]
-fn a_snapshot_replaces_the_list() {
+fn snapshot_replaces_endpoint_list() {
     let mut pair = new_pair(5_000);
     pair.requests(0..400);
     for gateway in 0..2 {
@@ -120,7 +126,7 @@
     pair.requests(400..800);
     assert!(
         pair.sent.len() > 300,
-        "{} attempts were sent",
+        "sent only {} attempts",
         pair.sent.len()
     );
     let is_listed = |server: ServerId, servers: u64| server_number(server) < servers;
@@ -128,7 +134,7 @@
         pair.sent
             .iter()
             .all(|attempt| is_listed(attempt.server, 1_000)),
-        "one that was not listed"
+        "sent an attempt to a server that is not listed"
     );
     for gateway in 0..2 {
         pair.handle(gateway, snapshot(14));
@@ -138,13 +144,14 @@
     let used: BTreeSet<_> = pair.sent.iter().map(|attempt| attempt.server).collect();
     assert!(
         used.len() >= 10 && used.iter().all(|server| is_listed(*server, 14)),
-        "{used:?}"
+        "used servers {used:?}"
     );
 }
 
-/// A keyed request whose repeats are only recognized in one cell is repeated among the few servers of that cell.
+/// If only the servers of one cell recognise an idempotency key, a retry must go to one of these few
+/// servers.
 #[test]
-fn a_repeat_stays_in_the_cell_of_the_first_attempt() {
+fn retry_of_request_keyed_by_cell_stays_in_cell() {
     let mut gateway = GatewayHarness::new(3, settings(0, 4_200), S);
     gateway.customer_gateways.count = 1;
     gateway.update_endpoints(EndpointUpdate::Snapshot, (0..5_000).map(endpoint).collect());
@@ -152,10 +159,10 @@
         let id = gateway.request(KEYED_BY_CELL, UNLIMITED, CustomerId(round), 2 * S);
         let first = gateway.server_of(&id).expect("a first attempt");
         gateway.finish(&id, AttemptOutcome::ConnectionLost);
-        let repeat = gateway.server_of(&id).expect("a repeat");
+        let retry = gateway.server_of(&id).expect("a retry");
         assert_eq!(
             gateway.endpoints[&first].cell,
-            gateway.endpoints[&repeat].cell
+            gateway.endpoints[&retry].cell
         );
         gateway.finish(&id, AttemptOutcome::Success);
     }
--- a/crates/gateway-core/tests/unit/load_report.rs
+++ b/crates/gateway-core/tests/unit/load_report.rs
@@ -1,9 +1,9 @@
-//! Load reports as they are parsed from a header.
+//! Tests of the parser of load reports.
 
 use super::*;
 
 #[test]
-fn a_malformed_load_report_is_ignored() {
+fn parses_in_flight_field_and_ignores_malformed_report() {
     assert_eq!(
         parse_in_flight("concurrent=7.5,depth=2,load_share=0.61", '='),
         Some(7.5)
--- a/crates/gateway-core/tests/unit/message.rs
+++ b/crates/gateway-core/tests/unit/message.rs
@@ -1,11 +1,12 @@
-//! The layout of messages between gateways: fixed bytes that every version of this layout has to
-//! read and write.
+//! Tests of the codec of messages between gateways. Gateways of different releases exchange
+//! messages, so every release has to encode and decode exactly these bytes while the version of the
+//! layout stays the same.
 
 use super::layout::*;
 use super::*;
 use crate::types::GatewayId;
 
-fn report(class: usize) -> HealthReport {
+fn health_report(class: usize) -> HealthReport {
     HealthReport {
         server: ShortServerId(9),
         class: ClassId(class),
@@ -16,7 +17,11 @@
     }
 }
 
-fn granted(sequence: u16, lease_request_probability: f64, leased_units: f64) -> LeaseResponse {
+fn granted_response(
+    sequence: u16,
+    lease_request_probability: f64,
+    leased_units: f64,
+) -> LeaseResponse {
     let decision = LeaseDecision::Granted;
     LeaseResponse {
         sequence,
@@ -27,47 +32,55 @@
 }
 
 #[test]
-fn a_report_on_a_class_beyond_the_field_is_left_out() {
-    let reports = [1, MAX_CLASSES, MAX_CLASSES + 1].map(report).into();
+fn omits_health_report_of_class_out_of_range() {
+    let reports = [1, MAX_CLASSES, MAX_CLASSES + 1].map(health_report).into();
     let digest = GossipDigest {
         reports,
         ..GossipDigest::default()
     };
-    let bytes = encode(&Message::LeaseResponse(granted(7, 1.0, 0.0), digest));
+    let bytes = encode(&Message::LeaseResponse(
+        granted_response(7, 1.0, 0.0),
+        digest,
+    ));
     let Some(Message::LeaseResponse(LeaseResponse { sequence: 7, .. }, digest)) = decode(&bytes)
     else {
-        panic!("a response")
+        panic!("expected a lease response")
     };
     let classes: Vec<_> = digest.reports.iter().map(|report| report.class.0).collect();
     assert_eq!(classes, [1]);
 }
 
-/// The bytes that a text of hexadecimal digits stands for; blanks separate the fields.
-fn bytes_of(hex: &str) -> Vec<u8> {
+/// Parses hexadecimal digits; spaces separate the fields.
+fn parse_hex(hex: &str) -> Vec<u8> {
     let digits: String = hex.split_whitespace().collect();
-    assert!(digits.len().is_multiple_of(2), "whole bytes");
+    assert!(
+        digits.len().is_multiple_of(2),
+        "number of digits must be even"
+    );
     let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits");
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
-/// Version, kind, incarnation; then customer and units of each.
+/// Version, kind, incarnation; then customer and count of each usage count.
 const USAGE_COUNTS: &str = "04 00 0df0adde 0504030201 e803 ffffffffff ffff 0000000000 0000";
-/// Version, kind, sequence, customer, plan, owner, first gateway, gateway count, units, requested
-/// units, the returned lease's sequence and its units; then the gossip digest: throughput,
-/// latencies, health reports.
+/// Version, kind, sequence, customer, plan, owner index, first gateway, gateway count, units,
+/// requested units, sequence and units of the returned lease; then the gossip digest: throughput,
+/// latency ratios, health reports.
 const LEASE_REQUEST: &str = "04 01 3412 0504030201 01 02 0301 2c01 2800 4406 3012 0800 \
     38 03 08 ff 14 efbe 5f 0a 07 0a 0100 e0 00 ff 00";
-/// Version, kind, sequence, decision, probability, units of the lease, the gossip digest.
+/// Version, kind, sequence, decision, probability, leased units; then the gossip digest.
 const LEASE_GRANT: &str = "04 02 3412 00 ff 4401 38 03 08 ff 14 efbe 5f 0a 07 0a 0100 e0 00 ff 00";
-const LEASE_REFUSAL: &str = "04 02 ffff 01 33 0000 00 00";
+/// The fields of `LEASE_GRANT`, with an empty gossip digest.
+const LEASE_REJECTION: &str = "04 02 ffff 01 33 0000 00 00";
 /// Version, kind, sequence, customer.
 const PERMIT_RELEASE: &str = "04 03 3412 0504030201";
 
-/// Lengths of the head of a lease request and of a grant, up to and with the latencies.
+/// Bytes of `LEASE_REQUEST` before its health reports.
 const LEASE_REQUEST_HEAD: usize = 28;
+/// Bytes of `LEASE_GRANT` before its health reports.
 const LEASE_GRANT_HEAD: usize = 13;
 
-fn counts() -> Vec<UsageCount> {
+fn usage_counts() -> Vec<UsageCount> {
     let counts = [(0x01_0203_0405, 1000), (0xff_ffff_ffff, u16::MAX), (0, 0)];
     counts
         .map(|(customer, count)| UsageCount {
@@ -96,7 +109,7 @@
     }
 }
 
-/// A gossip digest with a latency and a load that are known, and ones that are not.
+/// Returns a gossip digest with known and unknown latency ratios and loads.
 fn digest() -> GossipDigest {
     let known = HealthReport {
         server: ShortServerId(0xbeef),
@@ -109,7 +122,7 @@
     let unknown_load = HealthReport {
         server: ShortServerId(1),
         failure_rate: 0.0,
-        ..report(7)
+        ..health_report(7)
     };
     GossipDigest {
         throughput: 3.5,
@@ -118,7 +131,7 @@
     }
 }
 
-/// Destructures, so that a new field can't be forgotten here.
+/// Compares all fields. Destructuring makes the compiler reject a new field that is not compared.
 fn assert_same_digest(decoded: &GossipDigest, expected: &GossipDigest) {
     let GossipDigest {
         throughput,
@@ -193,51 +206,51 @@
 }
 
 #[test]
-fn usage_counts_have_fixed_bytes() {
-    let bytes = bytes_of(USAGE_COUNTS);
+fn usage_counts_match_fixed_bytes() {
+    let bytes = parse_hex(USAGE_COUNTS);
     let usage = UsageCounts {
         incarnation: 0xdead_f00d,
-        counts: counts(),
+        counts: usage_counts(),
     };
     assert_eq!(encode(&Message::UsageCounts(usage)), bytes);
     let Some(Message::UsageCounts(decoded)) = decode(&bytes) else {
-        panic!("usage counts")
+        panic!("expected usage counts")
     };
     assert_eq!(
         (decoded.incarnation, decoded.counts),
-        (0xdead_f00d, counts())
+        (0xdead_f00d, usage_counts())
     );
 }
 
 #[test]
-fn a_lease_request_has_fixed_bytes() {
-    let bytes = bytes_of(LEASE_REQUEST);
+fn lease_request_matches_fixed_bytes() {
+    let bytes = parse_hex(LEASE_REQUEST);
     assert_eq!(
         encode(&Message::LeaseRequest(lease_request(), digest())),
         bytes
     );
     let Some(Message::LeaseRequest(request, decoded)) = decode(&bytes) else {
-        panic!("a lease request")
+        panic!("expected a lease request")
     };
     assert_same_request(&request, &lease_request());
     assert_same_digest(&decoded, &digest());
 }
 
 #[test]
-fn a_lease_grant_has_fixed_bytes() {
-    let bytes = bytes_of(LEASE_GRANT);
-    let response = granted(0x1234, 1.0, 20.25);
+fn lease_grant_matches_fixed_bytes() {
+    let bytes = parse_hex(LEASE_GRANT);
+    let response = granted_response(0x1234, 1.0, 20.25);
     assert_eq!(encode(&Message::LeaseResponse(response, digest())), bytes);
     let Some(Message::LeaseResponse(decoded, decoded_digest)) = decode(&bytes) else {
-        panic!("a grant")
+        panic!("expected a lease response")
     };
     assert_same_response(&decoded, &response);
     assert_same_digest(&decoded_digest, &digest());
 }
 
 #[test]
-fn a_refusal_of_a_lease_has_fixed_bytes() {
-    let bytes = bytes_of(LEASE_REFUSAL);
+fn lease_rejection_matches_fixed_bytes() {
+    let bytes = parse_hex(LEASE_REJECTION);
     let decision = LeaseDecision::QuotaExceeded;
     let response = LeaseResponse {
         sequence: u16::MAX,
@@ -250,36 +263,36 @@
         bytes
     );
     let Some(Message::LeaseResponse(decoded, decoded_digest)) = decode(&bytes) else {
-        panic!("a refusal")
+        panic!("expected a lease response")
     };
     assert_same_response(&decoded, &response);
     assert_same_digest(&decoded_digest, &GossipDigest::default());
 }
 
 #[test]
-fn a_permit_release_has_fixed_bytes() {
-    let bytes = bytes_of(PERMIT_RELEASE);
+fn permit_release_matches_fixed_bytes() {
+    let bytes = parse_hex(PERMIT_RELEASE);
     let release = PermitRelease {
         sequence: 0x1234,
         customer: CustomerId(0x01_0203_0405),
     };
     assert_eq!(encode(&Message::PermitRelease(release)), bytes);
     let Some(Message::PermitRelease(decoded)) = decode(&bytes) else {
-        panic!("a permit release")
+        panic!("expected a permit release")
     };
     assert_eq!(decoded, release);
 }
 
-/// What does not fit its field is clamped to the nearest value that does; classes past the eighth
-/// are left out.
+/// Values out of range are clamped to the nearest value that the field can hold. Classes beyond the
+/// eighth are left out.
 #[test]
-fn values_out_of_range_have_fixed_bytes() {
+fn clamps_values_out_of_range_and_omits_ninth_class() {
     let extreme = |class: usize, failure_rate: f64| HealthReport {
         failure_rate,
         latency_us: 1e9,
         load: Some(1e6),
         age: Duration::MAX,
-        ..report(class)
+        ..health_report(class)
     };
     let latency_ratios = [1e6, 0.0, -0.5, 0.03, 0.04, 1.0, 2.0, 15.9, 3.0];
     let reports = vec![extreme(8, 1.0), extreme(0, 2.0), extreme(1, 0.5)];
@@ -288,18 +301,21 @@
         latency_ratios: latency_ratios.map(Some).to_vec(),
         reports,
     };
-    let bytes = bytes_of(
+    let bytes = parse_hex(
         "04 02 0700 00 ff 0f00 ff 08 fe 00 ff 00 01 10 20 fe 0900 1f ff fe ff 0900 30 ff fe ff",
     );
     assert_eq!(
-        encode(&Message::LeaseResponse(granted(7, 2.0, 0.99), digest)),
+        encode(&Message::LeaseResponse(
+            granted_response(7, 2.0, 0.99),
+            digest
+        )),
         bytes
     );
 
     let Some(Message::LeaseResponse(decoded, decoded_digest)) = decode(&bytes) else {
-        panic!("a grant")
+        panic!("expected a lease response")
     };
-    assert_same_response(&decoded, &granted(7, 1.0, 0.9375));
+    assert_same_response(&decoded, &granted_response(7, 1.0, 0.9375));
     let nearest = |class: usize, failure_rate: f64| HealthReport {
         latency_us: 2_040_000.0,
         load: Some(254.0),
@@ -323,15 +339,15 @@
     assert_same_digest(&decoded_digest, &expected);
 }
 
-/// Health reports name servers by these ids; every gateway has to derive the same ones.
+/// Health reports identify servers by their short ids, so every gateway has to derive the same ids.
 #[test]
-fn short_ids_of_servers_are_fixed() {
+fn short_ids_match_fixed_values() {
     let ids = [0, 1, 2, 3, u64::MAX].map(|server| short_id(ServerId(server)).0);
     assert_eq!(ids, [0, 0x9e37, 0x3c6e, 0xdaa6, 0x61c8]);
 }
 
 #[test]
-fn a_message_is_no_longer_than_a_datagram_holds() {
+fn limits_messages_to_256_bytes() {
     let usage_count = UsageCount {
         customer: CustomerId(1),
         count: 1,
@@ -345,42 +361,42 @@
         (35, 251)
     );
     let reports = |number: usize| {
-        bytes_of(&("04 02 0700 00 ff 0000 00 00".to_owned() + &" 0900 00 00 00 00".repeat(number)))
+        parse_hex(&("04 02 0700 00 ff 0000 00 00".to_owned() + &" 0900 00 00 00 00".repeat(number)))
     };
     assert_eq!(reports(41).len(), 256);
     assert!(decode(&reports(41)).is_some());
     assert!(
         decode(&reports(42)).is_none(),
-        "too long, though well formed"
+        "accepted a well-formed message that is too long"
     );
     let counts = |number: usize| {
-        bytes_of(&("04 00 00000000".to_owned() + &" 0100000000 0100".repeat(number)))
+        parse_hex(&("04 00 00000000".to_owned() + &" 0100000000 0100".repeat(number)))
     };
     assert!(decode(&counts(35)).is_some());
     assert!(
         decode(&counts(36)).is_none(),
-        "too long, though well formed"
+        "accepted a well-formed message that is too long"
     );
 }
 
-/// Lengths at which a message that is cut short still reads as a shorter one: after a whole count
-/// or health report.
-fn lengths_that_decode(message: &[u8]) -> Vec<usize> {
+/// Returns the lengths at which a truncated message is still valid: those between whole usage
+/// counts or whole health reports.
+fn valid_truncated_lengths(message: &[u8]) -> Vec<usize> {
     (0..message.len())
         .filter(|length| decode(&message[..*length]).is_some())
         .collect()
 }
 
 #[test]
-fn malformed_bytes_are_refused() {
+fn rejects_malformed_messages() {
     for hex in [
         USAGE_COUNTS,
         LEASE_REQUEST,
         LEASE_GRANT,
-        LEASE_REFUSAL,
+        LEASE_REJECTION,
         PERMIT_RELEASE,
     ] {
-        let message = bytes_of(hex);
+        let message = parse_hex(hex);
         assert!(decode(&message).is_some(), "{hex}");
         for version in (0..=u8::MAX).filter(|version| *version != 4) {
             let other = [&[version], &message[1..]].concat();
@@ -393,17 +409,20 @@
         let too_long = [message.as_slice(), &vec![0; MAX_MESSAGE_BYTES]].concat();
         assert!(decode(&too_long).is_none(), "too long: {hex}");
     }
-    assert_eq!(lengths_that_decode(&bytes_of(USAGE_COUNTS)), [6, 13, 20]);
     assert_eq!(
-        lengths_that_decode(&bytes_of(LEASE_REQUEST)),
+        valid_truncated_lengths(&parse_hex(USAGE_COUNTS)),
+        [6, 13, 20]
+    );
+    assert_eq!(
+        valid_truncated_lengths(&parse_hex(LEASE_REQUEST)),
         [LEASE_REQUEST_HEAD, LEASE_REQUEST_HEAD + 6]
     );
     assert_eq!(
-        lengths_that_decode(&bytes_of(LEASE_GRANT)),
+        valid_truncated_lengths(&parse_hex(LEASE_GRANT)),
         [LEASE_GRANT_HEAD, LEASE_GRANT_HEAD + 6]
     );
-    assert!(lengths_that_decode(&bytes_of(LEASE_REFUSAL)).is_empty());
-    assert!(lengths_that_decode(&bytes_of(PERMIT_RELEASE)).is_empty());
+    assert!(valid_truncated_lengths(&parse_hex(LEASE_REJECTION)).is_empty());
+    assert!(valid_truncated_lengths(&parse_hex(PERMIT_RELEASE)).is_empty());
     for kind in 4..=u8::MAX {
         assert!(
             decode(&[4, kind, 0, 0, 0, 0, 0, 0, 0, 0]).is_none(),
