--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -122,7 +122,7 @@
 
 /// Whether an owner has responded recently enough to be asked.
 fn is_responsive(quotas: &QuotaState, now: Timestamp, owners: &QuotaOwners, index: u32) -> bool {
-    let misses = quotas.misses_of(owners.gateway(index));
+    let misses = quotas.timeouts_of(owners.gateway(index));
     misses.is_none_or(|misses| {
         misses.count < MISSES_UNTIL_UNRESPONSIVE || misses.cooldown_until <= now
     })
@@ -145,7 +145,10 @@
         (Units::ZERO, ReturnedLease::default())
     } else {
         let requested_units = account.recent_demand() - request.units();
-        (requested_units, account.request_lease(now, owner.index))
+        (
+            requested_units,
+            account.record_lease_request(now, owner.index),
+        )
     };
     LeaseRequest {
         sequence,
@@ -220,12 +223,12 @@
         /// The lease request.
         pending: PendingLease,
         /// What follows for the request.
-        next: AfterMiss,
+        next: MissDecision,
     },
 }
 
 /// What follows when an owner has not responded in time.
-pub(crate) enum AfterMiss {
+pub(crate) enum MissDecision {
     /// An owner is asked once more.
     AskAgain,
     /// Owners are unresponsive, and the customer's account here covers the request.
@@ -253,7 +256,7 @@
     let Some(pending) = request.quota.pending() else {
         return UnsentDecision::RequestLease;
     };
-    if now <= pending.sent_at + response_timeout(request.quota.misses()) {
+    if now <= pending.sent_at + response_timeout(request.quota.timeouts()) {
         return UnsentDecision::Wait;
     }
     UnsentDecision::Missed {
@@ -272,15 +275,19 @@
 
 /// Decides what follows one more miss. After enough of them the customer's account here decides;
 /// under a hard limit it must not, so the request goes on asking.
-fn after_miss(hard_limit: Option<&HardLimit>, quotas: &QuotaState, request: &Request) -> AfterMiss {
-    let misses = request.quota.misses() + 1;
+fn after_miss(
+    hard_limit: Option<&HardLimit>,
+    quotas: &QuotaState,
+    request: &Request,
+) -> MissDecision {
+    let misses = request.quota.timeouts() + 1;
     if misses < MISSES_UNTIL_UNRESPONSIVE || hard_limit.is_some() {
-        return AfterMiss::AskAgain;
+        return MissDecision::AskAgain;
     }
     if quotas.account(request.customer()).is_some_and(is_covered) {
-        AfterMiss::Send
+        MissDecision::Send
     } else {
-        AfterMiss::Reject(RejectReason::OwnerUnreachable)
+        MissDecision::Reject(RejectReason::OwnerUnreachable)
     }
 }
 
@@ -292,11 +299,11 @@
 /// Who is notified that a concurrency permit is no longer needed.
 pub(crate) enum PermitReleaseTarget {
     /// This gateway, which granted it as an owner.
-    OwnPart,
+    ThisGateway,
     /// The owner that granted it.
-    SendTo(GatewayId),
+    Owner(GatewayId),
     /// Nobody: the customer's plan has no permits.
-    Unneeded,
+    Nobody,
 }
 
 /// Decides who is notified that a request no longer needs the permit of its grant.
@@ -308,14 +315,14 @@
 ) -> PermitReleaseTarget {
     let settings = &deployment.settings;
     if grant.owner == settings.gateway_id {
-        return PermitReleaseTarget::OwnPart;
+        return PermitReleaseTarget::ThisGateway;
     }
     let plan = quotas
         .account(customer)
         .map(|account| &settings.plans[account.plan().0]);
     if plan.is_some_and(|plan| plan.max_concurrent.is_some()) {
-        PermitReleaseTarget::SendTo(grant.owner)
+        PermitReleaseTarget::Owner(grant.owner)
     } else {
-        PermitReleaseTarget::Unneeded
+        PermitReleaseTarget::Nobody
     }
 }
