--- a/crates/gateway-core/examples/server_table.rs
+++ b/crates/gateway-core/examples/server_table.rs
@@ -1,36 +1,42 @@
-//! Times a gateway of a large fleet by how many servers are listed: µs a request (the lease request to its quota owner,
-//! the grant, the attempt and the timers between, at two gateways that own each other's quotas), µs for a changed
-//! entry, ms for a whole list, and bytes for each server, by how much the process grows. A time is the least of some
-//! rounds, as whatever else the machine does only adds to it.
+//! Measures the cost of a gateway of a large fleet for endpoint lists of several lengths:
 //!
-//! `cargo run --release --example server_table`
+//! - µs per request: the lease request to its quota owner, the grant, the attempt and the timers in
+//!   between, at two gateways that own each other's quotas;
+//! - µs per changed entry;
+//! - ms per whole list;
+//! - bytes per server, by the growth of the process.
+//!
+//! Each time is the minimum of several rounds, because other work on the machine only adds to it.
+//!
+//! Run with `cargo run --release --example server_table`.
 
 use gateway_core::*;
 use gateway_pair::{delta, endpoint, snapshot, GatewayPair};
 use std::time::Instant;
 
-// The tests use more of it.
+// Some items are used only by the tests.
 #[allow(dead_code)]
 #[path = "../tests/gateway_pair/mod.rs"]
 mod gateway_pair;
 
 const ROUNDS: usize = 5;
-/// Requests of one round, a second's, so that each round has the work of control ticks.
+/// Requests per round: those of one second, so that each round includes the work of control ticks.
 const REQUESTS: u64 = 200;
-/// Changed entries of one round.
+/// Changed entries per round.
 const CHANGES: u64 = 20;
-/// Lengths of the list. The longest is first, so that the process grows by it.
-const SERVERS: [u64; 7] = [110_000, 20_000, 5_000, 1_000, 200, 60, 14];
-/// Bytes of a page of memory.
+/// Lengths of the endpoint list. The longest is first, because only its memory makes the process
+/// grow: shorter lists reuse that memory.
+const SERVER_COUNTS: [u64; 7] = [110_000, 20_000, 5_000, 1_000, 200, 60, 14];
+/// Size of a memory page, in bytes.
 const PAGE_BYTES: f64 = 4096.0;
 
 fn main() -> anyhow::Result<()> {
     println!("servers | us a request | us a changed entry | ms a whole list | bytes a server");
-    for servers in SERVERS {
+    for servers in SERVER_COUNTS {
         let memory_before = resident_bytes()?;
         let mut pair = GatewayPair::new(servers)?;
         let bytes_per_server = (resident_bytes()? - memory_before) / 2.0 / servers as f64;
-        let bytes = if servers == SERVERS[0] {
+        let bytes = if servers == SERVER_COUNTS[0] {
             format!("{bytes_per_server:.0}")
         } else {
             "-".to_owned()
@@ -43,7 +49,7 @@
     Ok(())
 }
 
-/// Bytes of this process in memory.
+/// Returns the resident memory of this process, in bytes.
 fn resident_bytes() -> anyhow::Result<f64> {
     let text = std::fs::read_to_string("/proc/self/statm")?;
     let pages = text
@@ -54,7 +60,7 @@
     Ok(pages * PAGE_BYTES)
 }
 
-/// µs for each item, to which `step` is applied.
+/// Applies `step` to each item, and returns the mean time per item, in µs.
 fn time_each<T>(items: Vec<T>, mut step: impl FnMut(T)) -> f64 {
     let count = items.len() as f64;
     let started = Instant::now();
@@ -64,27 +70,28 @@
     started.elapsed().as_secs_f64() * 1e6 / count
 }
 
-/// The least of some rounds.
-fn least(mut round: impl FnMut() -> f64) -> f64 {
+/// Runs [`ROUNDS`] rounds, and returns the smallest result.
+fn minimum_of_rounds(mut round: impl FnMut() -> f64) -> f64 {
     (0..ROUNDS).map(|_| round()).fold(f64::INFINITY, f64::min)
 }
 
-/// µs a request, after a round in which the gateways get to know the servers.
+/// Returns the time per request, in µs, after a round of requests that fills the gateways' estimates
+/// of the servers.
 fn time_request(pair: &mut GatewayPair) -> f64 {
     let mut last_number = 0;
     let mut round = || {
         let numbers = (last_number + 1..=last_number + REQUESTS).collect();
         last_number += REQUESTS;
-        time_each(numbers, |number| pair.request(number))
+        time_each(numbers, |number| pair.send_request(number))
     };
     round();
-    least(round)
+    minimum_of_rounds(round)
 }
 
-/// µs for a changed entry: servers drain and become ready again by turns.
+/// Returns the time per changed entry, in µs. Servers drain and become ready in turn.
 fn time_change(pair: &mut GatewayPair, servers: u64) -> f64 {
     let mut first_number = 0;
-    least(|| {
+    minimum_of_rounds(|| {
         let numbers = first_number..first_number + CHANGES;
         first_number += CHANGES;
         let changes = numbers.map(|number| change(number, servers)).collect();
@@ -108,10 +115,10 @@
     }])
 }
 
-/// µs for a whole list.
+/// Returns the time for a whole list, in µs.
 fn time_list(pair: &mut GatewayPair, servers: u64) -> f64 {
     let now = pair.now;
-    least(|| {
+    minimum_of_rounds(|| {
         time_each(vec![snapshot(servers)], |event| {
             pair.gateways[1].handle(now, event, &mut Vec::new());
         })
--- a/crates/gateway-core/tests/gateway_pair/mod.rs
+++ b/crates/gateway-core/tests/gateway_pair/mod.rs
@@ -1,26 +1,26 @@
-//! Two gateways of a large fleet, each the quota owner of the other's customers, and the servers that they use.
+//! A simulation of two gateways of a large fleet, which own the quotas of each other's customers,
+//! and of the servers that they use.
 
 use gateway_core::Gateway;
 use gateway_core::*;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// A millisecond.
 const MILLISECOND: Duration = Duration::from_millis(1);
-/// Gateways of the fleet.
+/// Number of gateways in the settings.
 const GATEWAYS: u32 = 4_200;
-/// Gateways that take part.
-const MEMBERS: usize = 2;
+/// Number of gateways that are simulated. Messages to other gateways are lost.
+const SIMULATED_GATEWAYS: usize = 2;
 /// Time that a server takes for a request.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 /// Time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a client waits.
+/// How long a client waits for its answer.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Customers, by turns.
+/// Number of customers, which send requests in turn.
 const CUSTOMERS: u64 = 50;
 
-/// Settings of one gateway of the fleet, with two classes and one plan without a quota.
+/// Returns the settings of one gateway of the fleet, with two classes and one plan without a quota.
 fn settings(gateway: u32) -> Settings {
     Settings {
         gateway_id: GatewayId(gateway),
@@ -69,7 +69,7 @@
     }
 }
 
-/// The entry of a server by its number.
+/// Returns the endpoint of the server with this number.
 pub(crate) fn endpoint(number: u64) -> Endpoint {
     Endpoint {
         server: ServerId(number * 0x1_0000_0001),
@@ -81,12 +81,12 @@
     }
 }
 
-/// The number of a server.
+/// Returns the number of a server.
 pub(crate) fn server_number(server: ServerId) -> u64 {
     server.0 & 0xFFFF_FFFF
 }
 
-/// A whole list of so many servers.
+/// Returns the event of a complete endpoint list with this many servers.
 pub(crate) fn snapshot(servers: u64) -> Event {
     let endpoints = (0..servers).map(endpoint).collect();
     Event::EndpointsUpdated {
@@ -95,7 +95,7 @@
     }
 }
 
-/// A change of some entries of the list.
+/// Returns the event of a change of these endpoints.
 pub(crate) fn delta(endpoints: Vec<Endpoint>) -> Event {
     Event::EndpointsUpdated {
         kind: EndpointUpdate::Delta,
@@ -103,15 +103,16 @@
     }
 }
 
-/// An event for one of the gateways.
+/// An event, and the index of the gateway that receives it.
 struct GatewayEvent {
     gateway: usize,
     event: Event,
 }
 
-/// When a scheduled event happens; those of one time in the order in which they were scheduled.
+/// Order of scheduled events: by time, and at the same time in the order in which they were
+/// scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct ScheduleKey {
     at: Timestamp,
     sequence: u64,
 }
@@ -119,29 +120,29 @@
 /// An attempt that a gateway has sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentAttempt {
-    /// The index of the gateway.
+    /// Index of the gateway.
     pub(crate) gateway: usize,
-    /// The server.
+    /// Server that the attempt was sent to.
     pub(crate) server: ServerId,
 }
 
-/// Two gateways, whose messages reach each other at once.
+/// Two gateways that receive each other's messages without delay.
 pub(crate) struct GatewayPair {
-    /// The time, µs.
+    /// Current time of the simulation.
     pub(crate) now: Timestamp,
     /// Both gateways.
     pub(crate) gateways: Vec<Gateway>,
-    scheduled: BTreeMap<Due, GatewayEvent>,
+    scheduled: BTreeMap<ScheduleKey, GatewayEvent>,
     last_sequence: u64,
-    /// All attempts so far.
+    /// Attempts of both gateways, in the order in which they were sent.
     pub(crate) sent: Vec<SentAttempt>,
 }
 
 impl GatewayPair {
-    /// Two gateways that know so many servers.
+    /// Returns two gateways that have received a list of this many servers.
     pub(crate) fn new(servers: u64) -> anyhow::Result<GatewayPair> {
         let mut gateways = Vec::new();
-        for number in 0..MEMBERS as u32 {
+        for number in 0..SIMULATED_GATEWAYS as u32 {
             gateways.push(Gateway::new(
                 9 + u64::from(number),
                 settings(number),
@@ -156,18 +157,18 @@
             last_sequence: 0,
             sent: Vec::new(),
         };
-        for gateway in 0..MEMBERS {
+        for gateway in 0..SIMULATED_GATEWAYS {
             pair.handle(gateway, snapshot(servers));
         }
         Ok(pair)
     }
 
-    /// Entries of the list of servers that both gateways have visited so far.
+    /// Returns how many entries of their server tables both gateways have visited so far.
     pub(crate) fn entries_visited(&self) -> u64 {
         self.gateways.iter().map(Gateway::entries_visited).sum()
     }
 
-    /// Gives a gateway an event, and delivers the messages that follow from it.
+    /// Passes an event to a gateway, and delivers all messages that result from it.
     pub(crate) fn handle(&mut self, gateway: usize, event: Event) {
         let mut events = VecDeque::from([GatewayEvent { gateway, event }]);
         while let Some(GatewayEvent { gateway, event }) = events.pop_front() {
@@ -179,7 +180,8 @@
         }
     }
 
-    /// Carries out an action; returns the message that its peer gets, if it sends one.
+    /// Carries out an action, and returns the event of the message if it sends one to the other
+    /// gateway.
     fn execute(&mut self, gateway: usize, action: Action) -> Option<GatewayEvent> {
         match action {
             Action::SendAttempt { id, server, .. } => {
@@ -189,7 +191,7 @@
             Action::SetTimer { after, token } => {
                 self.schedule(after, gateway, Event::TimerFired { token });
             }
-            Action::SendToPeer { to, bytes } if (to.0 as usize) < MEMBERS => {
+            Action::SendToPeer { to, bytes } if (to.0 as usize) < SIMULATED_GATEWAYS => {
                 let event = Event::PeerMessage {
                     from: GatewayId(gateway as u32),
                     bytes,
@@ -206,15 +208,16 @@
 
     fn schedule(&mut self, after: Duration, gateway: usize, event: Event) {
         self.last_sequence += 1;
-        let due = Due {
+        let key = ScheduleKey {
             at: self.now + after,
             sequence: self.last_sequence,
         };
-        self.scheduled.insert(due, GatewayEvent { gateway, event });
+        self.scheduled.insert(key, GatewayEvent { gateway, event });
     }
 
-    /// One request, some time after the last one, and all events that are due until then.
-    pub(crate) fn request(&mut self, number: u64) {
+    /// Advances the time by one request interval, executes all scheduled events that are due, and
+    /// sends one request.
+    pub(crate) fn send_request(&mut self, number: u64) {
         self.now = self.now + REQUEST_INTERVAL;
         while let Some(first) = self
             .scheduled
@@ -232,22 +235,22 @@
             units: Units::new(1.0),
             gateways: GatewaySet {
                 first: GatewayId(0),
-                count: MEMBERS as u32,
+                count: SIMULATED_GATEWAYS as u32,
             },
             client_timeout: CLIENT_TIMEOUT,
         };
-        self.handle(number as usize % MEMBERS, event);
+        self.handle(number as usize % SIMULATED_GATEWAYS, event);
     }
 
-    /// All requests of a range of numbers.
-    pub(crate) fn requests(&mut self, numbers: std::ops::Range<u64>) {
+    /// Sends the requests of a range of numbers.
+    pub(crate) fn send_requests(&mut self, numbers: std::ops::Range<u64>) {
         for number in numbers {
-            self.request(number);
+            self.send_request(number);
         }
     }
 }
 
-/// The end of a request's first attempt.
+/// Returns the event of a successful first attempt of a request.
 fn success(id: RequestId) -> Event {
     Event::AttemptFinished {
         id,
--- a/crates/gateway-core/tests/replay.rs
+++ b/crates/gateway-core/tests/replay.rs
@@ -1,10 +1,11 @@
-//! One seeded log of events, replayed through the library: its actions are hashed, and compared with the
-//! digests of a version whose decisions are to be kept. What is hashed are the values of an action alone, in an encoding
-//! written out by hand: no name of a type, a variant or a field is in it, so that a renaming changes no digest.
+//! Regression test of all decisions: replays seeded events through the library, and compares
+//! digests of the actions with recorded digests. Only the values of an action are hashed, in a
+//! hand-written encoding without the names of types, variants and fields, so renames do not change
+//! the digests.
 //!
-//! To record the digests anew, where decisions are changed on purpose: run `cargo test --test replay` on the new
-//! version, put the lines of its message in place of [`RECORDED`], name the commit that gave them, and say in the
-//! message of the commit what changed.
+//! To record new digests after an intended change of decisions, run `cargo test --test replay`,
+//! replace the entries of [`RECORDED`] by those in the failure message, name the recorded commit in
+//! its comment, and describe the change of decisions in the commit message.
 
 #[path = "replay/action_digest.rs"]
 mod action_digest;
@@ -18,12 +19,13 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
+/// Numbers of gateways and servers of a simulated fleet.
 struct FleetSize {
     gateways: u32,
     servers: u64,
 }
 
-/// The digest of one simulation.
+/// The digest of all actions of one simulation.
 #[derive(Clone, Copy, PartialEq)]
 struct RecordedDigest {
     gateways: u32,
@@ -42,7 +44,7 @@
 }
 
 impl fmt::Display for RecordedDigest {
-    /// As its line in [`RECORDED`].
+    /// Writes the digest as an entry of [`RECORDED`].
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let RecordedDigest {
             gateways,
@@ -57,8 +59,8 @@
     }
 }
 
-/// Digests of the values alone, recorded on e73c6e6: there the digests of the `Debug` text that stood here before still
-/// held.
+/// Digests recorded on commit e73c6e6. On that commit, the earlier digests, which hashed the `Debug`
+/// texts of actions, still matched.
 const RECORDED: &[RecordedDigest] = &[
     digest(3, 14, 1, 0x9bf59f11578f08d0),
     digest(3, 14, 2, 0x991729a2125d515a),
@@ -76,7 +78,8 @@
     digest(300, 200, 2, 0x0ce8e5e2a6414f7a),
 ];
 
-/// Every fleet that is simulated, whatever was recorded, and with which seeds.
+/// Fleets that are simulated, each with all [`SEEDS`]. The list does not depend on [`RECORDED`], so
+/// a missing entry there fails the test.
 const FLEETS: [FleetSize; 7] = [
     FleetSize {
         gateways: 3,
@@ -109,7 +112,8 @@
 ];
 const SEEDS: [u64; 2] = [1, 2];
 
-/// Every event, action and outcome, but `WatchEndpoints`: these endpoints are pushed.
+/// All events, actions and outcomes except `WatchEndpoints`, because the simulated endpoints are
+/// pushed.
 const EXPECTED_TO_OCCUR: [&str; 24] = [
     "EndpointsUpdated",
     "WatchFailed",
@@ -138,7 +142,7 @@
 ];
 
 #[test]
-fn the_same_events_give_the_same_actions_as_the_version_that_was_recorded() {
+fn replayed_events_produce_recorded_actions() {
     let mut digests = Vec::new();
     let mut occurred = BTreeSet::new();
     for FleetSize { gateways, servers } in FLEETS {
@@ -152,11 +156,11 @@
         .iter()
         .filter(|name| !occurred.contains(**name))
         .collect();
-    assert!(missing.is_empty(), "the log holds none of {missing:?}");
+    assert!(missing.is_empty(), "never occurred: {missing:?}");
     let lines: Vec<_> = digests.iter().map(RecordedDigest::to_string).collect();
     assert!(
         digests == RECORDED,
-        "the actions differ; now they are\n{}",
+        "the actions differ from the recorded actions; their digests are\n{}",
         lines.join("\n")
     );
 }
--- a/crates/gateway-core/tests/replay/action_digest.rs
+++ b/crates/gateway-core/tests/replay/action_digest.rs
@@ -1,12 +1,12 @@
-//! The encoding of actions that is hashed: values alone, written out by hand.
+//! The hand-written encoding of the values of actions that is hashed.
 
 use fnv::FnvHasher;
 use gateway_core::*;
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// Writes one action of a gateway into a digest: its number by kind, then its values in a fixed order, each text and
-/// list of bytes behind its length.
+/// Writes one action of a gateway into a digest: the index of the gateway, the number of the kind of
+/// action, then its values in a fixed order. Strings and byte lists are preceded by their length.
 pub(crate) fn write_action(digest: &mut FnvHasher, gateway: usize, action: &Action) {
     digest.write(&(gateway as u64).to_le_bytes());
     match action {
@@ -57,7 +57,7 @@
     write_bytes(digest, id.0.as_bytes());
 }
 
-/// A duration as it is written: in microseconds.
+/// Returns a duration in microseconds, the unit that is written.
 fn micros(duration: Duration) -> u64 {
     duration.as_micros() as u64
 }
@@ -72,10 +72,13 @@
     digest.write(&micros(value.unwrap_or_default()).to_le_bytes());
 }
 
-/// The numbers in a warning: its words are for people and may be reworded, what it measures may not change.
+/// Writes only the numbers in the text of a warning: the text may be reworded, but the reported
+/// values must not change.
 fn write_numbers(digest: &mut FnvHasher, text: &str) {
-    let numbers = text.split(|letter: char| !letter.is_ascii_digit() && letter != '.');
-    for number in numbers.filter(|number| number.contains(|letter: char| letter.is_ascii_digit())) {
+    let numbers = text.split(|character: char| !character.is_ascii_digit() && character != '.');
+    for number in
+        numbers.filter(|number| number.contains(|character: char| character.is_ascii_digit()))
+    {
         write_bytes(digest, number.trim_matches('.').as_bytes());
     }
 }
--- a/crates/gateway-core/tests/replay/simulated_server.rs
+++ b/crates/gateway-core/tests/replay/simulated_server.rs
@@ -1,10 +1,10 @@
-//! A server of the simulation: how long attempts take there, and how they end.
+//! A server of the simulation: draws the latency and the outcome of attempts.
 
 use crate::common::{Micros, MS, S};
 use fastrand::Rng;
 use gateway_core::*;
 
-/// How a server behaves.
+/// Condition of a server, which determines latencies and outcomes.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum ServerHealth {
     Healthy,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes an attempt in: how long it takes, and how it ends.
+    /// Starts an attempt, and draws its latency and its outcome.
     pub(crate) fn serve(&mut self, random: &mut Rng) -> ServedAttempt {
         use AttemptOutcome::{
             ConnectionLost, NotSent, Overloaded, ServerError, Success, TimedOut, Unreachable,
@@ -56,7 +56,7 @@
     }
 }
 
-/// How an attempt fares at a server.
+/// Latency and outcome of an attempt at a server.
 pub(crate) struct ServedAttempt {
     pub(crate) latency: Micros,
     pub(crate) outcome: AttemptOutcome,
--- a/crates/gateway-core/tests/replay/simulation.rs
+++ b/crates/gateway-core/tests/replay/simulation.rs
@@ -1,5 +1,5 @@
-//! A fleet whose events are drawn from one seed: requests, failing servers, changes of the endpoint list, and messages
-//! that are lost or late.
+//! A simulated fleet. All events are drawn from one seed: requests, failures of servers, changes of
+//! the endpoint list, and lost or delayed messages.
 
 use crate::action_digest::write_action;
 use crate::common::*;
@@ -13,13 +13,13 @@
 use std::time::Duration;
 
 const STARTED_AT: Micros = S;
-const SPAN: Micros = 30 * S;
-/// Gateways of a fleet that are simulated; messages to the others are lost.
+const SIMULATED_TIME: Micros = 30 * S;
+/// Maximum number of gateways of a fleet that are simulated. Messages to other gateways are lost.
 const SIMULATED_GATEWAYS: u32 = 3;
-/// Fleets of more gateways than this share quotas by leases.
-const LARGEST_SMALL_FLEET: u32 = 20;
+/// Fleets with more gateways than this are large: they share quotas by leases.
+const MAX_SMALL_FLEET: u32 = 20;
 
-/// Names an attempt in flight.
+/// Identifies an attempt in flight.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptKey {
     gateway: usize,
@@ -33,27 +33,28 @@
     outcome: AttemptOutcome,
 }
 
-/// What is to happen.
+/// A scheduled event of the simulation.
 enum Scheduled {
     GatewayEvent { gateway: usize, event: Event },
     AttemptFinished(FinishedAttempt),
 }
 
-/// When it is to happen; of several at one time, the one that was scheduled first.
+/// Order of scheduled events: by time, and at the same time in the order in which they were
+/// scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduleKey {
     at: Micros,
     sequence: u64,
 }
 
-/// When the simulation itself does something next.
+/// Times of the next request and of the next random changes.
 struct NextSteps {
     request: Micros,
     endpoint_change: Micros,
     health_change: Micros,
 }
 
-/// Gateways, servers and the network, on one clock and one sequence of random numbers.
+/// Gateways, servers and the network, with one clock and one random number generator.
 pub(crate) struct Simulation {
     now: Micros,
     random: Rng,
@@ -63,7 +64,7 @@
     schedule: BTreeMap<ScheduleKey, Scheduled>,
     last_sequence: u64,
     requests: u64,
-    /// Attempts sent for each request of a gateway.
+    /// Number of attempts that a gateway, given by its index, has sent for a request.
     attempts_sent: BTreeMap<(usize, RequestId), u32>,
     in_flight: BTreeMap<AttemptKey, ScheduleKey>,
     digest: FnvHasher,
@@ -102,7 +103,7 @@
             gateways: simulated
                 .map(|number| simulated_gateway(number, gateways, seed))
                 .collect(),
-            is_large_fleet: gateways > LARGEST_SMALL_FLEET,
+            is_large_fleet: gateways > MAX_SMALL_FLEET,
             servers: (0..servers).map(server).collect(),
             schedule: BTreeMap::new(),
             last_sequence: 0,
@@ -141,7 +142,8 @@
 
     fn send_endpoints(&mut self, kind: EndpointUpdate, endpoints: Vec<Endpoint>) {
         for gateway in 0..self.gateways.len() {
-            // In order: a delta that comes after a later snapshot would list more servers than there are.
+            // The delay of a gateway is constant, so that updates arrive in order: a delta that
+            // arrives after a later snapshot would add servers that no longer exist.
             let after = 15 * MS * gateway as u64;
             let event = Event::EndpointsUpdated {
                 kind,
@@ -151,29 +153,30 @@
         }
     }
 
-    fn some_server(&mut self) -> Option<ServerId> {
+    fn random_server(&mut self) -> Option<ServerId> {
         let index = self.random.usize(0..self.servers.len().max(1));
         self.servers.keys().nth(index).copied()
     }
 
-    /// Servers drain, restart or are replaced; then comes a delta, a snapshot, or a snapshot that leaves one out.
+    /// Makes servers drain, restart or be replaced, and then sends a delta, a snapshot, or a
+    /// snapshot in which one server is missing.
     fn change_endpoints(&mut self) {
         let mut changed = Vec::new();
         for _ in 0..self.random.usize(1..5) {
-            let Some(server) = self.some_server() else {
+            let Some(server) = self.random_server() else {
                 continue;
             };
             changed.extend(self.change_server(server));
         }
         match self.random.u8(0..8) {
             0 => self.send_snapshot(),
-            1 => self.send_snapshot_without_one(),
+            1 => self.send_snapshot_without_one_server(),
             _ => self.send_endpoints(EndpointUpdate::Delta, changed),
         }
     }
 
-    fn send_snapshot_without_one(&mut self) {
-        let left_out = self.some_server();
+    fn send_snapshot_without_one_server(&mut self) {
+        let left_out = self.random_server();
         let endpoints = self.servers.values().map(|server| server.endpoint);
         let kept = endpoints
             .filter(|endpoint| Some(endpoint.server) != left_out)
@@ -181,7 +184,7 @@
         self.send_endpoints(EndpointUpdate::Snapshot, kept);
     }
 
-    /// Changes one server, and returns the endpoints that differ.
+    /// Changes one server, and returns the changed endpoints.
     fn change_server(&mut self, id: ServerId) -> Vec<Endpoint> {
         let Some(server) = self.servers.get_mut(&id) else {
             return Vec::new();
@@ -199,26 +202,26 @@
         vec![server.endpoint]
     }
 
-    /// A server goes, and another one starts in its place.
+    /// Removes a server, and starts another server in its place.
     fn replace_server(&mut self, id: ServerId) -> [Endpoint; 2] {
-        let before = self
+        let removed = self
             .servers
             .remove(&id)
-            .expect("a server that is there")
+            .expect("an existing server")
             .endpoint;
         let gone = Endpoint {
             state: EndpointState::Gone,
-            ..before
+            ..removed
         };
-        let fresh = Endpoint {
+        let replacement = Endpoint {
             server: ServerId(id.0 + 1_000_003),
             started_at: Some(Timestamp::from_micros(self.now)),
             state: EndpointState::Ready,
-            ..before
+            ..removed
         };
         self.servers
-            .insert(fresh.server, SimulatedServer::healthy(fresh));
-        [gone, fresh]
+            .insert(replacement.server, SimulatedServer::healthy(replacement));
+        [gone, replacement]
     }
 
     fn change_health(&mut self) {
@@ -230,7 +233,7 @@
             _ => ServerHealth::Healthy,
         };
         for _ in 0..1 + self.servers.len() / 14 {
-            let Some(id) = self.some_server() else {
+            let Some(id) = self.random_server() else {
                 continue;
             };
             if let Some(server) = self.servers.get_mut(&id) {
@@ -239,7 +242,7 @@
         }
     }
 
-    /// How many gateways a customer's requests come through.
+    /// Returns the number of gateways that receive a customer's requests.
     fn gateways_of(&self, customer: u64) -> u32 {
         match customer {
             36.. if self.is_large_fleet => LARGE_FLEET,
@@ -282,12 +285,12 @@
     }
 
     fn handle(&mut self, gateway: usize, event: Event) {
-        self.occurred.insert(name_of(&event));
+        self.occurred.insert(variant_name(&event));
         let mut actions = Vec::new();
         self.gateways[gateway].handle(Timestamp::from_micros(self.now), event, &mut actions);
         for action in actions {
             write_action(&mut self.digest, gateway, &action);
-            self.occurred.insert(name_of(&action));
+            self.occurred.insert(variant_name(&action));
             self.carry_out(gateway, action);
         }
     }
@@ -391,7 +394,7 @@
         }
     }
 
-    fn carry_out_scheduled(&mut self, scheduled: Scheduled) {
+    fn execute_scheduled(&mut self, scheduled: Scheduled) {
         match scheduled {
             Scheduled::GatewayEvent { gateway, event } => self.handle(gateway, event),
             Scheduled::AttemptFinished(attempt) => self.finish_attempt(attempt),
@@ -406,7 +409,7 @@
             outcome,
         }: FinishedAttempt,
     ) {
-        self.occurred.insert(name_of(&outcome));
+        self.occurred.insert(variant_name(&outcome));
         self.in_flight.remove(&key);
         let in_flight = self.servers.get_mut(&server).map_or(0, |server| {
             server.in_flight = server.in_flight.saturating_sub(1);
@@ -435,14 +438,14 @@
         );
     }
 
-    /// Runs for the whole span, with few requests and many by turns.
+    /// Runs the simulation, which alternates between low and high request rates every 5 s.
     pub(crate) fn run(mut self) -> SimulationResult {
         let mut next = NextSteps {
             request: STARTED_AT,
             endpoint_change: STARTED_AT + S,
             health_change: STARTED_AT + 2 * S,
         };
-        while self.now < STARTED_AT + SPAN {
+        while self.now < STARTED_AT + SIMULATED_TIME {
             self.step(&mut next);
         }
         SimulationResult {
@@ -451,7 +454,8 @@
         }
     }
 
-    /// What comes first: something scheduled, a request, or a change of endpoints or of health.
+    /// Executes whichever is due first: a scheduled event, a request, or a change of endpoints or of
+    /// the health of servers.
     fn step(&mut self, next: &mut NextSteps) {
         let scheduled = self
             .schedule
@@ -465,12 +469,12 @@
         self.now = self.now.max(first);
         if first == scheduled {
             if let Some((_, scheduled)) = self.schedule.pop_first() {
-                self.carry_out_scheduled(scheduled);
+                self.execute_scheduled(scheduled);
             }
         } else if first == next.request {
             self.receive_request();
-            let is_calm = (self.now / (5 * S)).is_multiple_of(2);
-            let mean_interval = if is_calm { 12 * MS } else { 3 * MS };
+            let is_low_rate = (self.now / (5 * S)).is_multiple_of(2);
+            let mean_interval = if is_low_rate { 12 * MS } else { 3 * MS };
             next.request = self.now + self.random.u64(0..2 * mean_interval);
         } else if first == next.endpoint_change {
             self.change_endpoints();
@@ -482,14 +486,14 @@
     }
 }
 
-/// The digest of all actions, and the names of all events, actions and outcomes that occurred.
+/// Digest of all actions, and names of all events, actions and outcomes that occurred.
 pub(crate) struct SimulationResult {
     pub(crate) digest: u64,
     pub(crate) occurred: BTreeSet<String>,
 }
 
-/// The name of a variant, without its fields.
-fn name_of(value: &impl fmt::Debug) -> String {
+/// Returns the name of an enum variant, without its fields.
+fn variant_name(value: &impl fmt::Debug) -> String {
     let text = format!("{value:?}");
     text.split([' ', '(']).next().unwrap_or_default().to_owned()
 }
--- a/crates/gateway-core/tests/server_table.rs
+++ b/crates/gateway-core/tests/server_table.rs
@@ -20,9 +20,9 @@
 /// requests that fills their estimates of the servers.
 fn entries_visited_in_one_second(servers: u64) -> u64 {
     let mut pair = new_pair(servers);
-    pair.requests(0..200);
+    pair.send_requests(0..200);
     let before = pair.entries_visited();
-    pair.requests(200..400);
+    pair.send_requests(200..400);
     pair.entries_visited() - before
 }
 
@@ -41,7 +41,7 @@
 #[test]
 fn changed_endpoint_visits_at_most_three_entries() {
     let mut pair = new_pair(MANY_SERVERS);
-    pair.requests(0..200);
+    pair.send_requests(0..200);
     for number in 0..1_000 {
         let server = endpoint(number / 3 * 331);
         let changed = match number % 3 {
@@ -78,7 +78,7 @@
 fn uses_whole_subset_and_replaces_gone_servers() {
     let servers = 20_000;
     let mut pair = new_pair(servers);
-    pair.requests(0..1_500);
+    pair.send_requests(0..1_500);
     let used: BTreeSet<_> = servers_of_first_gateway(&pair).into_iter().collect();
     let subset_size = 7 * servers as usize / 4_200 + 1;
     assert!(
@@ -93,7 +93,7 @@
     let removed: Vec<_> = used.iter().take(subset_size / 2).map(remove).collect();
     pair.handle(0, delta(removed.clone()));
     pair.sent.clear();
-    pair.requests(1_500..3_000);
+    pair.send_requests(1_500..3_000);
     let later = servers_of_first_gateway(&pair);
     assert!(later.len() > 500, "sent only {} attempts", later.len());
     let is_used = |endpoint: &Endpoint| later.contains(&endpoint.server);
@@ -118,12 +118,12 @@
 #[test]
 fn snapshot_replaces_endpoint_list() {
     let mut pair = new_pair(5_000);
-    pair.requests(0..400);
+    pair.send_requests(0..400);
     for gateway in 0..2 {
         pair.handle(gateway, snapshot(1_000));
     }
     pair.sent.clear();
-    pair.requests(400..800);
+    pair.send_requests(400..800);
     assert!(
         pair.sent.len() > 300,
         "sent only {} attempts",
@@ -140,7 +140,7 @@
         pair.handle(gateway, snapshot(14));
     }
     pair.sent.clear();
-    pair.requests(800..1_200);
+    pair.send_requests(800..1_200);
     let used: BTreeSet<_> = pair.sent.iter().map(|attempt| attempt.server).collect();
     assert!(
         used.len() >= 10 && used.iter().all(|server| is_listed(*server, 14)),
