--- a/crates/gateway-core/tests/common/fleet.rs
+++ b/crates/gateway-core/tests/common/fleet.rs
@@ -1,18 +1,19 @@
-//! Many gateways on one clock, whose messages are lost, delayed, duplicated and reordered.
+//! A simulated fleet of gateways with one clock. Messages between the gateways are lost, delayed,
+//! duplicated and reordered.
 
 use super::{GatewayHarness, Micros, SettingsBuilder, CUSTOMER, IDEMPOTENT, MS, S};
 use gateway_core::*;
 use std::collections::BTreeMap;
 
-/// Of twenty messages, how many arrive.
+/// Mean number of messages in twenty of which the first copy is delivered.
 const DELIVERED_OF_TWENTY: u8 = 18;
-/// Of twenty messages, how many are duplicated.
+/// Mean number of messages in twenty of which a second copy is delivered.
 const DUPLICATED_OF_TWENTY: u8 = 1;
 
-/// A message on its way.
+/// A message in transit.
 struct Delivery {
     arrives_at: Micros,
-    /// Index of the gateway that it goes to.
+    /// Index of the gateway that receives the message.
     to: usize,
     event: Event,
 }
@@ -21,12 +22,12 @@
 pub(crate) struct Fleet {
     pub(crate) gateways: Vec<GatewayHarness>,
     pub(crate) random: fastrand::Rng,
-    /// Messages that gateways have sent, including those that are lost.
+    /// Number of messages that all gateways have sent, including lost messages.
     pub(crate) messages_sent: u64,
-    /// Messages that each gateway has received, by index.
+    /// Number of messages that each gateway has received, by index.
     pub(crate) messages_received: BTreeMap<usize, u64>,
     network: Vec<Delivery>,
-    /// How many actions of each gateway have been looked through for messages.
+    /// Number of actions of each gateway whose messages are already on the network, by index.
     actions_collected: Vec<usize>,
 }
 
@@ -34,10 +35,10 @@
     pub(crate) fn new(
         gateways: u32,
         servers: u64,
-        change: impl Fn(SettingsBuilder) -> SettingsBuilder,
+        customize: impl Fn(SettingsBuilder) -> SettingsBuilder,
     ) -> Self {
         let gateway = |number| {
-            let settings = change(SettingsBuilder::new(number, gateways)).build();
+            let settings = customize(SettingsBuilder::new(number, gateways)).build();
             GatewayHarness::with_servers(u64::from(number), settings, S, servers)
         };
         let gateways: Vec<_> = (0..gateways).map(gateway).collect();
@@ -55,12 +56,12 @@
         self.gateways[0].now
     }
 
-    /// The largest number of messages that one gateway has received.
+    /// Returns the largest number of messages that any gateway has received.
     pub(crate) fn most_received(&self) -> u64 {
         self.messages_received.values().max().copied().unwrap_or(0)
     }
 
-    /// Lets time pass at every gateway, and delivers what is due.
+    /// Advances the clock of all gateways, and delivers the messages that are due.
     pub(crate) fn advance(&mut self, span: Micros) {
         let end = self.now() + span;
         while self.now() < end {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Puts the messages that a gateway has sent on the network.
+    /// Puts the new messages of a gateway on the network.
     fn collect_messages(&mut self, from: usize) {
         let gateway = &self.gateways[from];
         for action in &gateway.actions[self.actions_collected[from]..] {
@@ -129,7 +130,8 @@
         })
     }
 
-    /// The same through gateways that `choose` picks, of so many.
+    /// Sends requests of one customer at a steady rate, each through the gateway that `choose`
+    /// returns for the number of gateways. Returns how many attempts were sent and completed.
     pub(crate) fn drive_chosen_gateways(
         &mut self,
         plan: PlanId,
@@ -148,14 +150,14 @@
         sent
     }
 
-    /// Restarts a gateway without any state; messages in transit to it still arrive.
+    /// Replaces a gateway by a new one without state; messages in transit to it still arrive.
     pub(crate) fn restart(&mut self, index: usize, seed: u64, settings: Settings, servers: u64) {
         let now = self.gateways[index].now;
         self.gateways[index] = GatewayHarness::with_servers(seed, settings, now, servers);
         self.actions_collected[index] = 0;
     }
 
-    /// Restarts every gateway without any state.
+    /// Replaces all gateways by new ones without state and with the default settings.
     pub(crate) fn restart_all(&mut self, seed: u64, servers: u64) {
         let count = self.gateways.len();
         for index in 0..count {
--- a/crates/gateway-core/tests/common/harness.rs
+++ b/crates/gateway-core/tests/common/harness.rs
@@ -1,5 +1,5 @@
-//! One gateway on a clock of its own. Every action that it takes is checked against the rules of
-//! the platform, by a [`RequestLog`] that does not see the gateway's state.
+//! A harness around one gateway, with its own clock. A [`RequestLog`], which has no access to the
+//! gateway's state, checks every action against the rules of the platform.
 
 use super::request_log::RequestLog;
 use super::{Micros, CUSTOMER, IDEMPOTENT, MS, S, UNLIMITED};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between two rounds of timers.
+/// Step of the clock, after which due timers fire.
 const TIMER_STEP: Micros = 2 * MS;
 
 pub(crate) struct PendingTimer {
@@ -23,7 +23,7 @@
     pub(crate) server: ServerId,
 }
 
-/// A gateway, the endpoints that it was notified of, and the actions that it returned.
+/// A gateway, the endpoints that it has received, and the actions that it has returned.
 pub(crate) struct GatewayHarness {
     pub(crate) now: Micros,
     pub(crate) gateway: Gateway,
@@ -31,11 +31,11 @@
     pub(crate) timers: Vec<PendingTimer>,
     pub(crate) endpoints: BTreeMap<ServerId, Endpoint>,
     pub(crate) in_flight: Vec<InFlightAttempt>,
-    /// All actions that the gateway has returned.
+    /// All actions that the gateway has returned, in order.
     pub(crate) actions: Vec<Action>,
     /// The gateways that receive the customers' requests.
     pub(crate) customer_gateways: GatewaySet,
-    /// Requests in flight that each server reports.
+    /// Number of requests in flight that each server reports; other servers report none.
     pub(crate) reported_loads: BTreeMap<ServerId, f64>,
     requests: RequestLog,
     last_request: u64,
@@ -72,7 +72,8 @@
         harness
     }
 
-    /// The only gateway of its customers, so that it decides on their quotas without another one.
+    /// Returns the only gateway of its customers, which decides on their quotas without messages to
+    /// other gateways.
     pub(crate) fn sole_gateway(seed: u64, settings: Settings, now: Micros, servers: u64) -> Self {
         let customer_gateways = GatewaySet {
             first: settings.gateway_id,
@@ -95,7 +96,7 @@
         self.handle(Event::EndpointsUpdated { kind, endpoints });
     }
 
-    /// A request of one unit arrives.
+    /// Passes a request of one unit to the gateway, and returns its id.
     pub(crate) fn request(
         &mut self,
         class: ClassId,
@@ -119,7 +120,8 @@
         id
     }
 
-    /// A request arrives, and succeeds if it is sent immediately; returns whether it was.
+    /// Passes a request to the gateway, and completes it with success if it is sent immediately.
+    /// Returns whether it was sent.
     pub(crate) fn request_and_complete(
         &mut self,
         class: ClassId,
@@ -135,8 +137,8 @@
         sent
     }
 
-    /// Idempotent requests without a limit arrive one after the other, and succeed if they are sent
-    /// immediately; returns the servers that they were sent to.
+    /// Passes idempotent requests without a quota to the gateway, one per interval, and completes
+    /// each with success if it is sent immediately. Returns the servers that they were sent to.
     pub(crate) fn complete_sequential_requests(
         &mut self,
         count: usize,
@@ -154,7 +156,7 @@
         servers
     }
 
-    /// The server at which a request is in flight.
+    /// Returns the server at which an attempt of a request is in flight.
     pub(crate) fn server_of(&self, id: &RequestId) -> Option<ServerId> {
         let attempt = self
             .in_flight
@@ -163,7 +165,7 @@
         Some(attempt.server)
     }
 
-    /// Ends the attempt of a request that is in flight.
+    /// Finishes the attempt in flight of a request, and returns the resulting actions.
     pub(crate) fn finish(&mut self, id: &RequestId, outcome: AttemptOutcome) -> Vec<Action> {
         let index = self
             .in_flight
@@ -194,7 +196,7 @@
         in_flight.len()
     }
 
-    /// The client of a request disconnects.
+    /// Disconnects the client of a request.
     pub(crate) fn disconnect(&mut self, id: &RequestId) {
         self.requests.client_disconnected(id);
         self.handle(Event::ClientDisconnected { id: id.clone() });
@@ -211,7 +213,8 @@
         actions
     }
 
-    /// Lets time pass in steps, and fires every timer that is due.
+    /// Advances the clock in steps, and fires all timers that are due. Returns the resulting
+    /// actions.
     pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -223,7 +226,7 @@
         actions
     }
 
-    /// Fires the timers that are due now.
+    /// Fires the timers that are due now, and returns the resulting actions.
     pub(crate) fn fire_due_timers(&mut self) -> Vec<Action> {
         let now = self.now;
         let (due, later) = self
@@ -257,18 +260,18 @@
                 });
             }
             Action::Broadcast { bytes } | Action::SendToPeer { bytes, .. } => {
-                assert!(bytes.len() <= 256, "message too long");
+                assert!(bytes.len() <= 256, "message exceeds 256 bytes");
             }
             Action::CancelAttempt { .. } | Action::WatchEndpoints | Action::Warn(_) => {}
         }
     }
 
-    /// How many attempts have been sent.
+    /// Returns how many attempts the gateway has sent.
     pub(crate) fn sent_count(&self) -> usize {
         count_sent(&self.actions)
     }
 
-    /// How many requests were rejected or have failed.
+    /// Returns how many requests the gateway has rejected or failed.
     pub(crate) fn rejected_or_failed_count(&self) -> usize {
         self.actions
             .iter()
@@ -277,7 +280,7 @@
     }
 }
 
-/// How many of these actions send an attempt.
+/// Returns how many of these actions send an attempt.
 pub(crate) fn count_sent(actions: &[Action]) -> usize {
     actions
         .iter()
@@ -285,7 +288,7 @@
         .count()
 }
 
-/// A ready server; even and odd numbers are in different zones and cells.
+/// Returns the endpoint of a ready server. Even and odd numbers are in different zones and cells.
 pub(crate) fn ready_endpoint(server: u64) -> Endpoint {
     Endpoint {
         server: ServerId(server),
--- a/crates/gateway-core/tests/common/mod.rs
+++ b/crates/gateway-core/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the decision library share: settings, a harness around one gateway, and a
-//! fleet of them.
+//! Test support of the decision library: settings, a harness around one gateway, and a simulated
+//! fleet of such harnesses.
 #![allow(dead_code, unused_imports)]
 
 pub(crate) mod fleet;
@@ -12,10 +12,12 @@
 
 use gateway_core::CustomerId;
 
-/// Time on the clock of a test, in microseconds.
+/// An instant on the clock of a test, or a time span, in microseconds.
 pub(crate) type Micros = u64;
 
+/// One millisecond.
 pub(crate) const MS: Micros = 1_000;
+/// One second.
 pub(crate) const S: Micros = 1_000_000;
 
 /// The customer of tests that need only one.
--- a/crates/gateway-core/tests/common/request_log.rs
+++ b/crates/gateway-core/tests/common/request_log.rs
@@ -1,25 +1,31 @@
-//! The platform's rules for requests, checked against what a gateway does: every client is answered
-//! once and in time (rule 1), nothing is executed twice that must not be (rule 2), and nothing new
-//! goes to a server that drains (rule 3).
+//! Checks the actions of a gateway against the platform's rules for requests:
+//!
+//! 1. Every client receives exactly one final answer, and receives it in time.
+//! 2. No request is executed more often than its class permits.
+//! 3. No attempt is sent to a server that is draining or gone.
 
 use super::{Micros, MS};
 use gateway_core::*;
 use std::collections::BTreeMap;
 
-/// Time by which a final answer may come after its client's deadline, as timers fire in steps.
+/// Time by which a final answer may be later than the client's deadline, because timers fire in
+/// steps.
 const TIMER_TOLERANCE: Micros = 8 * MS;
 
 #[derive(Default)]
 struct RequestRecord {
     class: ClassId,
     deadline: Micros,
-    /// Whether its client still waits for an answer.
-    open: bool,
+    /// Whether the client still waits for its final answer.
+    is_open: bool,
+    /// Number of attempts sent.
     attempts: u32,
+    /// Whether an attempt is in flight.
     in_flight: bool,
-    /// The cell of the server that it was last sent to.
+    /// Cell of the server to which the last attempt was sent.
     last_cell: CellId,
-    /// The cell in which it may have been executed first.
+    /// Cell in which the request may have been executed first; `None` if no finished attempt may
+    /// have executed it.
     executed_in: Option<CellId>,
 }
 
@@ -28,12 +34,12 @@
         settings.classes[self.class.0].idempotency
     }
 
-    fn possibly_executed(&self) -> bool {
+    fn may_have_been_executed(&self) -> bool {
         self.executed_in.is_some() || self.in_flight
     }
 }
 
-/// All requests that a gateway was given.
+/// Log of all requests that a gateway has received.
 #[derive(Default)]
 pub(crate) struct RequestLog(BTreeMap<RequestId, RequestRecord>);
 
@@ -44,7 +50,7 @@
             RequestRecord {
                 class,
                 deadline,
-                open: true,
+                is_open: true,
                 ..RequestRecord::default()
             },
         );
@@ -53,7 +59,7 @@
     fn record(&mut self, id: &RequestId) -> &mut RequestRecord {
         self.0
             .get_mut(id)
-            .expect("a request that the gateway was given")
+            .expect("a request that the gateway has received")
     }
 
     /// Checks that an attempt may be sent, and returns its number.
@@ -64,7 +70,10 @@
         settings: &Settings,
     ) -> AttemptNumber {
         let record = self.record(id);
-        assert!(record.open, "rule 1: sent after its final answer");
+        assert!(
+            record.is_open,
+            "rule 1: attempt sent after the final answer"
+        );
         assert!(!record.in_flight, "rule 2: two attempts in flight at once");
         assert!(
             record.attempts < settings.permissions.max_attempts,
@@ -73,7 +82,7 @@
         assert_eq!(
             endpoint.state,
             EndpointState::Ready,
-            "rule 3: sent to a server that is not ready"
+            "rule 3: attempt sent to a server that is not ready"
         );
         assert_may_execute(record, endpoint, settings);
         let number = AttemptNumber(record.attempts);
@@ -83,31 +92,32 @@
         number
     }
 
-    /// Returns whether its client has its final answer.
+    /// Records the end of an attempt, and returns whether the request is closed.
     pub(crate) fn attempt_finished(&mut self, id: &RequestId, outcome: AttemptOutcome) -> bool {
         let record = self.record(id);
         record.in_flight = false;
-        if possibly_executed(outcome) {
+        if may_have_executed(outcome) {
             record.executed_in.get_or_insert(record.last_cell);
         }
         if outcome == AttemptOutcome::Success {
-            record.open = false;
+            record.is_open = false;
         }
-        !record.open
+        !record.is_open
     }
 
     pub(crate) fn client_disconnected(&mut self, id: &RequestId) {
-        self.record(id).open = false;
+        self.record(id).is_open = false;
     }
 
-    /// Checks that the final answer is the first one.
+    /// Records a failure, and checks that it is the only final answer to the request.
     pub(crate) fn failed(&mut self, id: &RequestId) {
         let record = self.record(id);
-        assert!(record.open, "rule 1: a second final answer");
-        record.open = false;
+        assert!(record.is_open, "rule 1: second final answer");
+        record.is_open = false;
     }
 
-    /// Checks the same, and that the client may safely retry.
+    /// Records a rejection, and checks that it is the only final answer to the request and that the
+    /// client may safely retry.
     pub(crate) fn rejected(&mut self, id: &RequestId, settings: &Settings) {
         self.failed(id);
         let record = self.record(id);
@@ -120,24 +130,25 @@
                 }
         );
         assert!(
-            !record.possibly_executed() || may_repeat_anywhere,
-            "rule 2: rejected, though it may have been executed"
+            !record.may_have_been_executed() || may_repeat_anywhere,
+            "rule 2: rejected a request that may have been executed"
         );
     }
 
-    /// Checks that no client waits for longer than its timeout.
+    /// Checks that no client has waited longer than its timeout.
     pub(crate) fn assert_answered_in_time(&self, now: Micros) {
         for (id, record) in &self.0 {
             let in_time = now <= record.deadline + TIMER_TOLERANCE;
             assert!(
-                !record.open || in_time,
-                "rule 1: {id:?} had no final answer in time"
+                !record.is_open || in_time,
+                "rule 1: {id:?} received no final answer in time"
             );
         }
     }
 }
 
-/// Checks that an execution at this endpoint, after a possible earlier one, does no harm.
+/// Checks that an execution at this endpoint is harmless if the request may already have been
+/// executed.
 fn assert_may_execute(record: &RequestRecord, endpoint: &Endpoint, settings: &Settings) {
     let Some(executed_in) = record.executed_in else {
         return;
@@ -149,14 +160,15 @@
             let same_cell = executed_in == endpoint.cell;
             assert!(
                 scope == DeduplicationScope::AllServers || same_cell,
-                "rule 2: sent outside its deduplication scope"
+                "rule 2: keyed request sent outside its deduplication scope"
             );
         }
     }
 }
 
-/// Stated independently of the library, so that a fault there is found.
-fn possibly_executed(outcome: AttemptOutcome) -> bool {
+/// Returns whether an attempt with this outcome may have executed its request. This does not call
+/// [`AttemptOutcome::may_have_executed`], so that a fault there is found.
+fn may_have_executed(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
         AttemptOutcome::Overloaded | AttemptOutcome::Unreachable | AttemptOutcome::NotSent
--- a/crates/gateway-core/tests/common/settings.rs
+++ b/crates/gateway-core/tests/common/settings.rs
@@ -1,34 +1,37 @@
-//! Settings of the gateways under test: four classes and four plans, each with a name.
+//! Settings of the gateways under test, and names for their four classes and four plans.
 
 use gateway_core::*;
 use std::time::Duration;
 
-/// The classes, by what they allow to be executed twice.
+/// The lowest class: its requests may be executed more than once.
 pub(crate) const IDEMPOTENT: ClassId = ClassId(0);
+/// The servers of a cell recognise an idempotency key.
 pub(crate) const KEYED_BY_CELL: ClassId = ClassId(1);
 pub(crate) const NON_IDEMPOTENT: ClassId = ClassId(2);
+/// All servers recognise an idempotency key.
 pub(crate) const KEYED: ClassId = ClassId(3);
 pub(crate) const CLASS_COUNT: usize = 4;
 
-/// One unit a second, with a burst of 4.
+/// A quota of one unit a second, with a burst of 4 units.
 pub(crate) const SMALL_QUOTA: PlanId = PlanId(0);
-/// No limit by rate.
+/// No quota.
 pub(crate) const UNLIMITED: PlanId = PlanId(1);
-/// A hard limit of 8 units a second and a capacity of 12, under a quota that binds no sooner.
+/// A hard limit of 8 units a second with a capacity of 12 units, and a much larger quota.
 pub(crate) const HARD_LIMITED: PlanId = PlanId(2);
-/// Two attempts in flight at once, over all gateways.
+/// At most two attempts in flight at once, over all gateways.
 pub(crate) const TWO_CONCURRENT: PlanId = PlanId(3);
 pub(crate) const PLAN_COUNT: usize = 4;
 
-/// Gateways of a fleet that shares quotas by leases, as it has too many for broadcasts.
+/// Number of gateways of a large fleet, which shares quotas by leases because it has too many
+/// gateways for broadcasts.
 pub(crate) const LARGE_FLEET: u32 = 300;
 
-/// The settings of a gateway without any change.
+/// Returns the default settings of a gateway under test.
 pub(crate) fn settings(gateway: u32, gateway_count: u32) -> Settings {
     SettingsBuilder::new(gateway, gateway_count).build()
 }
 
-/// Settings of a gateway, changed one by one.
+/// Builder of settings that differ from the defaults of the tests.
 pub(crate) struct SettingsBuilder(Settings);
 
 impl SettingsBuilder {
