--- a/crates/gateway-core/src/reconnect.rs
+++ b/crates/gateway-core/src/reconnect.rs
@@ -34,13 +34,13 @@
 /// Upper bound of the wait for the first list, because a restarted edge node has to be ready soon.
 const MAX_FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Number of answer timeouts in the drain grace.
+/// Drain grace divided by the answer timeout.
 const ANSWER_TIMEOUTS_PER_GRACE: u32 = 4;
-/// Number of initial backoffs in the drain grace.
+/// Drain grace divided by the initial backoff.
 const INITIAL_BACKOFFS_PER_GRACE: u32 = 40;
-/// Number of longest backoffs after a lost connection in the drain grace.
+/// Drain grace divided by the longest backoff after a lost connection.
 const LONGEST_BACKOFFS_PER_GRACE: u32 = 16;
-/// Number of first-list timeouts in the drain grace.
+/// Drain grace divided by the first-list timeout.
 const FIRST_LIST_TIMEOUTS_PER_GRACE: u32 = 2;
 
 /// Smallest factor by which jitter multiplies a backoff; the largest factor is greater by 1.
