--- a/crates/gateway-core/src/policy/admission.rs
+++ b/crates/gateway-core/src/policy/admission.rs
@@ -1,7 +1,7 @@
-//! Admission: what becomes of a request that has just arrived.
+//! Admission: the decision on a request that has just arrived.
 //!
-//! [`decide`] records the request's demand, asks the fleet's way of sharing quotas
-//! ([`QuotaSharing`]), and charges the request's units to its customer's account.
+//! [`decide`] records the request's demand, lets the fleet's [`QuotaSharing`] decide, and charges
+//! the request's units to its customer's account.
 
 use super::deadlines::FINAL_ANSWER_MARGIN;
 use super::quota_sharing::owner::MAX_LEASE_LIFETIME;
@@ -11,21 +11,22 @@
 use crate::state::request::Request;
 use crate::types::RejectReason;
 
-/// What becomes of a request that has just arrived.
+/// Decision on a request that has just arrived.
 pub(crate) enum Admission {
-    /// The customer's account here covers it.
+    /// The request is admitted: the customer's account at this gateway covers it.
     Admit,
-    /// The lease that this gateway holds for the customer covers it.
+    /// The request is admitted: the lease that this gateway holds for the customer covers it.
     AdmitOnLease(RequestGrant),
-    /// One of the customer's quota owners decides.
+    /// One of the customer's quota owners decides: it is sent a lease request.
     AskOwner,
-    /// It is rejected.
+    /// The request is rejected.
     Reject(RejectReason),
 }
 
-/// Decides on a request that has just arrived, and charges its units to `account`, its customer's,
-/// which has been refilled up to now. The units are charged whatever is decided; a request that is
-/// never sent returns them.
+/// Decides on a request that has just arrived, and charges its units to `account`.
+///
+/// `account` is the account of the request's customer, refilled up to now. The units are charged
+/// whatever the decision is; they are returned if the request is never sent.
 pub(crate) fn decide(
     quota_sharing: QuotaSharing,
     context: Context<'_>,
@@ -39,7 +40,7 @@
     admission
 }
 
-/// Whether the deadline of a request leaves no time for an attempt.
+/// Returns whether the deadline of a request leaves no time for an attempt.
 pub(super) fn is_deadline_too_short(context: Context<'_>, request: &Request) -> bool {
     request.deadline() <= context.now + FINAL_ANSWER_MARGIN
 }
--- a/crates/gateway-core/src/policy/controller_inputs.rs
+++ b/crates/gateway-core/src/policy/controller_inputs.rs
@@ -1,14 +1,13 @@
-//! What the fuzzy controller observes at a control tick, which differs between small and large
-//! fleets.
+//! Inputs of the fuzzy controller at a control tick, which differ between small and large fleets.
 //!
 //! The rules, in the order in which they apply at each control tick:
-//! 1. Answered requests count with their latency. Open requests count with their age where the
-//!    fleet's rule says so: without them, servers that hang would look fast, because nothing is
-//!    answered ([`ControllerInputs::counts_open_request`]).
-//! 2. The latency ratio of each class includes the mean of this gateway's samples
-//!    ([`ControllerInputs::latency_ratio_weight`]), or is unknown where there are none
-//!    ([`ControllerInputs::forgets_latency_ratios`]).
-//! 3. The means of attempts in flight include this gateway's counts
+//! 1. An answered request counts with its latency. An open request counts with its age if the rule
+//!    of the fleet says so ([`ControllerInputs::counts_open_request`]). Without open requests,
+//!    servers that hang would look fast, because they answer nothing.
+//! 2. The latency ratio of each class is updated with the mean of this gateway's samples
+//!    ([`ControllerInputs::latency_ratio_weight`]). Without samples it stays as it was, or becomes
+//!    unknown ([`ControllerInputs::forgets_latency_ratios`]).
+//! 3. The means of attempts in flight are updated with this gateway's counts
 //!    ([`ControllerInputs::in_flight_weight`]).
 
 use crate::state::deployment::FleetMode;
@@ -16,16 +15,20 @@
 
 /// Weight of one gateway's sample in the latency ratios of a large fleet.
 pub(crate) const LATENCY_RATIO_WEIGHT: f64 = 0.2;
-/// Weight of this gateway's attempts in flight at one control tick in the means of a large fleet.
+/// Weight of this gateway's count at one control tick in the mean numbers of attempts in flight of
+/// a large fleet.
 const LARGE_FLEET_IN_FLIGHT_WEIGHT: f64 = 0.2;
 /// Latency ratio above which a request misses its latency objective.
 const OBJECTIVE_RATIO: f64 = 1.0;
 
-/// The rules by which a gateway observes latency and load for its controller.
+/// Rules by which a gateway measures latency ratios and attempts in flight for its fuzzy
+/// controller.
 pub(crate) trait ControllerInputs {
-    /// Whether an open request counts as a latency sample at this control tick. `latency_ratio` is
-    /// its age relative to its latency objective, `mean` the mean of its class's samples so far. A
-    /// rule by which a request counts only once records that in the request.
+    /// Returns whether an open request counts as a latency sample at this control tick.
+    ///
+    /// `latency_ratio` is the age of the request relative to its latency objective, `mean` the mean
+    /// of its class's samples so far. A rule that counts each request only once records in the
+    /// request that it was counted.
     fn counts_open_request(
         &self,
         request: &mut Request,
@@ -33,20 +36,23 @@
         mean: Option<f64>,
     ) -> bool;
 
-    /// Weight of this gateway's samples of one control tick in the latency ratio of a class.
+    /// Returns the weight of this gateway's samples of one control tick in the latency ratio of a
+    /// class, from 0 to 1.
     fn latency_ratio_weight(&self) -> f64;
 
-    /// Whether the latency ratio of a class becomes unknown at a control tick without samples.
+    /// Returns whether the latency ratio of a class becomes unknown at a control tick without
+    /// samples.
     fn forgets_latency_ratios(&self) -> bool;
 
-    /// Weight of this gateway's count at one control tick in the means of attempts in flight.
+    /// Returns the weight of this gateway's count at one control tick in the mean numbers of
+    /// attempts in flight, from 0 to 1.
     fn in_flight_weight(&self) -> f64;
 
-    /// Whether operators are warned when the in-flight limit starts.
+    /// Returns whether operators are warned when the in-flight limit starts.
     fn warns_of_missed_objectives(&self) -> bool;
 }
 
-/// The rules for a fleet of this mode.
+/// Returns the rules for a fleet of this mode.
 pub(crate) fn controller_inputs(mode: FleetMode) -> &'static dyn ControllerInputs {
     match mode {
         FleetMode::Gossip => &SmallFleetInputs,
@@ -54,12 +60,12 @@
     }
 }
 
-/// The rules of a small fleet: a gateway sees enough requests to judge by each control tick alone.
+/// Rules of a small fleet. A gateway sees enough requests to judge by each control tick alone.
 struct SmallFleetInputs;
 
 impl ControllerInputs for SmallFleetInputs {
-    /// An open request counts at every tick at which it raises the mean or has missed its
-    /// objective.
+    /// Counts an open request at every control tick at which it has missed its objective or raises
+    /// the mean of its class.
     fn counts_open_request(
         &self,
         _request: &mut Request,
@@ -69,7 +75,7 @@
         latency_ratio > OBJECTIVE_RATIO || mean.is_some_and(|mean| latency_ratio > mean)
     }
 
-    /// The samples of the last control tick alone count.
+    /// Returns 1: only the samples of the last control tick count.
     fn latency_ratio_weight(&self) -> f64 {
         1.0
     }
@@ -87,15 +93,18 @@
     }
 }
 
-/// The rules of a large fleet: a gateway sees few requests, and its latency ratios are means over
-/// the fleet, updated by gossip.
+/// Rules of a large fleet. A gateway sees few requests, so its latency ratios are means over the
+/// fleet, which gossip updates.
 struct LargeFleetInputs;
 
 impl ControllerInputs for LargeFleetInputs {
-    /// An open request counts once, after it has missed its objective. Counted at every tick, a few
-    /// hanging requests would outweigh all answers of a gateway that sees few, and by gossip those
-    /// of the whole fleet, which would then shed and limit what could be served. Time without a
-    /// quota grant is not the servers'.
+    /// Counts an open request once, after it has missed its objective, and only if it has a quota
+    /// grant.
+    ///
+    /// Counted at every control tick, a few hanging requests would outweigh all answers of a
+    /// gateway that sees few requests, and through gossip the answers of the whole fleet, which
+    /// would then shed or limit requests that could be served. Time spent waiting for a quota grant
+    /// is not caused by the servers.
     fn counts_open_request(
         &self,
         request: &mut Request,
@@ -119,7 +128,7 @@
         LARGE_FLEET_IN_FLIGHT_WEIGHT
     }
 
-    /// Hundreds of gateways would flood the log.
+    /// Returns `false`, because warnings of hundreds of gateways would flood the log.
     fn warns_of_missed_objectives(&self) -> bool {
         false
     }
--- a/crates/gateway-core/src/policy/deadlines.rs
+++ b/crates/gateway-core/src/policy/deadlines.rs
@@ -1,14 +1,15 @@
-//! Deadlines: when an open request is given its final answer because of its age, when an attempt is
+//! Deadlines: when an open request gets its final answer because of its age, when an attempt is
 //! cancelled because its answer would come too late, and when a rejected client may retry.
 //!
 //! The rules, in the order in which they apply to a request at each timer:
-//! 1. A final answer is due shortly before the client's deadline, or before half of the client's
-//!    timeout while no attempt has reached a server ([`expiry`]).
+//! 1. The final answer is due shortly before the request's deadline, or shortly before its half
+//!    time (half of the client's timeout) while no attempt is in flight or has reached a server
+//!    ([`expiry`]).
 //! 2. Where late answers have no value, a queued request that can no longer meet its latency
-//!    objective is answered immediately.
-//! 3. Where late answers have no value, an attempt that is in flight past the objective is
-//!    cancelled.
-//! 4. A rejection carries a `Retry-After` ([`retry_after`]).
+//!    objective gets its final answer immediately.
+//! 3. Where late answers have no value, an attempt that is still in flight after the latency
+//!    objective is cancelled.
+//! 4. A rejection carries a `Retry-After`, if the settings allow one ([`retry_after`]).
 
 use crate::state::deployment::Context;
 use crate::state::quota::CustomerAccount;
@@ -17,32 +18,34 @@
 use crate::types::{AttemptNumber, RejectReason};
 use std::time::Duration;
 
-/// Interval between timers while requests are open; a small part of any latency objective.
+/// Interval between timers while requests are open; a small fraction of any latency objective.
 pub(crate) const TIMER_PERIOD: Duration = Duration::from_millis(10);
-/// How long before its deadline a request is answered, because the next timer might come too late.
+/// Time before a deadline or half time at which a request gets its final answer, because the next
+/// timer might fire too late.
 pub(super) const FINAL_ANSWER_MARGIN: Duration = TIMER_PERIOD.saturating_mul(2);
 /// Shortest `Retry-After`, as a fraction of the shortest latency objective.
 const MIN_RETRY_AFTER_OBJECTIVE_FRACTION: f64 = 0.02;
-/// Longest `Retry-After`, as a fraction of the shortest latency objective: all requests of a
-/// customer compete for the units that are refilled.
+/// Longest `Retry-After`, as a fraction of the shortest latency objective. It is short because all
+/// requests of a customer compete for the units that are refilled.
 const MAX_RETRY_AFTER_OBJECTIVE_FRACTION: f64 = 0.1;
-/// Fraction of the fleet's mean latency that an answer is assumed to take when a request is given
-/// up early.
+/// Fraction of the fleet's mean latency that an answer is assumed to take when deciding whether a
+/// queued request can still meet its latency objective.
 const EXPECTED_ANSWER_LATENCY_FRACTION: f64 = 0.5;
 
-/// What is done about an open request because of its age.
+/// Action on an open request because of its age.
 pub(crate) enum Expiry {
-    /// The client gets its final answer, for this reason.
+    /// The client gets its final answer for this reason.
     FinalAnswer(RejectReason),
     /// The attempt in flight is cancelled; the request stays open.
     CancelAttempt(AttemptNumber),
 }
 
-/// Decides what is done about an open request because of its age; `None` if nothing is.
+/// Decides whether an open request gets its final answer, or its attempt is cancelled, because of
+/// its age. Returns `None` if neither is due.
 ///
-/// The design rejects at the deadline. Two additions answer earlier: a client whose request never
-/// reached a server can still try elsewhere in the second half of its timeout, and where a late
-/// answer has no value there is nothing to wait for.
+/// The basic rule is to answer at the deadline. Two additional rules answer earlier: a client whose
+/// request has not reached a server can still try elsewhere in the second half of its timeout, and
+/// where a late answer has no value, there is nothing to wait for.
 pub(crate) fn expiry(context: Context<'_>, request: &Request) -> Option<Expiry> {
     if is_final_answer_due(context, request) {
         return Some(Expiry::FinalAnswer(timeout_reason(context, request)));
@@ -56,20 +59,20 @@
     attempt_past_objective(context, request).map(Expiry::CancelAttempt)
 }
 
-/// Whether the final answer is due: by the deadline, or by half of the client's timeout while no
-/// attempt is in flight or has reached a server.
+/// Returns whether the final answer is due: shortly before the deadline, or shortly before the half
+/// time while no attempt is in flight or has reached a server.
 fn is_final_answer_due(context: Context<'_>, request: &Request) -> bool {
     let is_unsent = !request.is_in_flight() && !request.has_reached_server();
-    let answer_by = if is_unsent {
+    let answer_deadline = if is_unsent {
         request.half_time()
     } else {
         request.deadline()
     };
-    context.now + FINAL_ANSWER_MARGIN >= answer_by
+    context.now + FINAL_ANSWER_MARGIN >= answer_deadline
 }
 
-/// Whether a queued request is about to miss its latency objective: an answer would arrive after
-/// it, even if an attempt were sent now.
+/// Returns whether a queued request is about to miss its latency objective: even if an attempt were
+/// sent now, its answer would arrive after the objective.
 fn will_miss_objective(context: Context<'_>, request: &Request) -> bool {
     if request.is_in_flight() {
         return false;
@@ -80,8 +83,8 @@
     context.now < objective_at && answered_at_us > objective_at.as_micros_f64()
 }
 
-/// The attempt in flight, if it is to be cancelled because its answer would come after the latency
-/// objective and would only occupy a server.
+/// Returns the attempt in flight if it is to be cancelled: its answer would come after the latency
+/// objective, and the attempt would only occupy a server.
 fn attempt_past_objective(context: Context<'_>, request: &Request) -> Option<AttemptNumber> {
     let deployment = context.deployment;
     let is_past_objective = context.now > deployment.objective_deadline(request);
@@ -91,7 +94,8 @@
         .filter(|_| is_past_objective && may_cancel)
 }
 
-/// Why a request is answered because of its age: what it was waiting for.
+/// Returns the reason for a final answer that is due because of the request's age: what the request
+/// was waiting for.
 fn timeout_reason(context: Context<'_>, request: &Request) -> RejectReason {
     if request.was_sent() {
         RejectReason::RetriesExhausted
@@ -102,9 +106,10 @@
     }
 }
 
-/// The `Retry-After` of a rejected client: how long it should wait before it retries. That is until
-/// its customer's account is likely to hold the units of the request, within limits. `None` where
-/// the settings allow no `Retry-After`.
+/// Returns the `Retry-After` of a rejection; `None` if the settings allow none.
+///
+/// It is the time until the customer's account is likely to hold the units of the request, bounded
+/// by fractions of the shortest latency objective and by the settings.
 pub(crate) fn retry_after(
     context: Context<'_>,
     account: Option<&CustomerAccount>,
--- a/crates/gateway-core/src/policy/dispatch.rs
+++ b/crates/gateway-core/src/policy/dispatch.rs
@@ -1,11 +1,12 @@
-//! Dispatch: in which order queued requests are sent, and which of them are skipped for now.
+//! Dispatch: the order in which queued requests are sent, and which of them are skipped for now.
 //!
 //! The rules, in the order in which they apply whenever a server may have a free slot:
-//! 1. The queue is scanned by priority, the highest first; requests of the same priority keep the
+//! 1. The queue is scanned in descending order of priority; requests of the same priority keep the
 //!    order in which they were queued ([`dispatch_order`]).
-//! 2. A first attempt that the customer's own limits do not allow yet is skipped.
+//! 2. A first attempt is skipped while the customer's own limits do not allow it.
 //! 3. A request of the lowest class is skipped while that class is at its in-flight limit.
-//! 4. All others are sent, if load balancing finds a server for them ([`DispatchPass::decide`]).
+//! 4. All other requests are sent if load balancing finds a server for them
+//!    ([`DispatchPass::decide`]).
 
 use super::in_flight_limit::InFlightLimit;
 use super::priority::remaining_priority;
@@ -15,8 +16,8 @@
 use crate::state::request::Request;
 use crate::types::{ClassId, RequestId};
 
-/// The queued requests in the order in which they are considered. `queued` has the order of the
-/// queue.
+/// Returns the queued requests in descending order of their remaining priority. `queued` is in the
+/// order of the queue, which requests of the same priority keep.
 pub(crate) fn dispatch_order<'a>(
     context: Context<'_>,
     queued: impl Iterator<Item = (&'a RequestId, &'a Request)>,
@@ -28,14 +29,15 @@
     prioritized.into_iter().map(|(_, id)| id).collect()
 }
 
-/// Whether a queued request is sent now.
+/// Decision on a queued request.
 pub(crate) enum DispatchDecision {
-    /// It is sent, if there is a server for it.
+    /// The request is sent if there is a server for it.
     Send,
-    /// It is skipped: its customer's own limits do not allow a first attempt yet. The delay is not
-    /// the servers', so it must not count as latency, which would tighten the in-flight limit.
+    /// The request is skipped: its customer's own limits do not allow a first attempt yet. The
+    /// servers do not cause this delay, so it must not count as latency, which would tighten the
+    /// in-flight limit.
     SkipForQuota,
-    /// It is skipped: its class, the lowest, is at its in-flight limit.
+    /// The request is skipped: its class, the lowest, is at its in-flight limit.
     SkipForInFlightLimit,
 }
 
@@ -43,21 +45,22 @@
 pub(crate) struct DispatchPass {
     quota_sharing: QuotaSharing,
     lowest_class: ClassId,
-    /// Attempts of the lowest class in flight, with those sent by this scan.
-    lowest_in_flight: f64,
+    /// Attempts of the lowest class in flight, including those sent during this scan.
+    lowest_class_in_flight: f64,
 }
 
 impl DispatchPass {
-    /// A scan that starts with so many attempts of the lowest class in flight.
+    /// Creates a scan that starts with `lowest_class_in_flight` attempts of the lowest class in
+    /// flight.
     pub(crate) fn new(
         quota_sharing: QuotaSharing,
         lowest_class: ClassId,
-        lowest_in_flight: f64,
+        lowest_class_in_flight: f64,
     ) -> Self {
         DispatchPass {
             quota_sharing,
             lowest_class,
-            lowest_in_flight,
+            lowest_class_in_flight,
         }
     }
 
@@ -69,10 +72,11 @@
         limit: &mut InFlightLimit,
         quotas: &mut QuotaState,
     ) -> DispatchDecision {
-        // Asked before the quota, for each request of the class: it accumulates pacing tokens.
+        // Evaluated before the quota check for each request of the lowest class, because `allows`
+        // accumulates pacing tokens.
         let is_limited = self.is_of_lowest_class(request)
             && !limit.allows(
-                self.lowest_in_flight,
+                self.lowest_class_in_flight,
                 context.now,
                 context.fleet.mean_latency_us(),
             );
@@ -90,10 +94,10 @@
         }
     }
 
-    /// Records that an attempt of a request is being sent.
+    /// Records that an attempt of a request of this class is being sent.
     pub(crate) fn record_attempt_sent(&mut self, class: ClassId, limit: &mut InFlightLimit) {
         if class == self.lowest_class {
-            self.lowest_in_flight += 1.0;
+            self.lowest_class_in_flight += 1.0;
             limit.consume_pacing_token();
         }
     }
--- a/crates/gateway-core/src/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/src/policy/fuzzy_controller.rs
@@ -1,19 +1,20 @@
-//! The self-tuning fuzzy controller (STFC) of the eQoS design: it moves the in-flight limit of the
-//! lowest class so that all other classes, the controlled ones, meet their latency objectives.
+//! The self-tuning fuzzy controller (STFC) of the eQoS design. It adjusts the in-flight limit of
+//! the lowest class so that all other classes, the controlled classes, meet their latency
+//! objectives.
 //!
 //! The rules, in the order in which they apply at each control tick:
-//! 1. The limit starts at the first tick at which a controlled class misses its objective.
-//! 2. The change of the limit is inferred from the error and its change by two rule bases: one
-//!    gives the direction and size, the other one, alpha, how much of it is made
+//! 1. The limit starts at the first control tick at which a controlled class misses its objective.
+//! 2. Two rule bases infer the change of the limit from the error and the change of the error: one
+//!    gives its direction and size, the other gives alpha, the fraction of it that is made
 //!    ([`infer_change`]).
-//! 3. The limit stays between a minimum, which lets some attempts of the class through, and a
-//!    maximum near what is in flight.
+//! 3. The limit stays between a minimum, which lets some attempts of the lowest class through, and
+//!    a maximum near the number of attempts in flight.
 //!
-//! The design's terms beside the code's:
+//! Terms of the design and their names in the code:
 //!
 //! | design | code |
 //! | --- | --- |
-//! | W(k) | `latency_ratio`: the worst ratio of mean latency to objective, of controlled classes |
+//! | W(k) | `latency_ratio`: worst ratio of mean latency to objective of a controlled class |
 //! | D(k) | `TARGET_LATENCY_RATIO` |
 //! | e(k) = D(k) − W(k) | `error` |
 //! | Δe(k) = e(k) − e(k−1) | `error_change` |
@@ -27,9 +28,9 @@
 use crate::state::servers::FleetEstimates;
 use std::time::Duration;
 
-/// Interval between control ticks; the paper's 4 s is longer than bursts of load here.
+/// Interval between control ticks. The paper uses 4 s, which is longer than bursts of load here.
 pub(crate) const TICK_PERIOD: Duration = Duration::from_millis(500);
-/// The latency ratio that the controller steers to (D): the controlled classes just meet their
+/// Latency ratio that the controller steers to (D): the controlled classes just meet their latency
 /// objectives.
 const TARGET_LATENCY_RATIO: f64 = 1.0;
 /// Input gain of the error: scales an error of 1 to the outermost level.
@@ -38,38 +39,41 @@
 const ERROR_CHANGE_GAIN: f64 = 2.0;
 /// Output gain that suits an alpha of 1, as a fraction of the attempts in flight.
 const OUTPUT_GAIN_AT_FULL_ALPHA: f64 = 0.15;
-/// Output gain in use (`KΔu`), as a fraction of the attempts in flight: three times the one above, as
-/// the design prescribes.
+/// Output gain in use (`KΔu`), as a fraction of the attempts in flight: three times
+/// [`OUTPUT_GAIN_AT_FULL_ALPHA`], as the design prescribes.
 const OUTPUT_GAIN: f64 = 3.0 * OUTPUT_GAIN_AT_FULL_ALPHA;
-/// Smallest limit of all gateways together, in attempts.
+/// Smallest sum of the limits of all gateways, in attempts.
 const MIN_FLEET_LIMIT_ATTEMPTS: f64 = 6.0;
-/// How far the limits of all gateways together may exceed what was recently in flight, in attempts.
+/// Maximum lead of the limits of all gateways together over the attempts recently in flight, in
+/// attempts.
 const MAX_FLEET_LEAD_ATTEMPTS: f64 = 12.0;
-/// How far a limit may exceed what was recently in flight, as a fraction of all attempts in flight.
+/// Maximum lead of a limit over the attempts recently in flight, as a fraction of all attempts in
+/// flight.
 const MAX_LEAD_FRACTION: f64 = 0.5;
-/// Largest limit, as a multiple of the lowest class's recent peak in flight, before the lead.
+/// Largest limit without the lead, as a multiple of the lowest class's recent peak in flight.
 const MAX_LIMIT_PEAK_RATIO: f64 = 2.0;
-/// A change of the limit is a fraction of the attempts in flight, but at least of this fraction of
-/// the minimum limit.
+/// Smallest base of a change of the limit, as a fraction of the minimum limit. The base is
+/// otherwise the number of attempts in flight.
 const MIN_STEP_BASE_FRACTION: f64 = 0.5;
-/// Outermost output level of the rule base of the change.
+/// Outermost output level of the rule base for the change.
 const LARGEST_CHANGE_LEVEL: i32 = 3;
-/// Outermost output level of the rule base of alpha.
+/// Outermost output level of the rule base for alpha.
 const LARGEST_ALPHA_LEVEL: i32 = 6;
 
-/// The rule base of the change Δu: an output level from -3 to 3 for levels of the error and of its
-/// change.
+/// Applies the rule base for the change Δu: returns an output level from -3 to 3 for levels of the
+/// error and of its change.
 ///
-/// The paper prints one entry, (PS, PM) = NL. The others follow its zones: oppose what moves away
-/// from the target, and intervene little where the error corrects itself.
+/// The paper prints one entry, (PS, PM) = NL. The other entries follow the zones of the paper: they
+/// oppose a move away from the target, and intervene little where the error corrects itself.
 fn change_rule(error: i32, error_change: i32) -> i32 {
     -(error + error_change).clamp(-LARGEST_CHANGE_LEVEL, LARGEST_CHANGE_LEVEL)
 }
 
-/// The rule base of alpha: an output level from 0 to 6 for levels of the error and of its change.
+/// Applies the rule base for alpha: returns an output level from 0 to 6 for levels of the error and
+/// of its change.
 ///
-/// By the paper's five zones it is large where a large error grows or a disturbance begins, small
-/// where the error corrects itself, and 0 at rest.
+/// According to the five zones of the paper, alpha is large where a large error grows or a
+/// disturbance begins, small where the error corrects itself, and 0 at rest.
 fn alpha_rule(error: i32, error_change: i32) -> i32 {
     let distance = error.abs();
     let speed = error_change.abs();
@@ -80,17 +84,17 @@
     }
 }
 
-/// Outputs of the two rule bases.
+/// Outputs of both rule bases.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Inference {
-    /// The change Δu, from -1 to 1; a positive one lowers the limit.
+    /// Change Δu, from -1 to 1; a positive change lowers the limit.
     pub change: f64,
-    /// The fraction α of the change that is made, from 0 to 1.
+    /// Alpha (α), the fraction of the change that is made, from 0 to 1.
     pub alpha: f64,
 }
 
-/// Infers both outputs from the error and its change, each scaled so that 1 is the outermost level;
-/// larger inputs count as 1.
+/// Infers both outputs from the error and its change. The inputs are scaled so that 1 is the
+/// outermost level; larger inputs count as 1.
 pub fn infer_change(error: f64, error_change: f64) -> Inference {
     Inference {
         change: infer(change_rule, error, error_change, LARGEST_CHANGE_LEVEL),
@@ -98,30 +102,34 @@
     }
 }
 
-/// The controller of one gateway.
+/// Fuzzy controller of one gateway, which adjusts the in-flight limit of the lowest class.
 #[derive(Default)]
 pub(crate) struct FuzzyController {
     limit: InFlightLimit,
-    /// e(k−1); `None` before the first tick with a known latency ratio.
+    /// Error at the last control tick with a known latency ratio, e(k−1); `None` before the first
+    /// such control tick.
     last_error: Option<f64>,
-    /// Peak of the attempts of the lowest class in flight at this control tick and the one before.
+    /// Largest number of attempts of the lowest class in flight at this control tick and the one
+    /// before.
     peak_in_flight: f64,
 }
 
 impl FuzzyController {
-    /// Whether the lowest class is limited: some controlled class has missed its objective before.
+    /// Returns whether the lowest class is limited, which holds once a controlled class has missed
+    /// its objective.
     pub(crate) fn is_limiting(&self) -> bool {
         self.limit.maximum().is_some()
     }
 
-    /// The in-flight limit of the lowest class.
+    /// Returns the in-flight limit of the lowest class.
     pub(crate) fn limit(&mut self) -> &mut InFlightLimit {
         &mut self.limit
     }
 
-    /// Moves the limit at one control tick. `latency_ratio` is the worst of the controlled classes;
-    /// while it is unknown the limit stays. `fleet_fraction` is the part of the fleet that this
-    /// gateway makes up.
+    /// Adjusts the limit at one control tick.
+    ///
+    /// `latency_ratio` is the worst of the controlled classes; while it is unknown, the limit stays
+    /// unchanged. `fleet_fraction` is this gateway's fraction of the fleet.
     pub(crate) fn tick(
         &mut self,
         latency_ratio: Option<f64>,
@@ -157,8 +165,8 @@
             .set_maximum((limit - reduction * base).clamp(minimum, maximum));
     }
 
-    /// The largest useful limit, in attempts: one far above what is in flight would need many ticks
-    /// until it limits anything again (integral wind-up).
+    /// Returns the largest useful limit, in attempts. A limit far above the number of attempts in
+    /// flight would need many control ticks before it limits anything again (integral wind-up).
     fn largest_limit(&self, fleet: &FleetEstimates, fleet_fraction: f64) -> f64 {
         let lead = (MAX_FLEET_LEAD_ATTEMPTS * fleet_fraction)
             .max(fleet.total_in_flight() * MAX_LEAD_FRACTION);
--- a/crates/gateway-core/src/policy/health_reports.rs
+++ b/crates/gateway-core/src/policy/health_reports.rs
@@ -1,8 +1,8 @@
-//! Health reports: which of its observations of servers a gateway sends to its peers, and how much
-//! a peer's report counts.
+//! Health reports: which observations of servers a gateway sends to its peers, and with what weight
+//! it merges a peer's report.
 //!
-//! 1. [`max_considered_observations`] limits the recent observations that are looked at.
-//! 2. [`select_reports`] chooses the reports that a message carries.
+//! 1. [`max_considered_observations`] bounds how many recent observations are considered.
+//! 2. [`select_reports`] selects the reports that a message carries.
 //! 3. [`is_recent`] decides whether a received report may still be merged.
 //! 4. [`REPORT_WEIGHT`] is the weight with which a report enters the estimates of a server.
 
@@ -14,19 +14,19 @@
 const MAX_UNHEALTHY_REPORTS: usize = 4;
 /// Maximum number of reports on other servers in one message.
 const MAX_HEALTHY_REPORTS: usize = 2;
-/// Maximum number of observations that reports are selected from where not all servers are scanned.
+/// Maximum number of observations from which reports are selected if not all servers are scanned.
 const MAX_SAMPLED_OBSERVATIONS: usize = 10;
 /// Maximum age of an observation that is sent to peers, or merged when it is received.
 pub(crate) const REPORT_LIFETIME: Duration = Duration::from_secs(4);
-/// Weight of one report in the recipient's means: several reports, each newer than the last, are
-/// needed before a single peer's reports eject a server.
+/// Weight of one report in the recipient's means. A single peer has to send several reports, each
+/// newer than the last, before they eject a server.
 pub(crate) const REPORT_WEIGHT: f64 = 0.4;
 /// Fraction of the ejection threshold above which a server is reported as unhealthy.
 const UNHEALTHY_THRESHOLD_FRACTION: f64 = 0.5;
 /// Ratio of a server's expected latency to the fleet's median above which it is reported as slow.
 const SLOW_LATENCY_RATIO: f64 = 2.0;
 
-/// Whether a report is on a server that is close to ejection, or slow compared with
+/// Returns whether a report is on a server that is close to ejection, or slow compared with
 /// `median_latency_us`.
 fn reports_problem(report: &HealthReport, median_latency_us: f64) -> bool {
     report.failure_rate > EJECTION_FAILURE_RATE * UNHEALTHY_THRESHOLD_FRACTION
@@ -36,8 +36,8 @@
 /// Selects the reports that a message carries: a random choice of those that report a problem, then
 /// the newest of the others.
 ///
-/// Problems are chosen at random so that all of them spread, also when more servers are unhealthy
-/// than fit into one message. `median_latency_us`: the fleet's median expected latency per
+/// Problems are chosen at random so that all of them spread, even if more servers are unhealthy
+/// than fit into one message. `median_latency_us` is the fleet's median expected latency per
 /// concurrent request.
 pub(crate) fn select_reports(
     reports: Vec<HealthReport>,
@@ -53,7 +53,8 @@
     selected
 }
 
-/// Appends the newest of some reports, at most `count`; of the same age, the first.
+/// Appends the newest of `reports`, at most `count`. Of several reports of the same age, the first
+/// in `reports` is appended first.
 fn append_newest(selected: &mut Vec<HealthReport>, mut reports: Vec<HealthReport>, count: usize) {
     for _ in 0..count {
         let Some(index) = index_of_newest(&reports) else {
@@ -71,8 +72,8 @@
     by_age.map(|(index, _)| index)
 }
 
-/// Maximum number of recent observations that reports are selected from: all of them in a small
-/// table, and only the newest where not all servers are scanned.
+/// Returns the maximum number of recent observations from which reports are selected: all of them
+/// if all servers are scanned, otherwise only the newest.
 pub(crate) fn max_considered_observations(scans_all_servers: bool) -> usize {
     if scans_all_servers {
         usize::MAX
@@ -81,7 +82,7 @@
     }
 }
 
-/// Whether a received report describes a recent observation, and may be merged.
+/// Returns whether a received report describes an observation that is recent enough to be merged.
 pub(crate) fn is_recent(report: &HealthReport) -> bool {
     report.age < REPORT_LIFETIME
 }
--- a/crates/gateway-core/src/policy/in_flight_limit.rs
+++ b/crates/gateway-core/src/policy/in_flight_limit.rs
@@ -2,42 +2,45 @@
 //!
 //! The rules:
 //! 1. There is no limit until the fuzzy controller sets one.
-//! 2. An attempt may be sent while it stays within the limit ([`InFlightLimit::allows`]).
-//! 3. A limit below one attempt holds on average: tokens accumulate at the pace that the limit
-//!    allows, and one token allows one attempt.
+//! 2. An attempt may be sent if the attempts in flight stay within the limit
+//!    ([`InFlightLimit::allows`]).
+//! 3. A limit below one attempt holds on average (pacing): tokens accumulate at the rate that the
+//!    limit allows, and each token allows one attempt.
 
 use crate::time::Timestamp;
 
-/// A limit below this many attempts holds on average.
+/// Limit in attempts below which attempts are paced, so that the limit holds on average.
 const PACED_BELOW_ATTEMPTS: f64 = 1.0;
-/// Tokens that one attempt needs; no more than these accumulate.
+/// Pacing tokens that one attempt consumes; no more than these accumulate.
 const TOKENS_PER_ATTEMPT: f64 = 1.0;
-/// Shortest mean latency that pacing calculates with.
+/// Lower bound of the mean latency that pacing calculates with, in µs.
 const MIN_MEAN_LATENCY_US: f64 = 1.0;
 
-/// The in-flight limit of the lowest class at this gateway.
+/// In-flight limit of the lowest class at this gateway.
 #[derive(Default)]
 pub(crate) struct InFlightLimit {
-    /// Attempts that may be in flight; `None` while there is no limit.
+    /// Maximum number of attempts in flight; `None` while there is no limit.
     maximum: Option<f64>,
-    /// Attempts that a limit below one allows, accumulated at its pace.
+    /// Pacing tokens accumulated for a limit below one attempt.
     pacing_tokens: f64,
     last_paced_at: Timestamp,
 }
 
 impl InFlightLimit {
-    /// How many attempts may be in flight; `None` while there is no limit.
+    /// Returns the maximum number of attempts in flight; `None` while there is no limit.
     pub(crate) fn maximum(&self) -> Option<f64> {
         self.maximum
     }
 
-    /// Sets how many attempts may be in flight.
+    /// Sets the maximum number of attempts in flight.
     pub(crate) fn set_maximum(&mut self, maximum: f64) {
         self.maximum = Some(maximum);
     }
 
-    /// Whether one more attempt may be sent while so many are in flight. `mean_latency_us` is the
-    /// fleet's mean latency: a limit below one allows one attempt per `mean_latency_us / limit`.
+    /// Returns whether one more attempt may be sent while `in_flight` attempts are in flight.
+    ///
+    /// Also accumulates pacing tokens up to `now`. `mean_latency_us` is the mean latency of the
+    /// fleet: a limit below one allows one attempt per `mean_latency_us / limit`.
     pub(crate) fn allows(&mut self, in_flight: f64, now: Timestamp, mean_latency_us: f64) -> bool {
         let Some(maximum) = self.maximum else {
             return true;
@@ -46,7 +49,7 @@
         in_flight + 1.0 <= maximum || self.is_paced_attempt_due(maximum, in_flight)
     }
 
-    /// Takes the token of an attempt that is being sent.
+    /// Consumes the pacing token of an attempt that is being sent.
     pub(crate) fn consume_pacing_token(&mut self) {
         self.pacing_tokens -= TOKENS_PER_ATTEMPT;
     }
--- a/crates/gateway-core/src/policy/load_balancing/all_servers.rs
+++ b/crates/gateway-core/src/policy/load_balancing/all_servers.rs
@@ -1,29 +1,30 @@
-//! Server selection in a small fleet: every choice scans all servers and takes the one of the
+//! Server selection in a small fleet: every choice scans all servers and takes the server of the
 //! lowest cost.
 
-use super::cost::{lowest_cost, PROBE_COST};
+use super::cost::{lowest_cost_server, PROBE_COST};
 use super::eligibility::Choice;
 use super::{Selector, MIN_WARM_UP_FRACTION};
 use crate::policy::outlier_detection::SMALL_FLEET_LATENCY_HALF_LIFE_US;
 use crate::state::servers::{LatencyDecay, Server};
 use crate::types::ServerId;
 
-/// All servers are scanned, however many there are.
+/// Number of ready servers up to which all are scanned: unlimited in a small fleet.
 pub(super) const FULL_SCAN_LIMIT: usize = usize::MAX;
-/// An expected latency that is ten times too long is forgotten within 5 s. Reported loads do not
-/// count.
+/// Decay of latency estimates: an expected latency that is ten times too long is forgotten within 5
+/// s. Reported loads do not count.
 pub(super) const LATENCY_DECAY: LatencyDecay = LatencyDecay {
     latency_half_life_us: SMALL_FLEET_LATENCY_HALF_LIFE_US,
     load_half_life_us: None,
     min_warm_up_fraction: MIN_WARM_UP_FRACTION,
 };
-/// Maximum fraction by which a random draw increases a cost, so that gateways don't all choose the
-/// same of equal servers.
+/// Maximum fraction by which a random draw increases a cost, so that gateways do not all choose the
+/// same one of several equal servers.
 const JITTER_FRACTION: f64 = 0.1;
 
-/// The server of the lowest cost with jitter, or the first of the ejected ones that are eligible:
-/// those whose probe is due and, while ejection is ignored, all of them. Only a first attempt probes,
-/// as a probe may fail.
+/// Chooses the server of the lowest cost with jitter, or the first eligible server that is ejected.
+///
+/// Ejected servers are eligible if their probe is due, and all of them while ejection is ignored.
+/// Only a first attempt is sent to one as a probe, because a probe may fail.
 pub(super) fn choose(
     selector: &Selector<'_>,
     choice: &Choice<'_>,
@@ -31,7 +32,7 @@
     random: &mut fastrand::Rng,
 ) -> Option<ServerId> {
     let may_probe = !choice.request.was_sent();
-    lowest_cost(eligible, |server| {
+    lowest_cost_server(eligible, |server| {
         let draw = random.f64();
         if may_probe && choice.is_ejected(server) {
             return PROBE_COST;
--- a/crates/gateway-core/src/policy/load_balancing/capacity.rs
+++ b/crates/gateway-core/src/policy/load_balancing/capacity.rs
@@ -1,32 +1,33 @@
-//! Capacity: whether one more attempt may be sent to the fleet, and to a server.
+//! Capacity: whether one more attempt may be sent to the fleet, and to a given server.
 
 use super::Selector;
 use crate::state::servers::Server;
 use crate::statistics::count_as_f64;
 
 /// Fraction of the shortest latency objective that the expected latency at a server may reach.
-/// Queues beyond that build up faster than they drain.
+/// Queues that are longer than that build up faster than they drain.
 const MAX_SERVER_LATENCY_FRACTION: f64 = 0.3;
-/// Fraction of the fleet's concurrency that this gateway may have in flight.
+/// Fraction of the fleet concurrency that this gateway may have in flight.
 const MAX_FLEET_CONCURRENCY_FRACTION: f64 = 0.25;
 /// Attempts that all gateways together may always have in flight at each server.
 const MIN_IN_FLIGHT_PER_SERVER: f64 = 4.0;
 
 impl Selector<'_> {
-    /// Fleet concurrency: attempts that all servers together finish within the shortest latency
-    /// objective.
+    /// Returns the fleet concurrency: the number of attempts that all servers together finish
+    /// within the shortest latency objective.
     pub(crate) fn fleet_concurrency(&self) -> f64 {
         self.estimates
             .fleet_concurrency(self.servers, self.context.deployment.shortest_objective_us)
     }
 
-    /// Whether this gateway has enough attempts in flight at all servers together.
+    /// Returns whether this gateway has as many attempts in flight at all servers together as it
+    /// may have.
     ///
-    /// It is full once `in_flight` reaches both a fixed number, the gateway's part of
-    /// [`MIN_IN_FLIGHT_PER_SERVER`] at each ready server and 1 at least, and
-    /// [`MAX_FLEET_CONCURRENCY_FRACTION`] of the fleet's concurrency. Without this limit many
-    /// gateways, each with one attempt at every server, would overload them all.
-    /// `fleet_concurrency` is called only if needed, as it scans the servers.
+    /// That is the case once `in_flight` reaches both this gateway's part of
+    /// [`MIN_IN_FLIGHT_PER_SERVER`] at each ready server, which is at least 1, and
+    /// [`MAX_FLEET_CONCURRENCY_FRACTION`] of the fleet concurrency. Without this limit, many
+    /// gateways with one attempt at every server each would overload all servers.
+    /// `fleet_concurrency` is called only if needed, because it scans the servers.
     pub(crate) fn is_fleet_full(
         &self,
         in_flight: f64,
@@ -39,11 +40,11 @@
             && in_flight >= MAX_FLEET_CONCURRENCY_FRACTION * fleet_concurrency()
     }
 
-    /// Whether a server may be chosen for one more attempt.
+    /// Returns whether a server may be chosen for one more attempt.
     ///
-    /// It must have slow-start credit while it warms up, must not be in connect backoff, and must
-    /// have a free in-flight slot. A server without attempts in flight always has one, or a slow
-    /// server would never be tried again.
+    /// A server that is warming up must have slow-start credit. The server must not be in connect
+    /// backoff, and must have a free in-flight slot. A server without attempts in flight always has
+    /// a free slot; otherwise a slow server would never be tried again.
     pub(super) fn has_capacity(&self, server: &Server) -> bool {
         let lacks_credit = !self.estimates.is_warm(server) && !server.has_slow_start_credit();
         !lacks_credit
@@ -51,7 +52,7 @@
             && (server.in_flight() == 0 || self.has_free_slot(server))
     }
 
-    /// Whether the expected latency with one more attempt in flight is within
+    /// Returns whether the expected latency with one more attempt in flight is within
     /// [`MAX_SERVER_LATENCY_FRACTION`] of the shortest latency objective.
     fn has_free_slot(&self, server: &Server) -> bool {
         let latency_us =
--- a/crates/gateway-core/src/policy/load_balancing/cost.rs
+++ b/crates/gateway-core/src/policy/load_balancing/cost.rs
@@ -1,24 +1,24 @@
-//! The load-balancing cost of a server.
+//! Load-balancing cost of a server for a request.
 
 use super::Selector;
 use crate::state::request::Request;
 use crate::state::servers::Server;
 use crate::types::ServerId;
 
-/// In-flight slots that a server in another zone counts as taken, for each 1.0 of the cross-zone
-/// cost.
+/// In-flight slots added for a server in another zone, per 1.0 of the cross-zone cost.
 const CROSS_ZONE_PENALTY_SLOTS: f64 = 30.0;
-/// In-flight slots that the server of the previous attempt counts as taken.
+/// In-flight slots added for the server of the previous attempt.
 const SAME_SERVER_PENALTY_SLOTS: f64 = 4.0;
-/// Penalty added to a server's cost factor at a failure rate of 1: failing fast is not being fast.
+/// Penalty added to a server's cost factor at a failure rate of 1, so that a server that fails fast
+/// does not look fast.
 const FAILURE_PENALTY: f64 = 4.0;
-/// Penalty added to a server's cost factor where no attempt reaches its zone.
+/// Penalty added to a server's cost factor if no attempt reaches its zone.
 const UNREACHABLE_ZONE_PENALTY: f64 = 20.0;
 /// Cost of a server whose probe is due: lower than any other, so that the probe is sent.
 pub(super) const PROBE_COST: f64 = 0.0;
 
 impl Selector<'_> {
-    /// Load-balancing cost of a server for a request, in µs:
+    /// Returns the load-balancing cost of a server for a request, in µs:
     ///
     /// ```text
     /// cost = slots * latency * penalties
@@ -31,9 +31,9 @@
     /// ```
     ///
     /// `latency` is the expected latency per concurrent request in µs. The cross-zone term counts
-    /// only in another zone, the same-server term only at the server of the previous attempt.
-    /// `unreachable_fraction`: fraction of the attempts into the server's zone that found no
-    /// connection.
+    /// only for a server in another zone, the same-server term only for the server of the previous
+    /// attempt. `unreachable_fraction` is the fraction of the attempts into the server's zone that
+    /// found no connection.
     pub(super) fn cost(
         &self,
         request: &Request,
@@ -49,7 +49,7 @@
         slots * self.estimates.expected_latency_us(server) * penalties
     }
 
-    /// What crossing to the server's zone costs; 0 in the gateway's own zone.
+    /// Returns the cross-zone cost of a server; 0 in the gateway's own zone.
     fn cross_zone_cost(&self, server: &Server) -> f64 {
         let settings = &self.context.deployment.settings;
         if server.endpoint().zone == settings.zone {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Slots that a server counts as taken because the previous attempt of the request went there.
+/// Returns the slots added for a server because the request's previous attempt was sent to it.
 fn same_server_penalty_slots(request: &Request, server: &Server) -> f64 {
     if request.last_server() == Some(server.id()) {
         SAME_SERVER_PENALTY_SLOTS
@@ -69,8 +69,9 @@
     }
 }
 
-/// The first server of the lowest cost. `cost` is called once for each, in their order.
-pub(super) fn lowest_cost(
+/// Returns the first server of the lowest cost. `cost` is called once for each server, in the order
+/// of `servers`.
+pub(super) fn lowest_cost_server(
     servers: &[&Server],
     mut cost: impl FnMut(&Server) -> f64,
 ) -> Option<ServerId> {
--- a/crates/gateway-core/src/policy/load_balancing/eligibility.rs
+++ b/crates/gateway-core/src/policy/load_balancing/eligibility.rs
@@ -1,5 +1,5 @@
-//! Eligibility: which candidates may receive a request, by ejection, probes and deduplication
-//! scope.
+//! Eligibility: which candidates may receive a request, according to ejection, probes and the
+//! deduplication scope.
 
 use super::Selector;
 use crate::policy::retry::may_send;
@@ -9,21 +9,21 @@
 use crate::statistics::count_as_f64;
 use crate::types::{ClassId, ServerId};
 
-/// Fraction of the ready servers that must not be ejected; with fewer, ejection is ignored.
+/// Minimum fraction of the ready servers that are not ejected; below it, ejection is ignored.
 const MIN_HEALTHY_FRACTION: f64 = 0.5;
 
-/// What applies to all candidates of one choice.
+/// Conditions that apply to all candidates for one request.
 pub(super) struct Choice<'a> {
-    /// The request that a server is chosen for.
+    /// Request for which a server is chosen.
     pub(super) request: &'a Request,
-    /// Whether servers are eligible although they are ejected and their probe is not due.
+    /// Whether ejected servers are eligible even if their probe is not due.
     pub(super) ignores_ejection: bool,
     /// Whether there is more than one candidate.
     has_alternatives: bool,
 }
 
 impl<'a> Choice<'a> {
-    /// The choice of a server for a request, of some candidates.
+    /// Creates the choice of a server for a request among some candidates.
     pub(super) fn new(
         selector: &Selector<'_>,
         request: &'a Request,
@@ -36,44 +36,47 @@
         }
     }
 
-    /// Whether a server is ejected for the class of the request.
+    /// Returns whether a server is ejected for the class of the request.
     pub(super) fn is_ejected(&self, server: &Server) -> bool {
         server.class_health(self.request.class()).is_ejected()
     }
 }
 
 impl Selector<'_> {
-    /// Whether fewer than [`MIN_HEALTHY_FRACTION`] of the ready servers are not ejected for a
-    /// class. Then the fault lies elsewhere, and ejecting more would overload the remaining ones.
+    /// Returns whether fewer than [`MIN_HEALTHY_FRACTION`] of the ready servers are not ejected for
+    /// a class. In that case the fault lies elsewhere, and ejecting more servers would overload the
+    /// remaining ones.
     fn ignores_ejection(&self, class: ClassId) -> bool {
         let healthy = count_as_f64(self.servers.healthy_count(class));
         healthy < count_as_f64(self.servers.ready_count()) * MIN_HEALTHY_FRACTION
     }
 
-    /// Whether a server may receive a request: it is not ejected or its probe is due, the probe is
-    /// no risk for the request, and the request may be sent there without being executed twice.
+    /// Returns whether a server may receive a request: it is not ejected or its probe is due, the
+    /// probe is no risk for the request, and the request may be sent there without being executed
+    /// twice.
     pub(super) fn may_receive(&self, choice: &Choice<'_>, server: &Server) -> bool {
         (choice.ignores_ejection || self.is_available(choice, server))
             && !self.is_risky_probe(choice, server)
             && self.may_send(choice.request, server)
     }
 
-    /// Whether a server is not ejected for the request's class, or its probe is due: nothing is in
-    /// flight there and the time of the probe has come.
+    /// Returns whether a server is not ejected for the request's class, or its probe is due:
+    /// nothing is in flight there and the time of the probe has come.
     fn is_available(&self, choice: &Choice<'_>, server: &Server) -> bool {
         let probe_at = server.class_health(choice.request.class()).next_probe_at();
         probe_at.is_none_or(|at| at <= self.context.now && server.in_flight() == 0)
     }
 
-    /// Whether sending a request to an ejected server risks its only execution: a probe may be
-    /// lost, so it takes an idempotent request unless there is no other server.
+    /// Returns whether sending a request to an ejected server risks its only execution. A probe may
+    /// be lost, so a request that is not idempotent is used as a probe only if there is no other
+    /// candidate.
     fn is_risky_probe(&self, choice: &Choice<'_>, server: &Server) -> bool {
         let is_idempotent =
             self.context.deployment.class_of(choice.request).idempotency == Idempotency::Idempotent;
         choice.is_ejected(server) && !is_idempotent && choice.has_alternatives
     }
 
-    /// Whether a request may be sent to a server without being executed twice.
+    /// Returns whether a request may be sent to a server without being executed twice.
     pub(super) fn may_send(&self, request: &Request, server: &Server) -> bool {
         may_send(
             self.context.deployment,
--- a/crates/gateway-core/src/policy/load_balancing/mod.rs
+++ b/crates/gateway-core/src/policy/load_balancing/mod.rs
@@ -2,15 +2,15 @@
 //!
 //! The rules, in the order in which they apply:
 //!
-//! 1. [`Selector::is_fleet_full`]: while all servers together have enough in flight, nothing is
-//!    sent.
-//! 2. [`Selector::has_capacity`]: which servers may be chosen from at all.
-//! 3. Candidates: all servers with capacity ([`Selector::servers_with_capacity`]), or, in a large fleet
-//!    with many servers, a sample of them ([`Subset::sample`]).
-//! 4. [`Selector::may_receive`]: which candidates may receive this request, by ejection and
-//!    deduplication scope.
-//! 5. The choice among these by [`Selector::cost`]: in a small fleet [`all_servers::choose`], in a
-//!    large one [`Subset::choose`].
+//! 1. [`Selector::is_fleet_full`]: nothing is sent while this gateway has as many attempts in
+//!    flight at all servers together as it may have.
+//! 2. [`Selector::has_capacity`]: only servers with capacity are considered.
+//! 3. Candidates: all servers with capacity ([`Selector::servers_with_capacity`]), or, in a large
+//!    fleet with many servers, a sample of them ([`Subset::sample`]).
+//! 4. [`Selector::may_receive`]: which candidates may receive the request, according to ejection
+//!    and the deduplication scope.
+//! 5. The choice among these candidates by [`Selector::cost`]: in a small fleet
+//!    [`all_servers::choose`], in a large one [`Subset::choose`].
 
 mod all_servers;
 mod capacity;
@@ -29,11 +29,11 @@
 use eligibility::Choice;
 pub(crate) use subset::Subset;
 
-/// Minimum warm-up fraction that the latency of an unknown server is divided by.
+/// Lower bound of the warm-up fraction by which the expected latency of an unknown server is
+/// divided.
 const MIN_WARM_UP_FRACTION: f64 = 0.1;
 
-/// The design by which servers are selected, which follows from the mode of the fleet and never
-/// changes.
+/// Method of server selection, which follows from the fleet mode and never changes.
 #[derive(Clone, Copy)]
 pub(crate) enum ServerSelection {
     /// Small fleet: every choice scans all servers.
@@ -43,7 +43,7 @@
 }
 
 impl ServerSelection {
-    /// The design for a fleet.
+    /// Creates the method for a fleet of this mode.
     pub(crate) fn new(settings: &Settings, mode: FleetMode) -> Self {
         match mode {
             FleetMode::Gossip => ServerSelection::AllServers,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Number of ready servers up to which all are scanned.
+    /// Returns the number of ready servers up to which all are scanned.
     pub(crate) fn full_scan_limit(&self) -> usize {
         match self {
             ServerSelection::AllServers => all_servers::FULL_SCAN_LIMIT,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// How observations of servers decay with time.
+    /// Returns how observations of servers decay with time.
     pub(crate) fn latency_decay(&self) -> &'static LatencyDecay {
         match self {
             ServerSelection::AllServers => &all_servers::LATENCY_DECAY,
@@ -67,9 +67,9 @@
         }
     }
 
-    /// Ratio of the `warm` servers to the size of this gateway's subset of the `ready` ones, at
-    /// least 1; 1 where every gateway uses all servers.
-    pub(super) fn servers_per_subset(&self, warm: f64, ready: usize) -> f64 {
+    /// Returns the ratio of the `warm` servers to the size of this gateway's subset of the `ready`
+    /// servers, at least 1. Returns 1 in a small fleet, where every gateway uses all servers.
+    pub(super) fn warm_to_subset_ratio(&self, warm: f64, ready: usize) -> f64 {
         match self {
             ServerSelection::AllServers => 1.0,
             ServerSelection::Subset(subset) => (warm / count_as_f64(subset.size(ready))).max(1.0),
@@ -77,7 +77,7 @@
     }
 }
 
-/// Selects servers at one moment.
+/// Server selection at one point in time.
 pub(crate) struct Selector<'a> {
     context: Context<'a>,
     selection: &'a ServerSelection,
@@ -86,7 +86,7 @@
 }
 
 impl<'a> Selector<'a> {
-    /// A selector for the servers as they are now.
+    /// Creates a selector for the current state of the servers.
     pub(crate) fn new(
         context: Context<'a>,
         selection: &'a ServerSelection,
@@ -100,7 +100,8 @@
         }
     }
 
-    /// All ready servers with capacity: the candidates where all servers are scanned.
+    /// Returns all ready servers with capacity, which are the candidates if all servers are
+    /// scanned.
     pub(crate) fn servers_with_capacity(&self) -> Vec<ServerId> {
         let mut candidates = Vec::new();
         for server in self.servers.iter_ready() {
@@ -111,8 +112,8 @@
         candidates
     }
 
-    /// The subset to sample candidates from; `None` while so few servers are ready that all are
-    /// scanned.
+    /// Returns the subset from which candidates are sampled; `None` if all servers are scanned, as
+    /// in a small fleet or with few ready servers.
     pub(crate) fn sampled_subset(&self) -> Option<&'a Subset> {
         match self.selection {
             ServerSelection::Subset(subset) if !self.servers.scans_all() => Some(subset),
@@ -120,14 +121,16 @@
         }
     }
 
-    /// Whether a request has to stay in a scope smaller than the fleet, as it may have been
-    /// executed there. Then a sample of all servers may hold none that it may be sent to.
+    /// Returns whether a request has to stay within a scope smaller than the fleet because it may
+    /// have been executed there. A sample of all servers may then hold none to which the request
+    /// may be sent.
     pub(crate) fn is_bound_to_scope(&self, request: &Request) -> bool {
         required_scope(self.context.deployment, request)
             .is_some_and(|scope| scope != DeduplicationScope::AllServers)
     }
 
-    /// The server for a request, of those that were found to have capacity.
+    /// Chooses a server for a request among `candidates`, which were found to have capacity; `None`
+    /// if none of them is eligible.
     pub(crate) fn choose(
         &self,
         request: &Request,
@@ -142,7 +145,7 @@
             .collect();
         match self.selection {
             ServerSelection::AllServers => all_servers::choose(self, &choice, &eligible, random),
-            ServerSelection::Subset(design) => design.choose(self, &choice, eligible, random),
+            ServerSelection::Subset(subset) => subset.choose(self, &choice, eligible, random),
         }
     }
 }
--- a/crates/gateway-core/src/policy/load_balancing/subset.rs
+++ b/crates/gateway-core/src/policy/load_balancing/subset.rs
@@ -1,11 +1,11 @@
-//! Server selection in a large fleet: each gateway uses a subset of the servers, and chooses among
-//! them at random, the cheaper ones more often.
+//! Server selection in a large fleet: each gateway uses a subset of the servers and chooses among
+//! them at random, servers of lower cost more often.
 //!
-//! A gateway and a server that meet seldom pay a handshake for each request, and hold an idle
+//! A gateway that seldom uses a server pays a handshake for each request to it, and holds an idle
 //! connection in between. The subset is a run of neighbours on a hash ring that is the same at
 //! every gateway.
 
-use super::cost::{lowest_cost, PROBE_COST};
+use super::cost::{lowest_cost_server, PROBE_COST};
 use super::eligibility::Choice;
 use super::{Selector, MIN_WARM_UP_FRACTION};
 use crate::policy::retry::required_scope;
@@ -15,11 +15,11 @@
 use crate::statistics::{count_as_f64, round_up_to_count};
 use crate::types::{CellId, GatewayId, ServerId};
 
-/// Number of ready servers up to which all are scanned; beyond, each choice looks at a sample.
+/// Number of ready servers up to which all are scanned; beyond it, each choice considers a sample.
 pub(super) const FULL_SCAN_LIMIT: usize = 200;
-/// Estimates last longer than in a small fleet, as a gateway sees each server seldom. Reported
-/// loads count, too: latency shows a queue only once it was waited out, and by then hundreds of
-/// gateways have sent more.
+/// Decay of latency estimates. They last longer than in a small fleet, because a gateway sees each
+/// server seldom. Reported loads count as well: latency shows a queue only once a request has
+/// waited in it, and by then hundreds of gateways have sent more requests.
 pub(super) const LATENCY_DECAY: LatencyDecay = LatencyDecay {
     latency_half_life_us: 5e6,
     load_half_life_us: Some(1.5e6),
@@ -27,26 +27,27 @@
 };
 /// Minimum number of servers that a gateway uses, and of gateways that use each server.
 const SUBSET_SIZE: f64 = 7.0;
-/// Maximum number of servers that are looked at for a sample.
+/// Maximum number of servers that are visited for a sample.
 const MAX_VISITED: usize = 200;
-/// Maximum number of servers in a sample, apart from those to be probed.
+/// Maximum number of servers in a sample, not counting those whose probe is due.
 const SAMPLE_SIZE: usize = 10;
-/// The smallest random number that a logarithm is taken of.
+/// Lower bound of a random draw whose logarithm is taken.
 const MIN_DRAW: f64 = 1e-9;
-/// Fraction of unreachable attempts in the cost of a server: zones do not count in a large fleet.
+/// Fraction of unreachable attempts in the cost of a server: the reachability of zones does not
+/// count in a large fleet.
 const UNREACHABLE_FRACTION: f64 = 0.0;
 
-/// Selection from a gateway's subset of the servers.
+/// Subset of the servers that a gateway uses.
 #[derive(Clone, Copy)]
 pub(crate) struct Subset {
-    /// This gateway, whose subset begins at its position on the ring.
+    /// Gateway that uses the subset, which begins at the gateway's position on the hash ring.
     gateway: GatewayId,
     /// Number of gateways in the fleet.
     gateway_count: u32,
 }
 
 impl Subset {
-    /// The subset of this gateway.
+    /// Creates the subset of the gateway that `settings` belong to.
     pub(super) fn new(settings: &Settings) -> Self {
         Subset {
             gateway: settings.gateway_id,
@@ -54,17 +55,19 @@
         }
     }
 
-    /// How many of the `ready` servers this gateway uses: [`SUBSET_SIZE`], and more where servers
-    /// are many, so that as many gateways use each one.
+    /// Returns how many of the `ready` servers this gateway uses: [`SUBSET_SIZE`], or more if the
+    /// servers are so many that fewer than [`SUBSET_SIZE`] gateways would use each of them.
     pub(super) fn size(&self, ready: usize) -> usize {
         let per_gateway = SUBSET_SIZE * count_as_f64(ready) / f64::from(self.gateway_count);
         round_up_to_count(SUBSET_SIZE.max(per_gateway))
     }
 
-    /// Some servers with capacity: those whose probe is due, then servers of this gateway's subset
-    /// from a random position on, then servers beyond the subset where too few of it have capacity.
+    /// Returns candidates, which have capacity: first servers whose probe is due, then servers of
+    /// this gateway's subset from a random position on, then servers beyond the subset if too few
+    /// in it have capacity.
     ///
-    /// For a `request` that has to stay in its scope, only servers that it may be sent to.
+    /// `request` is given if it has to stay within a scope; only servers to which it may be sent
+    /// are then returned.
     pub(crate) fn sample(
         &self,
         selector: &Selector<'_>,
@@ -90,11 +93,11 @@
             .find_candidates(selector.context.now, &query, is_candidate)
     }
 
-    /// One of the preferred servers at random, with a probability in inverse proportion to the
-    /// square of its cost: the lowest of exponential draws gives that.
+    /// Chooses one of the preferred servers at random, with a probability inversely proportional to
+    /// the square of its cost, as results from taking the lowest of exponential draws.
     ///
-    /// Each gateway knows little. If all took the lowest cost, hundreds would send to the server
-    /// that was last reported to be fast.
+    /// Each gateway knows little. If all gateways chose the server of the lowest cost, hundreds
+    /// would send to the server that was last reported to be fast.
     pub(super) fn choose(
         &self,
         selector: &Selector<'_>,
@@ -103,7 +106,7 @@
         random: &mut fastrand::Rng,
     ) -> Option<ServerId> {
         let preferred = self.preferred(selector, choice, eligible, random);
-        lowest_cost(&preferred, |server| {
+        lowest_cost_server(&preferred, |server| {
             let draw = random.f64();
             if is_probe(choice, server) {
                 return PROBE_COST;
@@ -114,9 +117,10 @@
         })
     }
 
-    /// The servers that are preferred of the eligible ones: one whose probe is due, else a server
-    /// that warms up, as its slow-start credit is rare, else this gateway's subset. In the subset
-    /// the next server on the ring stands in for each that is ejected or has no capacity.
+    /// Returns the preferred servers among the eligible ones: a server whose probe is due,
+    /// otherwise a server that is warming up, because its slow-start credit is rare, otherwise this
+    /// gateway's subset. In the subset, the next servers on the ring replace those that are ejected
+    /// or have no capacity.
     fn preferred<'s>(
         &self,
         selector: &Selector<'_>,
@@ -139,8 +143,8 @@
         }
     }
 
-    /// The first of some servers on the ring from this gateway's position on, as many as its subset
-    /// has.
+    /// Returns the first eligible servers on the ring from this gateway's position on, as many as
+    /// its subset has.
     fn first_on_ring<'s>(
         &self,
         selector: &Selector<'_>,
@@ -152,14 +156,14 @@
     }
 }
 
-/// Whether sending a request to a server would be a probe. Only a first attempt probes, as a probe
-/// may fail, and none does where ejection is ignored.
+/// Returns whether sending a request to a server would be a probe. Only a first attempt probes,
+/// because a probe may fail, and no attempt probes while ejection is ignored.
 fn is_probe(choice: &Choice<'_>, server: &Server) -> bool {
     !choice.request.was_sent() && !choice.ignores_ejection && choice.is_ejected(server)
 }
 
-/// The cell that a request has to stay in, if it may have been executed and is deduplicated within
-/// a cell.
+/// Returns the cell in which a request has to stay because it may have been executed there and is
+/// deduplicated within a cell.
 fn bound_cell(selector: &Selector<'_>, request: &Request) -> Option<CellId> {
     let is_bound =
         required_scope(selector.context.deployment, request) == Some(DeduplicationScope::Cell);
--- a/crates/gateway-core/src/policy/mod.rs
+++ b/crates/gateway-core/src/policy/mod.rs
@@ -1,15 +1,15 @@
-//! The decisions of a gateway, by concern; the module `gateway` carries them out, and `state` holds
-//! what they are based on. The files of this module are listed as `policy` in
-//! `deploy/balancer.toml`.
+//! Decisions of a gateway, grouped by concern. The module `gateway` carries them out, and `state`
+//! holds the data that they are based on. `deploy/balancer.toml` lists the files of this module as
+//! `policy`.
 //!
 //! The concerns, in the order in which they apply to a request:
 //!
-//! 1. At the start: `fleet_mode` chooses how gateways share quotas and observations.
-//! 2. Arrival: `admission`, by one of the two ways of `quota_sharing` (the gateway's own token
-//!    buckets, or leases from quota owners), and `load_shedding`.
-//! 3. In the queue: `dispatch`, by `priority` and within the `in_flight_limit`, which the
-//!    `fuzzy_controller` moves by its `controller_inputs`.
-//! 4. The choice of a server: `load_balancing`, with `slow_start` and `outlier_detection`.
+//! 1. At startup: `fleet_mode` chooses how gateways share quotas and observations.
+//! 2. On arrival: `admission`, which uses one of the two kinds of `quota_sharing` (the gateway's
+//!    own token buckets, or leases from quota owners), and `load_shedding`.
+//! 3. In the queue: `dispatch`, ordered by `priority` and bounded by the `in_flight_limit`, which
+//!    the `fuzzy_controller` adjusts using its `controller_inputs`.
+//! 4. Server selection: `load_balancing`, with `slow_start` and `outlier_detection`.
 //! 5. After an attempt: `retry`, within the `retry_budget`.
 //! 6. As time passes: `deadlines`.
 //! 7. Between gateways: gossip of usage (`quota_sharing`), and `health_reports` on servers, which
--- a/crates/gateway-core/src/policy/outlier_detection/ejection.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/ejection.rs
@@ -7,17 +7,20 @@
 
 /// Failure rate above which a server is ejected.
 pub(in crate::policy) const EJECTION_FAILURE_RATE: f64 = 0.35;
-/// A server is ejected only if its failure rate also exceeds this multiple of the fleet's mean.
+/// Multiple of the fleet's mean failure rate that a server's failure rate must also exceed for the
+/// server to be ejected.
 const MIN_RATIO_TO_FLEET: f64 = 2.0;
 /// Fraction of [`EJECTION_FAILURE_RATE`] below which a server is readmitted.
 const READMISSION_FRACTION: f64 = 0.5;
 /// Time between probes of an ejected server.
 pub(super) const PROBE_INTERVAL: Duration = Duration::from_millis(700);
-/// Factor on the failure rate of an ejected server for each answered probe.
+/// Factor by which each answered probe reduces the failure rate of an ejected server.
 const PROBE_SUCCESS_FACTOR: f64 = 0.5;
 
-/// Ejects a server for a class, or readmits it, by its failure rate and `fleet_failure_rate`, the
-/// mean over all servers. The probe of a server that is ejected already is not put off.
+/// Ejects a server for a class, or readmits it, according to its failure rate.
+///
+/// `fleet_failure_rate` is the mean over all servers. The next probe of a server that is already
+/// ejected is not postponed.
 pub(crate) fn update_ejection(
     server: &mut Server,
     class: ClassId,
@@ -33,13 +36,13 @@
     }
 }
 
-/// Whether the failure rate is so low that an ejected server is readmitted.
+/// Returns whether the failure rate is low enough for an ejected server to be readmitted.
 fn may_be_readmitted(health: &ClassHealth) -> bool {
     health.failure_rate() < EJECTION_FAILURE_RATE * READMISSION_FRACTION
 }
 
-/// Records that a server answered. An answer of an ejected server reduces its failure rate; until
-/// that readmits it, the next probe follows immediately.
+/// Records that a server has answered. An answer of an ejected server reduces its failure rate: the
+/// server is readmitted if the rate is low enough, otherwise its next probe is due immediately.
 pub(crate) fn observe_answer(server: &mut Server, now: Timestamp, class: ClassId) {
     server.record_answer(now, class);
     let health = server.class_health_mut(class);
@@ -54,8 +57,9 @@
     }
 }
 
-/// Ejects a server for the class of a stalled attempt; for all classes, if it has answered nothing
-/// since the attempt was sent. `stall_failure_rate`: the minimum failure rate that this proves.
+/// Ejects a server for the class of a stalled attempt, or for all classes if the server has
+/// answered nothing since the attempt was sent. `stall_failure_rate` is the minimum failure rate
+/// that the stall proves.
 pub(crate) fn eject_stalled(
     server: &mut Server,
     class: ClassId,
--- a/crates/gateway-core/src/policy/outlier_detection/failures.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/failures.rs
@@ -1,4 +1,4 @@
-//! What counts as a failure, and how attempts that end enter the estimates.
+//! Which attempts count as failures, and how attempts that end enter the estimates.
 
 use crate::state::attempt::Attempt;
 use crate::state::deployment::Deployment;
@@ -7,18 +7,18 @@
 
 /// Weight of an attempt in its server's failure rate with its class.
 pub(crate) const FAILURE_WEIGHT: f64 = 0.2;
-/// Fraction of that weight with which it counts for the server's other classes, as one class may
-/// fail alone.
+/// Fraction of [`FAILURE_WEIGHT`] with which an attempt counts for the server's other classes,
+/// because one class may fail alone.
 pub(crate) const OTHER_CLASS_WEIGHT_FRACTION: f64 = 0.25;
 /// Minimum latency that a failed attempt counts with, as a fraction of the shortest latency
 /// objective.
 const MIN_FAILED_LATENCY_FRACTION: f64 = 0.5;
 
-/// Whether an attempt that ended counts as a failure of its server.
+/// Returns whether an attempt that ended counts as a failure of its server.
 ///
-/// An attempt that was cancelled or timed out does not, if the server has answered another one of
-/// its class since and this gateway did not cancel the attempt while its request was open
-/// (`was_cancelled_here`): the request may have been the slow part.
+/// An attempt that was cancelled or timed out does not count if the server has since answered
+/// another attempt of the same class, because the request itself may have been slow. It counts
+/// nevertheless if this gateway cancelled it while its request was open (`was_cancelled_here`).
 pub(crate) fn is_failure(
     server: &Server,
     attempt: &Attempt,
@@ -34,11 +34,11 @@
     }
 }
 
-/// Whether an attempt counts for the reachability of its server's zone.
+/// Returns whether an attempt counts for the reachability of its server's zone.
 ///
-/// Zones are observed because the cut links of a whole zone would otherwise be found server by
-/// server. An ejected server that takes no connection counts for nothing, as a machine that hangs
-/// does not take one either.
+/// Zones are observed because the cut links of a whole zone would otherwise be detected server by
+/// server. An ejected server that takes no connection does not count, because a machine that hangs
+/// takes no connection either.
 pub(crate) fn reveals_zone_reachability(
     server: &Server,
     class: ClassId,
@@ -47,9 +47,9 @@
     !is_unreachable || !server.class_health(class).is_ejected()
 }
 
-/// The latency in µs that an attempt counts with: a failure counts as no faster than
-/// [`MIN_FAILED_LATENCY_FRACTION`] of the shortest latency objective, or a server that fails fast
-/// would look fast.
+/// Returns the latency in µs with which an attempt counts. A failed attempt counts with at least
+/// [`MIN_FAILED_LATENCY_FRACTION`] of the shortest latency objective; otherwise a server that fails
+/// fast would look fast.
 pub(crate) fn counted_latency_us(
     deployment: &Deployment,
     latency_us: f64,
--- a/crates/gateway-core/src/policy/outlier_detection/large_fleet.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/large_fleet.rs
@@ -1,5 +1,5 @@
 //! Outlier detection in a large fleet: each gateway sees a server seldom, receives health reports
-//! on it, and must not act in step with hundreds of others.
+//! on it from peers, and must not act in step with hundreds of other gateways.
 
 use super::ejection::PROBE_INTERVAL;
 use super::SERVER_LATENCY_WEIGHT;
@@ -8,18 +8,18 @@
 use crate::time::{DurationExt, Timestamp};
 use std::time::Duration;
 
-/// Minimum failure rate that one stalled attempt proves: less than in a small fleet, as each
-/// gateway sees few.
+/// Minimum failure rate that one stalled attempt proves. It is lower than in a small fleet, because
+/// each gateway sees few attempts.
 pub(super) const STALL_FAILURE_RATE: f64 = 0.5;
-/// Minimum factor on the interval between probes.
+/// Lower bound of the random factor on the interval between probes.
 const MIN_PROBE_SPREAD: f64 = 0.5;
-/// Minimum time for which a server that took no connection is left alone; the maximum is twice
-/// that, at first.
+/// Shortest initial connect backoff, during which a server that took no connection receives no
+/// attempts; the longest is twice as long.
 const CONNECT_BACKOFF: Duration = Duration::from_millis(500);
-/// Maximum number of times that the connect backoff doubles with consecutive failures.
+/// Maximum number of times that the connect backoff is doubled after consecutive failures.
 const MAX_CONNECT_DOUBLINGS: u32 = 4;
 
-/// Outlier detection of a large fleet.
+/// Outlier detection rules of a large fleet.
 #[derive(Clone, Copy)]
 pub(crate) struct LargeFleet {
     /// Number of gateways in the fleet.
@@ -27,16 +27,16 @@
 }
 
 impl LargeFleet {
-    /// The design for the fleet in `settings`.
+    /// Creates the rules for the fleet that `settings` describe.
     pub(super) fn new(settings: &Settings) -> Self {
         LargeFleet {
             gateway_count: f64::from(settings.gateway_count),
         }
     }
 
-    /// Time until this gateway's next probe of an ejected server: the probes of all gateways
-    /// together come at the pace of one gateway's in a small fleet. `draw`, from 0 to 1, spreads
-    /// them by half.
+    /// Returns the time until this gateway's next probe of an ejected server: all gateways together
+    /// probe as often as one gateway of a small fleet. `draw`, from 0 to 1, varies the time by up
+    /// to half of it in either direction.
     pub(super) fn probe_interval(&self, draw: f64) -> Duration {
         let spread = MIN_PROBE_SPREAD + draw;
         let factor = self.gateway_count * spread;
@@ -44,8 +44,8 @@
     }
 }
 
-/// For how long a server that took no connection is left alone: all gateways would send to it again
-/// and again.
+/// Returns the connect backoff of a server that took no connection. Without it, all gateways would
+/// send to the server again and again.
 pub(super) fn connect_backoff(random: &mut fastrand::Rng) -> ConnectBackoff {
     let spread = Duration::from_micros(random.u64(0..CONNECT_BACKOFF.whole_micros()));
     ConnectBackoff {
@@ -54,8 +54,8 @@
     }
 }
 
-/// Merges a sample of a server's latency; the fleet's median stands for the estimate while there is
-/// none. Peers' reports keep the estimate recent, so it does not decay first.
+/// Merges a sample into the estimate of a server's latency. Without an estimate, the fleet's median
+/// is the initial one. The estimate does not decay first, because peers' reports keep it recent.
 pub(super) fn observe_latency(server: &mut Server, now: Timestamp, sample_us: f64, median_us: f64) {
     server.observe_latency(now, sample_us, SERVER_LATENCY_WEIGHT, median_us);
 }
--- a/crates/gateway-core/src/policy/outlier_detection/mod.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/mod.rs
@@ -1,21 +1,21 @@
-//! Outlier detection: what the ends of attempts reveal about a server, when it is ejected, and when
-//! it is probed.
+//! Outlier detection: what the end of an attempt reveals about its server, when the server is
+//! ejected, and when it is probed.
 //!
 //! The rules, in the order in which they apply to an attempt that ends:
 //!
 //! 1. [`is_failure`]: whether the attempt counts as a failure of its server.
 //! 2. [`OutlierDetection::connect_backoff`]: for how long a server that took no connection receives
-//!    nothing (large fleet).
+//!    no attempts (large fleet).
 //! 3. [`reveals_zone_reachability`]: whether the attempt counts for the reachability of its zone.
 //! 4. [`counted_latency_us`] and [`OutlierDetection::observe_latency`]: how its latency enters the
 //!    estimate.
-//! 5. [`observe_answer`]: how an answered probe brings a server back.
-//! 6. [`update_ejection`]: when a server is ejected for a class, and readmitted.
+//! 5. [`observe_answer`]: how an answered probe leads to readmission.
+//! 6. [`update_ejection`]: when a server is ejected for a class, and when it is readmitted.
 //!
-//! While attempts are in flight, [`is_stalled`] finds servers that accept requests and answer none,
-//! and [`eject_stalled`] ejects them, unless this gateway itself is slow ([`is_timer_late`]). An
-//! ejected server is probed after [`OutlierDetection::probe_interval`]. What differs by the size of
-//! the fleet is in the modules [`small_fleet`] and [`large_fleet`].
+//! While attempts are in flight, [`is_stalled`] detects servers that accept requests and answer
+//! none, and [`eject_stalled`] ejects them, unless this gateway itself is slow ([`is_timer_late`]).
+//! An ejected server is probed after [`OutlierDetection::probe_interval`]. Rules that depend on the
+//! size of the fleet are in the modules [`small_fleet`] and [`large_fleet`].
 
 mod ejection;
 mod failures;
@@ -40,14 +40,14 @@
 pub(super) use small_fleet::SMALL_FLEET_LATENCY_HALF_LIFE_US;
 pub(crate) use stalls::{is_stalled, is_timer_late};
 
-/// Time without use or reports after which the health of a server is dropped, where not all servers
+/// Time without use or reports after which the health of a server is dropped, if not all servers
 /// are tracked.
 pub(crate) const MAX_SERVER_IDLE: Duration = Duration::from_secs(20);
 /// Weight of an attempt in its server's expected latency.
 const SERVER_LATENCY_WEIGHT: f64 = 0.15;
 
-/// How the health of servers is observed, which follows from the mode of the fleet and never
-/// changes.
+/// Rules by which the health of servers is observed, which follow from the fleet mode and never
+/// change.
 #[derive(Clone, Copy)]
 pub(crate) enum OutlierDetection {
     /// Each gateway sees every server often.
@@ -57,7 +57,7 @@
 }
 
 impl OutlierDetection {
-    /// The design for a fleet.
+    /// Creates the rules for a fleet of this mode.
     pub(crate) fn new(settings: &Settings, mode: FleetMode) -> Self {
         match mode {
             FleetMode::Gossip => OutlierDetection::SmallFleet,
@@ -65,16 +65,16 @@
         }
     }
 
-    /// Time until the next probe of an ejected server. `draw`: random, from 0 to 1.
+    /// Returns the time until the next probe of an ejected server. `draw` is random, from 0 to 1.
     pub(crate) fn probe_interval(&self, draw: f64) -> Duration {
         match self {
             OutlierDetection::SmallFleet => ejection::PROBE_INTERVAL,
-            OutlierDetection::LargeFleet(design) => design.probe_interval(draw),
+            OutlierDetection::LargeFleet(rules) => rules.probe_interval(draw),
         }
     }
 
-    /// For how long a server is left alone if an attempt finds no connection; `None` without
-    /// connect backoff.
+    /// Returns the connect backoff of a server if an attempt finds no connection; `None` in a small
+    /// fleet, which has no connect backoff.
     pub(crate) fn connect_backoff(&self, random: &mut fastrand::Rng) -> Option<ConnectBackoff> {
         match self {
             OutlierDetection::SmallFleet => None,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Minimum failure rate that one stalled attempt proves.
+    /// Returns the minimum failure rate that one stalled attempt proves.
     pub(crate) fn stall_failure_rate(&self) -> f64 {
         match self {
             OutlierDetection::SmallFleet => small_fleet::STALL_FAILURE_RATE,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Whether operators are warned of each stalled server.
+    /// Returns whether operators are warned of each stalled server.
     pub(crate) fn warns_of_stalled_servers(&self) -> bool {
         match self {
             OutlierDetection::SmallFleet => true,
--- a/crates/gateway-core/src/policy/outlier_detection/small_fleet.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/small_fleet.rs
@@ -1,5 +1,5 @@
-//! Outlier detection in a small fleet: each gateway sees every server often enough to judge it
-//! alone.
+//! Outlier detection in a small fleet: each gateway sees every server often enough to judge it on
+//! its own.
 
 use super::SERVER_LATENCY_WEIGHT;
 use crate::state::servers::Server;
@@ -7,11 +7,12 @@
 
 /// Minimum failure rate that one stalled attempt proves.
 pub(super) const STALL_FAILURE_RATE: f64 = 1.0;
-/// Time in µs in which the estimate of a server's latency decays halfway to the fleet's median.
+/// Half-life in µs with which the estimate of a server's latency decays to the fleet's median.
 pub(in crate::policy) const SMALL_FLEET_LATENCY_HALF_LIFE_US: f64 = 1e6;
 
-/// Merges a sample of a server's latency. The estimate first decays up to now: after an overload,
-/// the sample must not bring back the old estimate undiminished, or the server stays unused.
+/// Merges a sample into the estimate of a server's latency. The estimate first decays up to now;
+/// otherwise, after an overload, the sample would renew the old estimate undiminished, and the
+/// server would stay unused.
 pub(super) fn observe_latency(server: &mut Server, now: Timestamp, sample_us: f64, median_us: f64) {
     server.decay_latency(now, median_us, SMALL_FLEET_LATENCY_HALF_LIFE_US);
     server.observe_latency(now, sample_us, SERVER_LATENCY_WEIGHT, sample_us);
--- a/crates/gateway-core/src/policy/outlier_detection/stalls.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/stalls.rs
@@ -1,4 +1,4 @@
-//! When a server counts as stalled: it accepts requests and answers none, or its link is cut.
+//! Detection of stalled servers, which accept requests and answer none, or whose link is cut.
 
 use crate::policy::deadlines::TIMER_PERIOD;
 use crate::state::attempt::Attempt;
@@ -7,41 +7,42 @@
 use crate::time::{DurationExt, Timestamp};
 use std::time::Duration;
 
-/// Minimum age of a stalled attempt, as a ratio to the mean latency of all servers.
-const MIN_LATENCY_RATIO: f64 = 4.0;
+/// Minimum age of a stalled attempt, as a multiple of the mean latency of all servers.
+const MIN_STALLED_LATENCY_MULTIPLE: f64 = 4.0;
 /// Minimum age of a stalled attempt, as a fraction of its latency objective.
-const MIN_OBJECTIVE_FRACTION: f64 = 0.5;
-/// Factor on the minimum age of an attempt that is alone on its server.
-const ALONE_FACTOR: f64 = 1.5;
-/// Number of attempts in flight from which on none of them is alone on its server.
+const MIN_STALLED_OBJECTIVE_FRACTION: f64 = 0.5;
+/// Factor on the minimum age of a stalled attempt that is the only one in flight at its server.
+const SOLE_ATTEMPT_AGE_FACTOR: f64 = 1.5;
+/// Minimum number of attempts in flight at a server with which none of them is the only one.
 const MIN_CONCURRENT_ATTEMPTS: u32 = 2;
-/// Delay of a timer beyond which this gateway itself is slow.
+/// Delay of a timer beyond which this gateway itself counts as slow.
 const MAX_TIMER_DELAY: Duration = TIMER_PERIOD.saturating_mul(5);
 
-/// Whether a timer fires so late that this gateway itself is slow. Then answers may lie unread
-/// here, and no server counts as stalled.
+/// Returns whether a timer fires so late that this gateway itself is slow. Answers may then be
+/// waiting unread at this gateway, so no server counts as stalled.
 pub(crate) fn is_timer_late(now: Timestamp, due_at: Timestamp) -> bool {
     now > due_at + MAX_TIMER_DELAY
 }
 
-/// Whether the server of an attempt is stalled: it has answered nothing of the attempt's class
-/// since the attempt was sent, and the attempt is older than [`min_stalled_age_us`].
+/// Returns whether the server of an attempt is stalled: it has answered nothing of the attempt's
+/// class since the attempt was sent, and the attempt is older than [`min_stalled_age_us`].
 pub(crate) fn is_stalled(context: Context<'_>, server: &Server, attempt: &Attempt) -> bool {
     let age_us = context.now.micros_since(attempt.sent_at);
     server.class_health(attempt.class).answered_at() < attempt.sent_at
         && age_us > min_stalled_age_us(context, server, attempt)
 }
 
-/// Age in µs up to which an attempt is not stalled: the larger of [`MIN_LATENCY_RATIO`] mean
-/// latencies and [`MIN_OBJECTIVE_FRACTION`] of its objective. An attempt that is alone on its
-/// server may be a rare heavy request, and is given more time.
+/// Returns the age in µs up to which an attempt is not stalled: the larger of
+/// [`MIN_STALLED_LATENCY_MULTIPLE`] mean latencies and [`MIN_STALLED_OBJECTIVE_FRACTION`] of its
+/// latency objective. An attempt that is the only one in flight at its server is given more time,
+/// because it may be a rare heavy request.
 fn min_stalled_age_us(context: Context<'_>, server: &Server, attempt: &Attempt) -> f64 {
     let class = &context.deployment.settings.classes[attempt.class.0];
     let objective_us = class.latency_objective.as_micros_f64();
-    let limit_us = (objective_us * MIN_OBJECTIVE_FRACTION)
-        .max(context.fleet.mean_latency_us() * MIN_LATENCY_RATIO);
+    let limit_us = (objective_us * MIN_STALLED_OBJECTIVE_FRACTION)
+        .max(context.fleet.mean_latency_us() * MIN_STALLED_LATENCY_MULTIPLE);
     if server.in_flight() < MIN_CONCURRENT_ATTEMPTS {
-        limit_us * ALONE_FACTOR
+        limit_us * SOLE_ATTEMPT_AGE_FACTOR
     } else {
         limit_us
     }
--- a/crates/gateway-core/src/policy/slow_start.rs
+++ b/crates/gateway-core/src/policy/slow_start.rs
@@ -1,11 +1,11 @@
 //! Slow start: how many attempts a server receives while it warms up. A server that has just
-//! started is overloaded by a rate that a warm one sustains.
+//! started is overloaded by a rate that a warm server sustains.
 //!
-//! 1. [`SlowStart::new`]: the rate of attempts that a gateway may send to a warm server, by what
-//!    the warm ones sustain.
-//! 2. [`SlowStart::grant`]: at each control tick, every server that warms up gains credit for its
-//!    fraction of that rate.
-//! 3. Each attempt takes one unit of credit; without a whole unit the server has no capacity (see
+//! 1. [`SlowStart::new`]: the rate of attempts that this gateway may send to a warm server,
+//!    according to the throughput that the warm servers sustain.
+//! 2. [`SlowStart::grant`]: at each control tick, every server that is warming up gains slow-start
+//!    credit for its fraction of that rate.
+//! 3. Each attempt takes one unit of credit; a server with less than one unit has no capacity (see
 //!    [`load_balancing`](super::load_balancing)).
 
 use super::load_balancing::ServerSelection;
@@ -14,32 +14,33 @@
 use crate::statistics::{count_as_f64, expected_count};
 use std::time::Duration;
 
-/// Attempts that all gateways together send to a cold server while warm ones don't show a higher
-/// rate.
+/// Rate of attempts that all gateways together send to a cold server while warm servers do not show
+/// a higher rate.
 const MIN_ATTEMPTS_PER_SECOND: f64 = 1.5;
-/// Attempts' worth of credit that one gateway may accumulate.
+/// Slow-start credit that one gateway may accumulate for a server, in attempts.
 const MAX_CREDIT: f64 = 1.5;
 /// Number of gateways up to which each may retain all credit that it has not used. In larger fleets
-/// each retains less, or all might use theirs at the same time.
+/// each gateway retains less, because all gateways might use their credit at the same time.
 const MAX_RETAINING_GATEWAYS: f64 = 6.0;
-/// Fraction of the overload multiple of the warm servers' rate that a server is given.
+/// Fraction of the overload multiple that is applied to the warm servers' rate.
 const OVERLOAD_FRACTION: f64 = 0.4;
 
-/// The credit that this gateway grants at one control tick.
+/// Slow-start credit that this gateway grants at one control tick.
 pub(crate) struct SlowStart {
-    /// Attempts that a server with all of its capacity would be granted.
+    /// Attempts that a server with all of its capacity is granted.
     full_grant: f64,
     /// Fraction of unused credit that is retained.
     retained_fraction: f64,
 }
 
 impl SlowStart {
-    /// The grant for a control tick.
+    /// Creates the grant for a control tick.
     ///
     /// The rate is [`OVERLOAD_FRACTION`] of the overload multiple times this gateway's throughput
-    /// for each warm server, or its part of [`MIN_ATTEMPTS_PER_SECOND`] if that is more. `warm` of
-    /// the `ready` servers are warm; `tick` is the time between two control ticks. In a large fleet
-    /// only a part of the gateways have a server in their subset, so each of them grants it more.
+    /// per warm server, or this gateway's part of [`MIN_ATTEMPTS_PER_SECOND`] if that is higher. Of
+    /// the `ready` servers, `warm` are warm; `tick` is the time between two control ticks. In a
+    /// large fleet only a part of the gateways have a given server in their subset, so each of them
+    /// grants it more.
     pub(crate) fn new(
         context: Context<'_>,
         selection: &ServerSelection,
@@ -54,16 +55,18 @@
             * OVERLOAD_FRACTION
             * settings.rules.overload_multiple;
         let rate = observed_rate.max(MIN_ATTEMPTS_PER_SECOND / gateways)
-            * selection.servers_per_subset(warm, ready);
+            * selection.warm_to_subset_ratio(warm, ready);
         SlowStart {
             full_grant: expected_count(rate, tick),
             retained_fraction: (MAX_RETAINING_GATEWAYS / gateways).min(1.0),
         }
     }
 
-    /// Grants a server that warms up its credit: whole attempts, rounded up with a probability of
-    /// the fraction that remains. `warm_up_fraction`: fraction of its capacity that the server has;
-    /// `draw`: random, from 0 to 1.
+    /// Grants slow-start credit to a server that is warming up: whole attempts, where a fraction of
+    /// an attempt is rounded up with a probability equal to that fraction.
+    ///
+    /// `warm_up_fraction` is the fraction of its capacity that the server has; `draw` is random,
+    /// from 0 to 1.
     pub(crate) fn grant(&self, credit: &mut SlowStartCredit, warm_up_fraction: f64, draw: f64) {
         let gained = (self.full_grant * warm_up_fraction + draw).floor();
         let maximum = gained.max(MAX_CREDIT);
