--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -126,7 +126,7 @@
 /// Returns whether an owner may be asked: it has missed few consecutive lease requests, or its
 /// cooldown has ended.
 fn is_responsive(quotas: &QuotaState, now: Timestamp, owners: &QuotaOwners, index: u32) -> bool {
-    let misses = quotas.misses_of(owners.gateway(index));
+    let misses = quotas.timeouts_of(owners.gateway(index));
     misses.is_none_or(|misses| {
         misses.count < MISSES_UNTIL_UNRESPONSIVE || misses.cooldown_until <= now
     })
@@ -150,7 +150,10 @@
         (Units::ZERO, ReturnedLease::default())
     } else {
         let requested_units = account.recent_demand() - request.units();
-        (requested_units, account.request_lease(now, owner.index))
+        (
+            requested_units,
+            account.record_lease_request(now, owner.index),
+        )
     };
     LeaseRequest {
         sequence,
@@ -264,7 +267,7 @@
     let Some(pending) = request.quota.pending() else {
         return UnsentDecision::RequestLease;
     };
-    if now <= pending.sent_at + response_timeout(request.quota.misses()) {
+    if now <= pending.sent_at + response_timeout(request.quota.timeouts()) {
         return UnsentDecision::Wait;
     }
     UnsentDecision::Missed {
@@ -289,7 +292,7 @@
     quotas: &QuotaState,
     request: &Request,
 ) -> MissDecision {
-    let misses = request.quota.misses() + 1;
+    let misses = request.quota.timeouts() + 1;
     if misses < MISSES_UNTIL_UNRESPONSIVE || hard_limit.is_some() {
         return MissDecision::AskAgain;
     }
--- a/crates/gateway-core/src/policy/quota_sharing/owner.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -12,7 +12,9 @@
 
 use crate::message::{LeaseDecision, LeaseRequest, LeaseResponse};
 use crate::settings::{HardLimit, Plan, Settings};
-use crate::state::quota::{permits_of_owner, OwnedPart, OwnedQuota, PermitHolder, QuotaOwners};
+use crate::state::quota::{
+    permits_of_owner, OwnedQuota, OwnedQuotaConfig, PermitHolder, QuotaOwners,
+};
 use crate::time::{DurationExt, Timestamp, MICROS_PER_SECOND};
 use crate::types::{CustomerId, GatewayId, GatewaySet};
 use crate::units::Units;
@@ -55,7 +57,7 @@
     let Some(limit) = hard_limit else {
         return MAX_LEASE_LIFETIME;
     };
-    let refill_seconds = limit.capacity.seconds_at(limit.rate);
+    let refill_seconds = limit.capacity.seconds_to_refill(limit.rate);
     let lifetime_us = refill_seconds * MAX_LIFETIME_REFILL_FRACTION * MICROS_PER_SECOND;
     Duration::from_micros_f64(lifetime_us).clamp(MIN_LEASE_LIFETIME, MAX_LEASE_LIFETIME)
 }
@@ -125,7 +127,7 @@
     /// the hard limit empty.
     pub(crate) fn new_part(&self, settings: &Settings, now: Timestamp) -> OwnedQuota {
         let fractions = self.fractions();
-        let part = OwnedPart {
+        let part = OwnedQuotaConfig {
             plan_id: self.request.plan,
             plan: self.plan,
             quota_fraction: fractions.quota,
@@ -171,7 +173,7 @@
         owned: &mut OwnedQuota,
     ) -> LeaseResponse {
         let returned = self.request.returned;
-        let seconds_since_refill = owned.begin_request(now, self.plan, self.from, returned);
+        let seconds_since_refill = owned.begin_lease_request(now, self.plan, self.from, returned);
         throttle_lease_requests(owned, settings, self.plan, seconds_since_refill);
         if !self.fits_limits(owned) {
             return self.response(LeaseDecision::QuotaExceeded, owned, Units::ZERO);
