--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -5,7 +5,7 @@
 use super::Gateway;
 use crate::message::{self, LeaseDecision, LeaseRequest, LeaseResponse, Message, PermitRelease};
 use crate::policy::quota_sharing::lease::{
-    self as policy, MissDecision, ResponseDecision, UnsentDecision,
+    self as policy, ResponseDecision, TimeoutDecision, UnsentDecision,
 };
 use crate::policy::quota_sharing::owner::{lease_lifetime, owners_of, ReceivedLeaseRequest};
 use crate::state::deployment::Context;
@@ -179,7 +179,7 @@
             UnsentDecision::Wait => {}
             UnsentDecision::RequestLease => self.request_lease(now, id, actions),
             UnsentDecision::RenewGrant(grant) => self.renew_grant(now, id, grant, actions),
-            UnsentDecision::Missed { pending, next } => {
+            UnsentDecision::TimedOut { pending, next } => {
                 self.record_miss(now, &id, pending);
                 self.continue_after_miss(now, id, pending, next, actions);
             }
@@ -222,10 +222,10 @@
         now: Timestamp,
         id: RequestId,
         pending: PendingLease,
-        next: MissDecision,
+        next: TimeoutDecision,
         actions: &mut Vec<Action>,
     ) {
-        if matches!(next, MissDecision::AskAgain) {
+        if matches!(next, TimeoutDecision::AskAgain) {
             return self.request_lease(now, id, actions);
         }
         // A request that is rejected below is granted too, because its rejection releases the
@@ -238,7 +238,7 @@
             };
             grant_request(now, request, own_grant);
         }
-        if let MissDecision::Reject(reason) = next {
+        if let TimeoutDecision::Reject(reason) = next {
             self.reject_or_fail(now, &id, reason, actions);
         } else {
             self.requests.enqueue(id);
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -34,7 +34,7 @@
 pub(crate) const OWNER_COOLDOWN: Duration = Duration::from_secs(1);
 /// Number of consecutive lease requests without a response after which an owner is unresponsive.
 /// Fewer may be due to lost messages.
-const MISSES_UNTIL_UNRESPONSIVE: u32 = 3;
+const TIMEOUTS_UNTIL_UNRESPONSIVE: u32 = 3;
 /// Maximum number of times that the response timeout is doubled for one request.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
@@ -123,12 +123,12 @@
         .map_or_else(|| random.u32(0..owners.count()), HeldLease::owner_index)
 }
 
-/// Returns whether an owner may be asked: it has missed few consecutive lease requests, or its
-/// cooldown has ended.
+/// Returns whether an owner may be asked: few consecutive lease requests to it have timed out, or
+/// its cooldown has ended.
 fn is_responsive(quotas: &QuotaState, now: Timestamp, owners: &QuotaOwners, index: u32) -> bool {
-    let misses = quotas.timeouts_of(owners.gateway(index));
-    misses.is_none_or(|misses| {
-        misses.count < MISSES_UNTIL_UNRESPONSIVE || misses.cooldown_until <= now
+    let timeouts = quotas.timeouts_of(owners.gateway(index));
+    timeouts.is_none_or(|timeouts| {
+        timeouts.count < TIMEOUTS_UNTIL_UNRESPONSIVE || timeouts.cooldown_until <= now
     })
 }
 
@@ -228,16 +228,16 @@
     /// again.
     RenewGrant(RequestGrant),
     /// The owner has not responded in time.
-    Missed {
+    TimedOut {
         /// Lease request without a response.
         pending: PendingLease,
         /// Decision on the request.
-        next: MissDecision,
+        next: TimeoutDecision,
     },
 }
 
 /// Decision on a request whose owner has not responded in time.
-pub(crate) enum MissDecision {
+pub(crate) enum TimeoutDecision {
     /// The request asks an owner again.
     AskAgain,
     /// The request is sent: owners are unresponsive, and the customer's account at this gateway
@@ -270,36 +270,36 @@
     if now <= pending.sent_at + response_timeout(request.quota.timeouts()) {
         return UnsentDecision::Wait;
     }
-    UnsentDecision::Missed {
+    UnsentDecision::TimedOut {
         pending,
-        next: decide_after_miss(hard_limit, quotas, request),
+        next: decide_after_timeout(hard_limit, quotas, request),
     }
 }
 
-/// Returns how long a request with `misses` misses waits for a response. From the second miss on,
-/// the time doubles with each miss: in a partition, or where an owner's message intake is full,
-/// more frequent lease requests would cause more losses.
-fn response_timeout(misses: u32) -> Duration {
-    let doublings = misses.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
+/// Returns how long a request waits for a response after this number of timeouts. From the second
+/// timeout on, the wait doubles with each timeout: in a partition, or where an owner's message
+/// intake is full, more frequent lease requests would cause more losses.
+fn response_timeout(timeouts: u32) -> Duration {
+    let doublings = timeouts.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
     RESPONSE_TIMEOUT * (1 << doublings)
 }
 
-/// Decides what follows one more miss. After [`MISSES_UNTIL_UNRESPONSIVE`] misses the customer's
-/// account at this gateway decides, except under a hard limit, where the request keeps asking
-/// owners.
-fn decide_after_miss(
+/// Decides what follows one more timeout. After [`TIMEOUTS_UNTIL_UNRESPONSIVE`] timeouts the
+/// customer's account at this gateway decides, except under a hard limit, where the request keeps
+/// asking owners.
+fn decide_after_timeout(
     hard_limit: Option<&HardLimit>,
     quotas: &QuotaState,
     request: &Request,
-) -> MissDecision {
-    let misses = request.quota.timeouts() + 1;
-    if misses < MISSES_UNTIL_UNRESPONSIVE || hard_limit.is_some() {
-        return MissDecision::AskAgain;
+) -> TimeoutDecision {
+    let timeouts = request.quota.timeouts() + 1;
+    if timeouts < TIMEOUTS_UNTIL_UNRESPONSIVE || hard_limit.is_some() {
+        return TimeoutDecision::AskAgain;
     }
     if quotas.account(request.customer()).is_some_and(is_covered) {
-        MissDecision::Send
+        TimeoutDecision::Send
     } else {
-        MissDecision::Reject(RejectReason::OwnerUnreachable)
+        TimeoutDecision::Reject(RejectReason::OwnerUnreachable)
     }
 }
 
