--- a/crates/gateway-core/src/state/attempt.rs
+++ b/crates/gateway-core/src/state/attempt.rs
@@ -4,28 +4,28 @@
 use crate::types::{AttemptNumber, ClassId, CustomerId, RequestId, ServerId};
 use std::collections::BTreeMap;
 
-/// Identifies an attempt.
+/// The request and number that identify an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
-    /// Its request.
+    /// The request that the attempt belongs to.
     pub(crate) request: RequestId,
-    /// Its number within the request.
+    /// The attempt's number within the request, from 0.
     pub(crate) number: AttemptNumber,
 }
 
-/// An attempt in flight.
+/// What is recorded of an attempt when it is sent.
 pub(crate) struct Attempt {
-    /// The server it was sent to.
+    /// The server that the attempt was sent to.
     pub(crate) server: ServerId,
-    /// The customer of its request.
+    /// The customer of the request.
     pub(crate) customer: CustomerId,
-    /// The class of its request.
+    /// The class of the request.
     pub(crate) class: ClassId,
-    /// Since when its request could have been sent if a server had been available.
+    /// The time from which the request could have been sent, had a server been available.
     pub(crate) eligible_since: Timestamp,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub(crate) sent_at: Timestamp,
-    /// Attempts in flight at the server when it was sent, including this one.
+    /// Attempts of this gateway in flight at the server after this attempt was sent, including it.
     pub(crate) server_in_flight: f64,
 }
 
@@ -39,22 +39,22 @@
         self.0.insert(key, attempt);
     }
 
-    /// Removes an attempt that has ended.
+    /// Removes an attempt that has ended; returns `None` if it was not in the table.
     pub(crate) fn remove(&mut self, key: &AttemptKey) -> Option<Attempt> {
         self.0.remove(key)
     }
 
-    /// All attempts, in the order of their requests' ids.
+    /// Iterates over all attempts, ordered by request id and then by number.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&AttemptKey, &Attempt)> {
         self.0.iter()
     }
 
-    /// How many attempts are in flight.
+    /// Returns the number of attempts in flight.
     pub(crate) fn count(&self) -> f64 {
         self.0.len() as f64
     }
 
-    /// How many attempts of a class are in flight.
+    /// Returns the number of attempts of a class in flight.
     pub(crate) fn count_of(&self, class: ClassId) -> f64 {
         self.0
             .values()
--- a/crates/gateway-core/src/state/deployment.rs
+++ b/crates/gateway-core/src/state/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment: the settings of a gateway, and what is derived from them once, when it starts.
+//! The settings of a gateway, and values derived from them once, when the gateway starts.
 
 use super::request::Request;
 use super::servers::FleetEstimates;
@@ -10,30 +10,31 @@
 /// [`mode_of`](crate::policy::fleet_mode::mode_of).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FleetMode {
-    /// A small fleet: each gateway broadcasts its usage, and its own token buckets decide.
+    /// In a small fleet each gateway broadcasts its usage and admits requests by its own token
+    /// buckets.
     Gossip,
-    /// A large fleet, in which usage could not be broadcast often enough: a few owners among a
-    /// customer's gateways hold its quota and grant leases. This is an addition to the design.
+    /// In a large fleet, where usage could not be broadcast often enough, a few owners among a
+    /// customer's gateways hold its quota and grant leases. This mode is an addition to the design.
     Leases,
 }
 
-/// The settings, the mode of the fleet, and what is derived from them. None of it changes.
+/// The settings, the fleet mode, and values derived from them. None of them change after the start.
 pub(crate) struct Deployment {
-    /// The settings as configured.
+    /// The settings as configured, without changes.
     pub(crate) settings: Settings,
-    /// The mode of the fleet.
+    /// How the gateways share quotas and observations.
     pub(crate) mode: FleetMode,
-    /// The shortest latency objective of all classes, in µs.
+    /// The shortest latency objective of all classes in µs; at least 1.
     pub(crate) shortest_objective_us: f64,
-    /// The class with the lowest priority weight, the first if there are several. It is limited in
-    /// favour of the others, the controlled classes.
+    /// The class with the lowest priority weight, or the first of several such classes. Its
+    /// attempts are limited in favour of the other classes, the controlled classes.
     pub(crate) lowest_class: ClassId,
-    /// Whether quota owners grant each request its units before it is first sent.
+    /// Whether a request needs its units granted by a quota owner before it is first sent.
     quota_owners_grant: bool,
 }
 
 impl Deployment {
-    /// Derives everything from the settings and the mode.
+    /// Derives the values from the settings and the fleet mode.
     pub(crate) fn new(settings: Settings, mode: FleetMode) -> Self {
         let classes = &settings.classes;
         let shortest = classes.iter().map(|class| class.latency_objective).min();
@@ -50,56 +51,56 @@
         }
     }
 
-    /// Whether the settings have this class and this plan.
+    /// Returns whether the settings contain both the class and the plan.
     pub(crate) fn has_class_and_plan(&self, class: ClassId, plan: PlanId) -> bool {
         class.0 < self.settings.classes.len() && plan.0 < self.settings.plans.len()
     }
 
-    /// The class of a request.
+    /// Returns the settings of a request's class.
     pub(crate) fn class_of(&self, request: &Request) -> &Class {
         &self.settings.classes[request.class().0]
     }
 
-    /// The instant up to which an answer to a request meets its latency objective.
+    /// Returns the latest time at which an answer to a request still meets its latency objective.
     pub(crate) fn objective_deadline(&self, request: &Request) -> Timestamp {
         request.arrived_at() + self.class_of(request).latency_objective
     }
 
-    /// The time between two instants, relative to the latency objective of a class.
+    /// Returns the time between two instants as a ratio to the latency objective of a class.
     pub(crate) fn objective_ratio(&self, class: ClassId, from: Timestamp, until: Timestamp) -> f64 {
         let objective = self.settings.classes[class.0].latency_objective;
         until.micros_since(from) / objective.as_micros_f64().max(1.0)
     }
 
-    /// Whether an answer to a request has any value after its latency objective.
+    /// Returns whether an answer to a request has any value after its latency objective.
     pub(crate) fn has_value_when_late(&self, request: &Request) -> bool {
         self.class_of(request).late_weight > 0.0
     }
 
-    /// Whether quota owners grant each request its units before it is first sent.
+    /// Returns whether a request needs its units granted by a quota owner before it is first sent.
     pub(crate) fn quota_owners_grant(&self) -> bool {
         self.quota_owners_grant
     }
 
-    /// The plan that a request names.
+    /// Returns the plan that a request names.
     pub(crate) fn plan_of(&self, request: &Request) -> &Plan {
         &self.settings.plans[request.plan().0]
     }
 }
 
-/// What decisions depend on besides the request, token bucket or server that they are about.
+/// The inputs of a decision apart from the request, token bucket or server it is about.
 #[derive(Clone, Copy)]
 pub(crate) struct Context<'a> {
     /// The time of the event that is being handled.
     pub(crate) now: Timestamp,
-    /// The settings and what is derived from them.
+    /// The settings and the values derived from them.
     pub(crate) deployment: &'a Deployment,
-    /// Estimates of the fleet.
+    /// Estimates of the latency, load and throughput of the fleet.
     pub(crate) fleet: &'a FleetEstimates,
 }
 
 impl<'a> Context<'a> {
-    /// The context of an event at `now`.
+    /// Creates the context of an event that is handled at `now`.
     pub(crate) fn new(
         now: Timestamp,
         deployment: &'a Deployment,
--- a/crates/gateway-core/src/state/latency_samples.rs
+++ b/crates/gateway-core/src/state/latency_samples.rs
@@ -1,4 +1,5 @@
-//! Latency samples between two control ticks, relative to the latency objective of their class.
+//! Samples of latency ratios (latency divided by the latency objective of the class), collected
+//! between two control ticks.
 
 use crate::types::ClassId;
 
@@ -10,39 +11,39 @@
 }
 
 impl ClassSamples {
-    /// Adds a latency ratio: a latency relative to the latency objective.
+    /// Adds a latency ratio.
     pub(crate) fn add(&mut self, ratio: f64) {
         self.sum += ratio;
         self.count += 1.0;
     }
 
-    /// The mean latency ratio; `None` without samples.
+    /// Returns the mean latency ratio, or `None` without samples.
     pub(crate) fn mean(&self) -> Option<f64> {
         (self.count > 0.0).then(|| self.sum / self.count)
     }
 }
 
-/// The samples of all classes since the last control tick.
+/// The samples of all classes since the last control tick, indexed by class.
 pub(crate) struct LatencySamples(Vec<ClassSamples>);
 
 impl LatencySamples {
-    /// No samples, for so many classes.
+    /// Creates an empty set of samples for the given number of classes.
     pub(crate) fn new(classes: usize) -> Self {
         LatencySamples(vec![ClassSamples::default(); classes])
     }
 
-    /// The samples of one class.
+    /// Returns the samples of one class.
     pub(crate) fn class_samples_mut(&mut self, class: ClassId) -> &mut ClassSamples {
         &mut self.0[class.0]
     }
 
-    /// Takes all samples; the next period begins without any.
+    /// Returns all samples and resets the collection for the next period.
     pub(crate) fn take(&mut self) -> LatencySamples {
         let empty = LatencySamples::new(self.0.len());
         std::mem::replace(self, empty)
     }
 
-    /// The samples of each class, in the order of classes.
+    /// Iterates over the samples of each class, ordered by class id.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &ClassSamples> {
         self.0.iter()
     }
--- a/crates/gateway-core/src/state/mod.rs
+++ b/crates/gateway-core/src/state/mod.rs
@@ -1,6 +1,7 @@
-//! What a gateway remembers. Each type keeps its own invariants. What is decided about requests
-//! stands in [`policy`](crate::policy), which passes in most weights and durations; the exceptions
-//! are bounds of a representation, such as the window in which a peer's usage counts.
+//! The state of a gateway. Each type maintains its own invariants. Decisions about requests are
+//! made in [`policy`](crate::policy), which passes in most weights and durations; the constants
+//! defined here are limits of a data structure, such as the window over which a peer's usage is
+//! summed.
 
 pub(crate) mod attempt;
 pub(crate) mod deployment;
--- a/crates/gateway-core/src/state/request.rs
+++ b/crates/gateway-core/src/state/request.rs
@@ -1,5 +1,4 @@
-//! An open request: what arrived, what became of its attempts, and its progress with the quota
-//! owners.
+//! An open request: its details, the state of its attempts, and its progress with the quota owners.
 
 use super::attempt::Attempt;
 use super::quota::QuotaProgress;
@@ -10,25 +9,25 @@
 use crate::units::Units;
 use std::time::Duration;
 
-/// Where and when an attempt was sent that may have been executed.
+/// An attempt that a server may have executed.
 #[derive(Clone, Copy)]
 pub(crate) struct PossibleExecution {
-    /// The server, as listed when the attempt ended.
+    /// The endpoint of the server, as listed when the attempt ended.
     pub(crate) endpoint: Endpoint,
     /// When the attempt was sent.
     pub(crate) sent_at: Timestamp,
 }
 
-/// What a client's request consists of for a gateway; it does not change.
+/// The details of a client's request that a gateway uses. They do not change.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RequestDetails {
-    /// The class, which gives the latency objective, the priority weight and the idempotency.
+    /// The class, which determines the latency objective, priority weight and idempotency.
     pub(crate) class: ClassId,
-    /// The plan of the customer.
+    /// The plan of the customer, as named by the request.
     pub(crate) plan: PlanId,
-    /// The customer.
+    /// The customer whose quota is charged.
     pub(crate) customer: CustomerId,
-    /// Quota units that the request consumes.
+    /// The quota units that the request consumes.
     pub(crate) units: Units,
 }
 
@@ -36,35 +35,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct InFlightAttempt {
     number: AttemptNumber,
-    /// Whether it may be cancelled: not once it has been, or once its answer streams to the client.
+    /// False once the attempt has been cancelled or its answer streams to the client.
     is_cancellable: bool,
 }
 
-/// A request without a final answer: what arrived, what became of its attempts, and its progress
-/// with the quota owners.
+/// A request without a final answer.
 #[derive(Default)]
 pub(crate) struct Request {
     details: RequestDetails,
     arrived_at: Timestamp,
     deadline: Timestamp,
-    /// Since when the request could have been sent if a server had been available: delays by its
-    /// customer's own quota do not count as latency.
+    /// The time from which the request could have been sent, had a server been available. It
+    /// excludes delays by the customer's own quota, which do not count as latency.
     eligible_since: Timestamp,
-    /// Attempts sent so far.
+    /// Number of attempts sent so far.
     attempt_count: u32,
     in_flight: Option<InFlightAttempt>,
-    /// Whether it has been counted as a late sample while it was open.
+    /// Whether the request has been counted as a late sample while open.
     is_counted_as_late: bool,
-    /// Whether an attempt has reached a server.
+    /// Whether any attempt has reached a server.
     has_reached_server: bool,
     possible_execution: Option<PossibleExecution>,
     last_server: Option<ServerId>,
-    /// Its progress with its customer's quota owners.
+    /// The lease requests sent for this request, and the grant obtained.
     pub(crate) quota: QuotaProgress,
 }
 
 impl Request {
-    /// A request that arrives at `now` and whose client waits for `timeout`.
+    /// Creates a request that arrived at `now` and whose client waits for `timeout`.
     pub(crate) fn new(now: Timestamp, timeout: Duration, details: RequestDetails) -> Self {
         Request {
             details,
@@ -75,99 +73,99 @@
         }
     }
 
-    /// Its class.
+    /// Returns the request's class.
     pub(crate) fn class(&self) -> ClassId {
         self.details.class
     }
 
-    /// The plan of its customer, as the request names it.
+    /// Returns the plan of the customer, as named by the request.
     pub(crate) fn plan(&self) -> PlanId {
         self.details.plan
     }
 
-    /// Its customer.
+    /// Returns the customer whose quota is charged.
     pub(crate) fn customer(&self) -> CustomerId {
         self.details.customer
     }
 
-    /// Quota units that it consumes.
+    /// Returns the quota units that the request consumes.
     pub(crate) fn units(&self) -> Units {
         self.details.units
     }
 
-    /// When it arrived.
+    /// Returns when the request arrived.
     pub(crate) fn arrived_at(&self) -> Timestamp {
         self.arrived_at
     }
 
-    /// When its client stops waiting; [`Timestamp::MAX`] once its answer streams.
+    /// Returns when the client stops waiting; [`Timestamp::MAX`] once the answer streams.
     pub(crate) fn deadline(&self) -> Timestamp {
         self.deadline
     }
 
-    /// When half of its client's timeout has passed.
+    /// Returns the time halfway between arrival and deadline.
     pub(crate) fn half_time(&self) -> Timestamp {
         self.arrived_at + self.deadline.duration_since(self.arrived_at) / 2
     }
 
-    /// Since when it could have been sent if a server had been available.
+    /// Returns the time from which the request could have been sent, had a server been available.
     pub(crate) fn eligible_since(&self) -> Timestamp {
         self.eligible_since
     }
 
-    /// Records that it was delayed until now by its customer's own quota, not by the servers.
+    /// Records that the customer's own quota, not a lack of servers, delayed the request until now.
     pub(crate) fn record_quota_delay(&mut self, now: Timestamp) {
         self.eligible_since = now;
     }
 
-    /// Attempts sent so far.
+    /// Returns the number of attempts sent so far.
     pub(crate) fn attempt_count(&self) -> u32 {
         self.attempt_count
     }
 
-    /// Whether an attempt was sent before.
+    /// Returns whether any attempt has been sent.
     pub(crate) fn was_sent(&self) -> bool {
         self.attempt_count > 0
     }
 
-    /// Whether an attempt is in flight; there is one at most.
+    /// Returns whether an attempt is in flight. A request has at most one.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// The attempt in flight, if it may be cancelled.
+    /// Returns the number of the attempt in flight, if that attempt may be cancelled.
     pub(crate) fn cancellable_attempt(&self) -> Option<AttemptNumber> {
         let attempt = self.in_flight.filter(|attempt| attempt.is_cancellable)?;
         Some(attempt.number)
     }
 
-    /// Whether the attempt in flight was cancelled, or its answer streams to the client.
+    /// Returns whether the attempt in flight was cancelled or its answer streams to the client.
     pub(crate) fn is_cancelled_or_streaming(&self) -> bool {
         self.in_flight
             .is_some_and(|attempt| !attempt.is_cancellable)
     }
 
-    /// Whether an attempt has reached a server.
+    /// Returns whether any attempt has reached a server.
     pub(crate) fn has_reached_server(&self) -> bool {
         self.has_reached_server
     }
 
-    /// Where and when it may have been executed; `None` if it can't have been.
+    /// Returns the first attempt that may have been executed; `None` if none can have been.
     pub(crate) fn possible_execution(&self) -> Option<&PossibleExecution> {
         self.possible_execution.as_ref()
     }
 
-    /// The server of the last attempt.
+    /// Returns the server of the most recent attempt.
     pub(crate) fn last_server(&self) -> Option<ServerId> {
         self.last_server
     }
 
-    /// Counts the request as a late sample while it is open; false if it was counted before.
+    /// Marks the open request as counted as a late sample; returns false if it was marked before.
     pub(crate) fn count_as_late(&mut self) -> bool {
         !std::mem::replace(&mut self.is_counted_as_late, true)
     }
 
-    /// Records that a new attempt is in flight at this server.
+    /// Records that an attempt was sent to a server; returns the attempt's number.
     pub(crate) fn record_attempt_sent(&mut self, server: ServerId) -> AttemptNumber {
         let number = AttemptNumber(self.attempt_count);
         self.attempt_count += 1;
@@ -179,12 +177,13 @@
         number
     }
 
-    /// Records that the attempt in flight was cancelled; that it has ended is reported later.
+    /// Records that the attempt in flight was cancelled. It stays in flight until its end is
+    /// reported.
     pub(crate) fn record_cancellation(&mut self) {
         self.forbid_cancellation();
     }
 
-    /// Records that the answer streams to the client: there is no deadline any more, and the
+    /// Records that the answer streams to the client: from now on there is no deadline, and the
     /// attempt must not be cancelled.
     pub(crate) fn record_stream_start(&mut self) {
         self.deadline = Timestamp::MAX;
@@ -197,20 +196,19 @@
         }
     }
 
-    /// Records that the attempt in flight has ended.
+    /// Records the outcome of the attempt in flight, which has ended.
     pub(crate) fn record_attempt_finished(&mut self, outcome: AttemptOutcome) {
         self.in_flight = None;
         self.has_reached_server |= outcome.reached_server();
     }
 
-    /// Records where and when an attempt was sent that may have been executed; the first one
-    /// counts.
+    /// Records an attempt that may have been executed, unless an earlier one was recorded.
     pub(crate) fn record_possible_execution(&mut self, execution: Option<PossibleExecution>) {
         self.possible_execution = self.possible_execution.or(execution);
     }
 
-    /// The record of the attempt that has just been sent to `server`, where so many are in flight
-    /// with it.
+    /// Returns the record of the attempt that has just been sent to `server`. `server_in_flight`
+    /// is the number of attempts in flight there, including this one.
     pub(crate) fn attempt_record(
         &self,
         server: ServerId,
--- a/crates/gateway-core/src/state/request_table.rs
+++ b/crates/gateway-core/src/state/request_table.rs
@@ -1,51 +1,51 @@
-//! The open requests of a gateway, and the queue of those that are waiting to be sent.
+//! The open requests of a gateway, and the queue of requests that wait to be sent.
 
 use super::request::Request;
 use crate::types::RequestId;
 use std::collections::BTreeMap;
 
-/// All open requests, and the queue of those that are waiting to be sent.
+/// All open requests, and the queue of requests that wait to be sent.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     open: BTreeMap<RequestId, Request>,
-    /// In the order in which they were queued.
+    /// Ids of the queued requests, in the order in which they were queued.
     queue: Vec<RequestId>,
 }
 
 impl RequestTable {
-    /// Whether no request is open.
+    /// Returns whether no request is open.
     pub(crate) fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Adds a request, which is not queued yet.
+    /// Adds an open request, without queueing it.
     pub(crate) fn insert(&mut self, id: RequestId, request: Request) {
         self.open.insert(id, request);
     }
 
-    /// An open request.
+    /// Returns an open request, or `None` if no open request has the id.
     pub(crate) fn get(&self, id: &RequestId) -> Option<&Request> {
         self.open.get(id)
     }
 
-    /// An open request, to be changed.
+    /// Returns an open request for changes, or `None` if no open request has the id.
     pub(crate) fn get_mut(&mut self, id: &RequestId) -> Option<&mut Request> {
         self.open.get_mut(id)
     }
 
-    /// Removes a request from the table and from the queue.
+    /// Removes a request from the table and from the queue, and returns it.
     pub(crate) fn remove(&mut self, id: &RequestId) -> Option<Request> {
         let request = self.open.remove(id)?;
         self.dequeue(id);
         Some(request)
     }
 
-    /// All open requests, in the order of their ids.
+    /// Iterates over all open requests, ordered by id.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&RequestId, &Request)> {
         self.open.iter()
     }
 
-    /// All open requests in the order of their ids, to be changed.
+    /// Iterates over all open requests for changes, ordered by id.
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Request> {
         self.open.values_mut()
     }
@@ -60,12 +60,12 @@
         self.queue.retain(|other| other != id);
     }
 
-    /// Whether no request is waiting to be sent.
+    /// Returns whether no request waits to be sent.
     pub(crate) fn is_queue_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// The requests that are waiting to be sent, in the order in which they were queued.
+    /// Iterates over the requests that wait to be sent, in the order in which they were queued.
     pub(crate) fn queued(&self) -> impl Iterator<Item = (&RequestId, &Request)> {
         self.queue
             .iter()
--- a/crates/gateway-core/tests/unit/latency_samples.rs
+++ b/crates/gateway-core/tests/unit/latency_samples.rs
@@ -1,9 +1,9 @@
-//! Means between two control ticks.
+//! Mean latency ratios between two control ticks.
 
 use super::*;
 
 #[test]
-fn means_are_by_class_and_begin_anew() {
+fn take_returns_mean_of_each_class_and_resets_samples() {
     let mut samples = LatencySamples::new(2);
     samples.class_samples_mut(ClassId(1)).add(1.0);
     samples.class_samples_mut(ClassId(1)).add(2.0);
--- a/crates/gateway-core/tests/unit/request.rs
+++ b/crates/gateway-core/tests/unit/request.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn half_time_lies_between_arrival_and_deadline() {
+fn half_time_is_midway_and_deadline_saturates() {
     assert_eq!(
         Request::new(
             at(100),
@@ -20,12 +20,12 @@
     assert_eq!(
         Request::new(at(100), Duration::MAX, RequestDetails::default()).deadline(),
         Timestamp::MAX,
-        "no overflow"
+        "an overflowing deadline saturates"
     );
 }
 
 #[test]
-fn attempts_are_numbered_from_zero_and_may_be_cancelled_anew() {
+fn numbers_attempts_from_zero_and_allows_cancelling_next_attempt() {
     let mut request = Request::default();
     assert_eq!(request.record_attempt_sent(ServerId(1)), AttemptNumber(0));
     request.record_cancellation();
--- a/crates/gateway-core/tests/unit/request_table.rs
+++ b/crates/gateway-core/tests/unit/request_table.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_queue_keeps_its_order_and_loses_what_is_removed() {
+fn queue_keeps_order_and_drops_removed_requests() {
     let id = |name: &str| RequestId(name.into());
     let mut table = RequestTable::default();
     for name in ["b", "a", "c"] {
