--- a/crates/gateway-core/src/state/quota/account.rs
+++ b/crates/gateway-core/src/state/quota/account.rs
@@ -1,4 +1,4 @@
-//! A customer's account at this gateway.
+//! A customer's account at this gateway: its quota, hard limit, held lease and usage.
 
 use super::forwarded_usage::ForwardedUsage;
 use super::hard_limit_bucket::{refill_time_us, HardLimitBucket};
@@ -13,69 +13,72 @@
 use crate::units::Units;
 use std::time::Duration;
 
-/// What a customer's account is made from.
+/// The parameters from which a customer's account is created.
 #[derive(Clone, Copy)]
 pub(crate) struct AccountConfig<'a> {
     /// The plan that the customer's requests name.
     pub(crate) plan_id: PlanId,
-    /// Its limits.
+    /// The limits of the plan.
     pub(crate) plan: &'a Plan,
     /// The gateways that the customer's requests come through.
     pub(crate) gateways: GatewaySet,
-    /// Units of the largest request.
+    /// Units of the largest request that clients may send.
     pub(crate) max_request_units: Units,
 }
 
-/// The probability with which a customer's requests may ask its quota owners, as an owner last set
-/// it.
+/// The probability with which a customer's requests may ask its quota owners, as most recently set
+/// by an owner.
 #[derive(Clone, Copy)]
 pub(crate) struct LeaseRequestProbability {
-    /// The probability, 0 to 1.
+    /// The probability, from 0 to 1.
     pub(crate) value: f64,
-    /// When an owner set it.
+    /// When an owner set the probability; the epoch if none has.
     pub(crate) updated_at: Timestamp,
 }
 
-/// A customer's usage as it is announced to peers.
+/// A customer's usage as announced to peers.
 pub(super) struct AnnouncedUsage {
     /// The running usage count.
     pub(super) count: u16,
-    /// When it last rose.
-    pub(super) last_risen_at: Timestamp,
+    /// When the count last increased.
+    pub(super) last_increased_at: Timestamp,
 }
 
-/// What a customer may use at this gateway, what it has used here, and what peers have used.
+/// The units that a customer may use at this gateway, has used here, and has used at peers.
 pub(crate) struct CustomerAccount {
     plan: PlanId,
     gateways: GatewaySet,
-    /// What remains of the quota here.
+    /// The tokens of the quota that remain at this gateway.
     quota: TokenBucket,
-    /// What remains of this gateway's part of the hard limit.
+    /// The units that remain of this gateway's part of the hard limit.
     hard_limit: HardLimitBucket,
+    /// When the quota and the hard limit were last refilled.
     refilled_at: Timestamp,
-    /// When a request last arrived.
+    /// When a request of the customer last arrived.
     last_used_at: Timestamp,
-    /// Consecutive requests that named another plan or gateway set.
+    /// Number of consecutive requests that named a different plan or gateway set.
     conflicting_hints: u32,
-    /// Units that requests asked for recently, as a sum that decays.
+    /// Units that requests asked for recently: a sum with exponential decay.
     recent_demand: Units,
     held_lease: HeldLease,
-    /// When a lease was last requested.
+    /// When a lease was last requested from an owner.
     lease_requested_at: Timestamp,
     lease_request_probability: LeaseRequestProbability,
+    /// Units forwarded here, to be announced to peers.
     forwarded: ForwardedUsage,
     attempts_in_flight: u32,
+    /// Units forwarded by peers.
     peers: PeerUsages,
 }
 
 impl CustomerAccount {
-    /// An account that has not been used for `unused`.
+    /// Creates an account that has not been used for `unused_for`.
     ///
-    /// Its bucket holds the whole burst: with only the even part at first, the rest would stay
-    /// missing for a customer that uses nearly all of its quota, and peers' usage is received soon
-    /// enough. Its part of the hard limit holds only what has come in over `unused`, as it may have
-    /// been used up before.
-    pub(crate) fn new(now: Timestamp, unused: Duration, config: AccountConfig<'_>) -> Self {
+    /// The quota starts with the whole burst. If it started with the even part, a customer that
+    /// uses nearly all of its quota would never get the rest; the usage of peers is received soon
+    /// enough to be deducted. The hard limit starts with only the units refilled over `unused_for`,
+    /// as earlier units may have been used already.
+    pub(crate) fn new(now: Timestamp, unused_for: Duration, config: AccountConfig<'_>) -> Self {
         let gateways = GatewaySet {
             count: config.gateways.count.max(1),
             ..config.gateways
@@ -87,7 +90,7 @@
             .max(config.max_request_units);
         let mut hard_limit = HardLimitBucket::empty(1.0 / gateway_count, Duration::ZERO);
         if let Some(limit) = &config.plan.hard_limit {
-            hard_limit.refill(limit, unused.as_seconds());
+            hard_limit.refill(limit, unused_for.as_seconds());
         }
         CustomerAccount {
             plan: config.plan_id,
@@ -110,18 +113,18 @@
         }
     }
 
-    /// The plan that it stands for.
+    /// Returns the plan whose limits apply to the account.
     pub(crate) fn plan(&self) -> PlanId {
         self.plan
     }
 
-    /// The gateways that the customer's requests come through; at least one.
+    /// Returns the gateways that the customer's requests come through; at least one.
     pub(crate) fn gateways(&self) -> GatewaySet {
         self.gateways
     }
 
-    /// Notes which plan and gateways a request names. Returns how many consecutive requests have
-    /// named others than this account's.
+    /// Records the plan and gateway set that a request names. Returns how many consecutive requests
+    /// have named a plan or gateway set other than this account's.
     pub(crate) fn record_hint(&mut self, plan: PlanId, gateways: GatewaySet) -> u32 {
         if self.plan == plan && self.gateways == gateways {
             self.conflicting_hints = 0;
@@ -131,8 +134,9 @@
         self.conflicting_hints
     }
 
-    /// Goes over to another plan or gateway set. Nothing is gained by that, and what is in flight
-    /// or has been announced to peers stays so.
+    /// Switches to the plan and gateway set of `fresh`, with `hard_limit_tokens` left of the hard
+    /// limit. The switch adds no quota tokens; attempts in flight, the usage announced to peers,
+    /// and the usage of peers are retained.
     pub(crate) fn reconfigure(&mut self, mut fresh: CustomerAccount, hard_limit_tokens: Units) {
         fresh.quota.limit_tokens(self.quota.tokens());
         fresh.hard_limit.set_tokens(hard_limit_tokens);
@@ -144,7 +148,8 @@
         };
     }
 
-    /// Refills at the plan's rate, less the even part of the customer's gateways that are silent.
+    /// Refills the quota at the plan's rate, less the even parts of the customer's silent gateways,
+    /// and the hard limit at its rate.
     pub(crate) fn refill(&mut self, now: Timestamp, plan: &Plan, silent_gateways: f64) {
         let seconds = now.seconds_since(self.refilled_at);
         self.refilled_at = now;
@@ -156,46 +161,47 @@
         }
     }
 
-    /// How many gateways the customer has, to calculate with.
+    /// Returns the number of the customer's gateways, as a divisor.
     pub(crate) fn gateway_count(&self) -> f64 {
         f64::from(self.gateways.count)
     }
 
-    /// Tokens of the quota; negative if it is in debt.
+    /// Returns the tokens of the quota; negative if the quota is in debt.
     pub(crate) fn quota_tokens(&self) -> Units {
         self.quota.tokens()
     }
 
-    /// Units that this gateway's part of the hard limit still allows.
+    /// Returns the units that this gateway's part of the hard limit still allows.
     pub(crate) fn hard_limit_tokens(&self) -> Units {
         self.hard_limit.tokens()
     }
 
-    /// The part of a plan's burst that is not this gateway's own.
+    /// Returns the plan's burst less this gateway's own part of it.
     pub(crate) fn excess_burst(&self, plan: &Plan) -> Units {
         plan.burst - self.quota.burst_capacity()
     }
 
-    /// Leaves only this gateway's own part of the burst in a new account.
+    /// Limits the quota of a new account to this gateway's own part of the burst.
     pub(crate) fn limit_to_even_burst(&mut self) {
         let even_burst = self.quota.burst_capacity();
         self.quota.limit_tokens(even_burst);
     }
 
-    /// Takes all but this gateway's own part of the burst.
+    /// Drains the excess burst from the quota, leaving this gateway's own part if it was full.
     pub(crate) fn drain_excess_burst(&mut self, plan: &Plan) {
         let excess = self.excess_burst(plan).max(Units::ZERO);
         self.quota.drain(excess);
     }
 
-    /// Notes what a request asks for; earlier demand decays over `window`.
+    /// Records the units that a request asks for; earlier demand decays with time constant
+    /// `window`.
     pub(crate) fn record_demand(&mut self, now: Timestamp, units: Units, window: Duration) {
         let idle_us = now.micros_since(self.last_used_at);
         self.last_used_at = now;
         self.recent_demand = self.recent_demand * (-idle_us / window.as_micros_f64()).exp() + units;
     }
 
-    /// Units that requests asked for recently: those of one window, in the mean.
+    /// Returns the units that requests asked for recently; on average, those of one decay window.
     pub(crate) fn recent_demand(&self) -> Units {
         self.recent_demand
     }
@@ -205,13 +211,13 @@
         self.quota.take(units);
     }
 
-    /// Returns the units of a request that was never sent.
+    /// Puts back the units of a request that was never sent.
     pub(crate) fn refund(&mut self, units: Units) {
         self.quota.put_back(units);
     }
 
-    /// One more attempt is in flight here. The units of a request's first attempt are announced to
-    /// peers, and are charged to the hard limit.
+    /// Records that an attempt is in flight. The units of a request's first attempt are announced
+    /// to peers and charged to the hard limit; those of a retry are not.
     pub(crate) fn record_attempt_sent(&mut self, now: Timestamp, units: Units, is_first: bool) {
         self.attempts_in_flight += 1;
         if is_first {
@@ -220,18 +226,18 @@
         }
     }
 
-    /// One attempt fewer is in flight.
+    /// Records that an attempt is no longer in flight.
     pub(crate) fn record_attempt_finished(&mut self) {
         self.attempts_in_flight = self.attempts_in_flight.saturating_sub(1);
     }
 
-    /// Attempts in flight here.
+    /// Returns the number of the customer's attempts in flight at this gateway.
     pub(crate) fn attempts_in_flight(&self) -> u32 {
         self.attempts_in_flight
     }
 
-    /// Takes in a peer's usage count: what it has risen by is drained from the quota. The account
-    /// must have been refilled up to now.
+    /// Merges a peer's usage count, and drains its increase from the quota. The account must have
+    /// been refilled up to now.
     pub(crate) fn merge_peer_usage(
         &mut self,
         now: Timestamp,
@@ -245,43 +251,44 @@
         }
     }
 
-    /// Units a second that peers have forwarded recently.
+    /// Returns the units per second that peers have forwarded recently.
     pub(crate) fn peer_units_per_second(&mut self, now: Timestamp) -> f64 {
         self.peers.units_per_second(now)
     }
 
-    /// The usage to announce to peers, if the customer's requests come through other gateways too
-    /// and it rose within `max_age`.
+    /// Returns the usage to announce to peers; `None` if this is the customer's only gateway or the
+    /// usage did not increase within the last `max_age`.
     pub(super) fn announced_usage(
         &self,
         now: Timestamp,
         max_age: Duration,
     ) -> Option<AnnouncedUsage> {
         let has_peers = self.gateways.count > 1;
-        let is_announced = has_peers && self.forwarded.has_risen_within(max_age, now);
+        let is_announced = has_peers && self.forwarded.has_increased_within(max_age, now);
         is_announced.then(|| AnnouncedUsage {
             count: usage_count_of(self.forwarded.units()),
-            last_risen_at: self.forwarded.last_risen_at(),
+            last_increased_at: self.forwarded.last_increased_at(),
         })
     }
 
-    /// The lease that this gateway holds for the customer.
+    /// Returns the lease that this gateway holds for the customer.
     pub(crate) fn held_lease(&self) -> &HeldLease {
         &self.held_lease
     }
 
-    /// Uses units of the held lease, if it covers them; returns until when they may be used.
+    /// Consumes units of the held lease and returns the time up to which they may be used; `None`
+    /// if the lease does not cover them.
     pub(crate) fn consume_lease(&mut self, now: Timestamp, units: Units) -> Option<Timestamp> {
         self.held_lease.consume(now, units)
     }
 
-    /// When a lease was last requested.
+    /// Returns when a lease was last requested; the epoch if never.
     pub(crate) fn lease_requested_at(&self) -> Timestamp {
         self.lease_requested_at
     }
 
-    /// Notes that a lease is requested now from the owner of that index. Returns the rest of the
-    /// held lease.
+    /// Records that a lease is requested now from the owner with index `owner_index`. Gives up the
+    /// held lease and returns its remaining units for that owner.
     pub(crate) fn record_lease_request(
         &mut self,
         now: Timestamp,
@@ -291,17 +298,17 @@
         self.held_lease.give_back(owner_index)
     }
 
-    /// Replaces the held lease by a new one.
+    /// Replaces the held lease with a new lease.
     pub(crate) fn hold_lease(&mut self, lease: HeldLease) {
         self.held_lease = lease;
     }
 
-    /// The probability that an owner last set.
+    /// Returns the lease request probability that an owner set most recently.
     pub(crate) fn lease_request_probability(&self) -> LeaseRequestProbability {
         self.lease_request_probability
     }
 
-    /// Notes the probability that an owner has set now.
+    /// Records the lease request probability that an owner has set now.
     pub(crate) fn set_request_probability(&mut self, now: Timestamp, value: f64) {
         self.lease_request_probability = LeaseRequestProbability {
             value,
@@ -309,8 +316,8 @@
         };
     }
 
-    /// Microseconds until it is likely to cover a request of so many units, which have been charged
-    /// to the quota already and are returned if the request is never sent.
+    /// Returns the microseconds until the account is likely to cover a request of `units`. These
+    /// units have been charged to the quota already, and are refunded if the request is never sent.
     pub(crate) fn time_until_available_us(&self, plan: &Plan, units: Units) -> f64 {
         let quota_us = if plan.has_quota() {
             refill_time_us(-self.quota.tokens(), plan.rate)
@@ -324,7 +331,8 @@
         quota_us.max(hard_limit_us)
     }
 
-    /// Whether dropping it neither gains nor loses anything: it has long been unused, and is full.
+    /// Returns whether the account can be evicted without gain or loss: it has long been unused, is
+    /// full, and counts no recent usage of peers.
     pub(crate) fn is_idle(&mut self, now: Timestamp, plan: &Plan, silent_gateways: f64) -> bool {
         if !self.is_unused(now) {
             return false;
@@ -336,7 +344,7 @@
         is_hard_limit_full && is_quota_full && self.peer_units_per_second(now) <= 0.0
     }
 
-    /// Whether it has not been used for long, and nothing is in flight.
+    /// Returns whether the account has been unused for [`MIN_IDLE`], with no attempt in flight.
     pub(super) fn is_unused(&self, now: Timestamp) -> bool {
         self.attempts_in_flight == 0 && now.duration_since(self.last_used_at) >= MIN_IDLE
     }
--- a/crates/gateway-core/src/state/quota/forwarded_usage.rs
+++ b/crates/gateway-core/src/state/quota/forwarded_usage.rs
@@ -1,36 +1,36 @@
-//! What this gateway has forwarded for a customer, as announced to peers.
+//! The units that this gateway has forwarded for a customer, as announced to peers.
 
 use crate::time::Timestamp;
 use crate::units::Units;
 use std::time::Duration;
 
-/// Running count of forwarded units.
+/// A running count of forwarded units.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ForwardedUsage {
-    /// Units forwarded since the account was made.
+    /// Units forwarded since the account was created.
     units: Units,
-    /// When units were last added.
-    last_risen_at: Timestamp,
+    /// When units were last added to the count.
+    last_increased_at: Timestamp,
 }
 
 impl ForwardedUsage {
     /// Adds the units of a request that is forwarded now.
     pub(super) fn record(&mut self, now: Timestamp, units: Units) {
         self.units += units;
-        self.last_risen_at = now;
+        self.last_increased_at = now;
     }
 
-    /// When it last rose.
-    pub(super) fn last_risen_at(&self) -> Timestamp {
-        self.last_risen_at
+    /// Returns when the count last increased.
+    pub(super) fn last_increased_at(&self) -> Timestamp {
+        self.last_increased_at
     }
 
-    /// Whether it rose within `max_age`.
-    pub(super) fn has_risen_within(&self, max_age: Duration, now: Timestamp) -> bool {
-        self.units > Units::ZERO && now <= self.last_risen_at + max_age
+    /// Returns whether the count increased within the last `max_age`.
+    pub(super) fn has_increased_within(&self, max_age: Duration, now: Timestamp) -> bool {
+        self.units > Units::ZERO && now <= self.last_increased_at + max_age
     }
 
-    /// Units forwarded since the account was made.
+    /// Returns the units forwarded since the account was created.
     pub(super) fn units(&self) -> Units {
         self.units
     }
--- a/crates/gateway-core/src/state/quota/hard_limit_bucket.rs
+++ b/crates/gateway-core/src/state/quota/hard_limit_bucket.rs
@@ -1,25 +1,26 @@
-//! The bucket of a hard limit.
+//! The token bucket of a hard limit.
 
 use crate::settings::HardLimit;
 use crate::time::{DurationExt, MICROS_PER_SECOND};
 use crate::units::Units;
 use std::time::Duration;
 
-/// What remains of a fixed fraction of a hard limit.
+/// The units that remain of a fixed fraction of a hard limit.
 ///
-/// It is empty at first, and depends on no message: so the limit holds through lost messages and
-/// restarts. The price is paid where nearly all requests of a customer come in through one gateway.
+/// The bucket starts empty and depends on no message, so the limit holds despite lost messages and
+/// restarts. The drawback: fractions at other gateways may stay unused if nearly all requests of a
+/// customer arrive at one gateway.
 pub(crate) struct HardLimitBucket {
     tokens: Units,
-    /// Fraction of the limit's rate and capacity.
+    /// Fraction of the limit's rate and capacity that this bucket has.
     fraction: f64,
-    /// How long grants may be used.
+    /// How long units granted from the bucket may be used; zero for immediate use.
     grant_lifetime: Duration,
 }
 
 impl HardLimitBucket {
-    /// An empty bucket for a fraction of a hard limit. `grant_lifetime`: how long what is granted
-    /// from it may be used; zero for immediate use.
+    /// Creates an empty bucket for a fraction of a hard limit. `grant_lifetime` is how long units
+    /// granted from the bucket may be used; zero for immediate use.
     pub(crate) fn empty(fraction: f64, grant_lifetime: Duration) -> Self {
         HardLimitBucket {
             tokens: Units::ZERO,
@@ -28,51 +29,52 @@
         }
     }
 
-    /// Units that may be used; negative where the use is ahead of the limit.
+    /// Returns the units that may be used; negative if usage is ahead of the limit.
     pub(crate) fn tokens(&self) -> Units {
         self.tokens
     }
 
-    /// Adds what the limit lets through in so many seconds.
+    /// Adds the units that the bucket's fraction of the limit allows in `seconds`.
     pub(crate) fn refill(&mut self, limit: &HardLimit, seconds: f64) {
         let refill = Units::refilled(limit.rate * self.fraction, seconds);
-        self.tokens = (self.tokens + refill).min(self.maximum(limit));
+        self.tokens = (self.tokens + refill).min(self.max_tokens(limit));
     }
 
-    /// Whether a refill would add nothing.
+    /// Returns whether a refill would add nothing.
     pub(crate) fn is_full(&self, limit: &HardLimit) -> bool {
-        self.tokens >= self.maximum(limit)
+        self.tokens >= self.max_tokens(limit)
     }
 
-    /// What is refilled during the lifetime of grants is reserved: grants are void after it, so
-    /// what is used late adds up to no more than the whole capacity.
-    fn maximum(&self, limit: &HardLimit) -> Units {
+    /// Returns the units in a full bucket: the fraction of the capacity, less the units refilled
+    /// during the lifetime of a grant. Those are reserved, so that units used late, before their
+    /// grant expires, do not take usage above the whole capacity.
+    fn max_tokens(&self, limit: &HardLimit) -> Units {
         let reserved = limit.rate * self.grant_lifetime.as_micros_f64() / MICROS_PER_SECOND;
         (limit.capacity - Units::new(reserved)) * self.fraction
     }
 
-    /// Takes units, whether or not so many are in it.
+    /// Takes units; the bucket may go negative.
     pub(crate) fn take(&mut self, units: Units) {
         self.tokens -= units;
     }
 
-    /// Puts units back that were taken and not used.
+    /// Puts back units that were taken and not used.
     pub(crate) fn put_back(&mut self, units: Units) {
         self.tokens += units;
     }
 
-    /// Replaces what is in it.
+    /// Replaces the units in the bucket.
     pub(crate) fn set_tokens(&mut self, tokens: Units) {
         self.tokens = tokens;
     }
 
-    /// Microseconds until it holds so many units.
+    /// Returns the microseconds until the bucket holds `units`; 0 if it holds them now.
     pub(crate) fn time_until_us(&self, units: Units, limit: &HardLimit) -> f64 {
         refill_time_us(units - self.tokens, limit.rate * self.fraction)
     }
 }
 
-/// Microseconds in which missing units come in at a rate of so many units a second.
+/// Returns the microseconds in which `missing` units are refilled; 0 if none are missing.
 pub(super) fn refill_time_us(missing: Units, units_per_second: f64) -> f64 {
     if missing > Units::ZERO {
         missing.seconds_at(units_per_second.max(f64::EPSILON)) * MICROS_PER_SECOND
--- a/crates/gateway-core/src/state/quota/held_lease.rs
+++ b/crates/gateway-core/src/state/quota/held_lease.rs
@@ -1,25 +1,26 @@
-//! The lease that a gateway holds for a customer.
+//! The lease that this gateway holds for a customer.
 
 use crate::message::ReturnedLease;
 use crate::time::Timestamp;
 use crate::units::Units;
 
-/// Units that an owner has granted ahead of the requests that will use them: this gateway may use
-/// them without asking, until they expire.
+/// Units that an owner has granted in advance of the requests that will use them. This gateway may
+/// use them without asking the owner, until they expire.
 #[derive(Default)]
 pub(crate) struct HeldLease {
-    /// Units that remain.
+    /// The units that remain.
     units: Units,
-    /// Until when they may be used.
+    /// The time up to which the units may be used.
     expires_at: Timestamp,
-    /// Index of the owner that granted it.
+    /// Index of the owner that granted the lease.
     owner_index: u32,
-    /// The lease request that it was granted under.
+    /// Sequence number of the lease request that the lease was granted for.
     sequence: u16,
 }
 
 impl HeldLease {
-    /// A lease that the owner of an index has granted under a lease request.
+    /// Creates a lease granted by the owner with index `owner_index`, for the lease request with
+    /// sequence number `sequence`.
     pub(crate) fn new(
         units: Units,
         expires_at: Timestamp,
@@ -34,22 +35,23 @@
         }
     }
 
-    /// Whether any units remain, expired or not.
+    /// Returns whether any units remain, expired or not.
     pub(crate) fn has_units(&self) -> bool {
         self.units > Units::ZERO
     }
 
-    /// Index of the owner that granted it.
+    /// Returns the index of the owner that granted the lease.
     pub(crate) fn owner_index(&self) -> u32 {
         self.owner_index
     }
 
-    /// The lease request that it was granted under.
+    /// Returns the sequence number of the lease request that the lease was granted for.
     pub(crate) fn sequence(&self) -> u16 {
         self.sequence
     }
 
-    /// Consumes units, if so many remain in time; returns until when they may be used.
+    /// Consumes units and returns the time up to which they may be used; `None`, consuming nothing,
+    /// if too few units remain or they have expired.
     pub(crate) fn consume(&mut self, now: Timestamp, units: Units) -> Option<Timestamp> {
         let is_covered = self.has_units() && self.units >= units && now <= self.expires_at;
         if !is_covered {
@@ -59,8 +61,8 @@
         Some(self.expires_at)
     }
 
-    /// The remaining units, to be returned to the owner that granted them; they can't be used here
-    /// any more. An owner of another index gets none.
+    /// Gives up the remaining units and returns them for the owner with index `owner_index`. If
+    /// another owner granted the lease, the units are lost and the returned lease has none.
     pub(crate) fn give_back(&mut self, owner_index: u32) -> ReturnedLease {
         let remaining = std::mem::take(&mut self.units);
         let units = if owner_index == self.owner_index {
--- a/crates/gateway-core/src/state/quota/ledger.rs
+++ b/crates/gateway-core/src/state/quota/ledger.rs
@@ -1,4 +1,4 @@
-//! A quota owner's ledger of the leases that it has granted.
+//! The ledger in which a quota owner records the leases that it has granted.
 
 use crate::message::ReturnedLease;
 use crate::types::GatewayId;
@@ -6,27 +6,28 @@
 use std::collections::BTreeMap;
 
 struct GrantedLease {
-    /// The lease request that it was granted under.
+    /// Sequence number of the lease request that the lease was granted for.
     sequence: u16,
-    /// Units granted.
     units: Units,
 }
 
-/// The lease that each gateway holds.
+/// The latest lease of each gateway, for one customer.
 #[derive(Default)]
 pub(crate) struct LeaseLedger(BTreeMap<GatewayId, GrantedLease>);
 
 impl LeaseLedger {
-    /// Notes a lease; it replaces the one before. Without units there is none.
+    /// Records a lease, which replaces the gateway's previous lease. A lease of no units is
+    /// ignored.
     pub(crate) fn grant(&mut self, to: GatewayId, sequence: u16, units: Units) {
         if units > Units::ZERO {
             self.0.insert(to, GrantedLease { sequence, units });
         }
     }
 
-    /// Units of a gateway's lease that are returned. Only the latest lease is accepted, once, and
-    /// no more than was granted: otherwise what is returned twice, of a lost response or from
-    /// before a restart, would exceed a hard limit.
+    /// Removes the lease that a gateway returns, and returns the units to put back. Only the latest
+    /// lease is accepted, once, and for no more units than were granted. Otherwise units that were
+    /// returned twice, granted in a lost response, or granted before a restart could exceed a hard
+    /// limit.
     pub(crate) fn reclaim(&mut self, from: GatewayId, returned: ReturnedLease) -> Option<Units> {
         let granted = self
             .0
--- a/crates/gateway-core/src/state/quota/liveness.rs
+++ b/crates/gateway-core/src/state/quota/liveness.rs
@@ -1,30 +1,31 @@
-//! When usage of each gateway of the fleet was last received.
+//! Detection of silent gateways, from when each gateway's usage was last received.
 
 use crate::time::{DurationExt, Timestamp};
 use crate::types::{GatewayId, GatewaySet};
 use std::ops::Range;
 use std::time::Duration;
 
-/// When each gateway's usage was last received, by gateway number.
+/// The time at which each gateway's usage was last received.
 pub(crate) struct GatewayLiveness {
-    /// The own entry is never in the past.
+    /// Indexed by gateway number. This gateway's own entry is [`Timestamp::MAX`], as a gateway is
+    /// never silent to itself.
     last_received_at: Vec<Timestamp>,
 }
 
 impl GatewayLiveness {
-    /// All gateways count as received from now.
+    /// Starts with every gateway counted as heard from at `now`.
     pub(super) fn new(now: Timestamp, this_gateway: GatewayId, gateway_count: u32) -> Self {
         let mut last_received_at = vec![now; gateway_count as usize];
         last_received_at[this_gateway.0 as usize] = Timestamp::MAX;
         GatewayLiveness { last_received_at }
     }
 
-    /// A message of a gateway of the fleet has been received.
+    /// Records that a message from a gateway of the fleet was received.
     pub(super) fn record_message(&mut self, now: Timestamp, from: GatewayId) {
         self.last_received_at[from.0 as usize] = now;
     }
 
-    /// How many of a customer's gateways have been silent for a time within `range`.
+    /// Returns how many of a customer's gateways have been silent for a duration within `range`.
     pub(crate) fn silent_count(
         &self,
         gateways: GatewaySet,
@@ -35,7 +36,7 @@
         let first = gateways.first.0 as usize;
         let fleet_size = self.last_received_at.len();
         (0..gateways.count as usize)
-            .map(|step| (first + step) % fleet_size)
+            .map(|offset| (first + offset) % fleet_size)
             .map(|member| now.whole_micros_since(self.last_received_at[member]))
             .filter(|silence_us| range_us.contains(silence_us))
             .count() as f64
--- a/crates/gateway-core/src/state/quota/mod.rs
+++ b/crates/gateway-core/src/state/quota/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway remembers of its customers' quotas, and of the gateways that own them.
+//! The state of customers' quotas at a gateway, and of the gateways that own those quotas.
 
 mod account;
 mod forwarded_usage;
@@ -30,46 +30,48 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Minimum time without a request before an account or an owned quota may be dropped.
+/// Minimum time without a request before an account or an owned quota may be evicted.
 const MIN_IDLE: Duration = Duration::from_secs(60);
 
-/// A quota owner that did not respond.
+/// The latest lease requests to a quota owner that it did not respond to in time.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct OwnerTimeouts {
-    /// Consecutive lease requests without a response.
+    /// Number of consecutive lease requests without a response in time.
     pub(crate) count: u32,
-    /// Until when it is not asked, if there were enough of them.
+    /// The time up to which the owner is not asked, if `count` makes it an unresponsive owner.
     pub(crate) cooldown_until: Timestamp,
 }
 
-/// Quotas as this gateway sees them.
+/// The state of all quotas at this gateway: accounts, owned quotas and pending lease requests.
 pub(crate) struct QuotaState {
     started_at: Timestamp,
-    /// Whether peers have been up for much longer: this gateway has restarted.
+    /// Set when peers turn out to have been up for much longer, as this gateway then has restarted.
     has_restarted: bool,
     /// The account of each customer at this gateway.
     accounts: BTreeMap<CustomerId, CustomerAccount>,
-    /// The parts of quotas that it keeps as a quota owner.
+    /// The parts of quotas that this gateway holds as a quota owner.
     owned: BTreeMap<CustomerId, OwnedQuota>,
-    /// Requests that wait for the response to a lease request, by its sequence number.
+    /// Requests that wait for a quota owner's response, by the sequence number of the lease
+    /// request.
     pending_leases: BTreeMap<u16, RequestId>,
+    /// Sequence number of the most recent lease request.
     last_sequence: u16,
-    /// Owners that did not respond to the last lease requests.
+    /// The owners that did not respond in time to the most recent lease request.
     unresponsive_owners: BTreeMap<GatewayId, OwnerTimeouts>,
     liveness: GatewayLiveness,
 }
 
-/// A customer's account, and what its refill depends on.
+/// A customer's account that is still to be refilled, and the liveness on which the refill depends.
 pub(crate) struct AccountEntry<'a> {
-    /// The account.
+    /// The account, as of its last refill.
     pub(crate) account: &'a mut CustomerAccount,
-    /// Which gateways are silent.
+    /// Tells which gateways are silent.
     liveness: &'a GatewayLiveness,
 }
 
 impl<'a> AccountEntry<'a> {
-    /// The account, refilled up to now. `partitioned`: the time of silence during which the even
-    /// part of a gateway is not refilled here.
+    /// Refills the account up to now and returns it. `partitioned` is the range of a gateway's
+    /// silence within which that gateway's even part is not refilled here.
     pub(crate) fn into_refilled(
         self,
         now: Timestamp,
@@ -86,7 +88,8 @@
 }
 
 impl QuotaState {
-    /// No customer is known yet.
+    /// Creates the state of a gateway that starts at `now` and knows no customers yet.
+    /// `gateway_count` is the number of gateways in the fleet.
     pub(crate) fn new(now: Timestamp, this_gateway: GatewayId, gateway_count: u32) -> Self {
         QuotaState {
             started_at: now,
@@ -100,37 +103,37 @@
         }
     }
 
-    /// How long this gateway has been up.
+    /// Returns how long this gateway has been up.
     pub(crate) fn uptime(&self, now: Timestamp) -> Duration {
         now.duration_since(self.started_at)
     }
 
-    /// This gateway's incarnation, as sent to peers: when it started, in ms.
+    /// Returns this gateway's incarnation, as sent to peers: when it started, in ms.
     pub(crate) fn incarnation(&self) -> u32 {
         self.started_at.as_incarnation()
     }
 
-    /// Whether it is known that this gateway has restarted.
+    /// Returns whether this gateway is known to have restarted.
     pub(crate) fn has_restarted(&self) -> bool {
         self.has_restarted
     }
 
-    /// Notes that this gateway has restarted.
+    /// Records that this gateway has restarted.
     pub(crate) fn set_restarted(&mut self) {
         self.has_restarted = true;
     }
 
-    /// A customer's account, if it has one.
+    /// Returns a customer's account, if there is one.
     pub(crate) fn account(&self, customer: CustomerId) -> Option<&CustomerAccount> {
         self.accounts.get(&customer)
     }
 
-    /// The same, to be changed.
+    /// Returns a customer's account for changes, if there is one.
     pub(crate) fn account_mut(&mut self, customer: CustomerId) -> Option<&mut CustomerAccount> {
         self.accounts.get_mut(&customer)
     }
 
-    /// The same, to be refilled.
+    /// Returns a customer's account for a refill, if there is one.
     pub(crate) fn account_entry(&mut self, customer: CustomerId) -> Option<AccountEntry<'_>> {
         Some(AccountEntry {
             account: self.accounts.get_mut(&customer)?,
@@ -138,80 +141,82 @@
         })
     }
 
-    /// A customer's account, to be refilled; if it has none, `new` makes one.
+    /// Returns a customer's account for a refill; if there is none, adds the account that `create`
+    /// returns.
     pub(crate) fn account_entry_or_insert(
         &mut self,
         customer: CustomerId,
-        new: impl FnOnce() -> CustomerAccount,
+        create: impl FnOnce() -> CustomerAccount,
     ) -> AccountEntry<'_> {
         AccountEntry {
-            account: self.accounts.entry(customer).or_insert_with(new),
+            account: self.accounts.entry(customer).or_insert_with(create),
             liveness: &self.liveness,
         }
     }
 
-    /// All accounts, to be changed.
+    /// Iterates over all accounts for changes, ordered by customer.
     pub(crate) fn accounts_mut(&mut self) -> impl Iterator<Item = &mut CustomerAccount> {
         self.accounts.values_mut()
     }
 
-    /// The owned part of a customer's quota; if there is none, `new` makes one.
+    /// Returns the owned part of a customer's quota; if there is none, adds the part that `create`
+    /// returns.
     pub(crate) fn owned_or_insert(
         &mut self,
         customer: CustomerId,
-        new: impl FnOnce() -> OwnedQuota,
+        create: impl FnOnce() -> OwnedQuota,
     ) -> &mut OwnedQuota {
-        self.owned.entry(customer).or_insert_with(new)
+        self.owned.entry(customer).or_insert_with(create)
     }
 
-    /// Takes back a concurrency permit that this gateway granted as an owner.
+    /// Releases a concurrency permit that this gateway granted as a quota owner.
     pub(crate) fn release_permit(&mut self, customer: CustomerId, holder: PermitHolder) {
         if let Some(owned) = self.owned.get_mut(&customer) {
             owned.release_permit(holder);
         }
     }
 
-    /// The sequence number of the next lease request.
+    /// Allocates the sequence number of the next lease request.
     pub(crate) fn next_sequence(&mut self) -> u16 {
         self.last_sequence = self.last_sequence.wrapping_add(1);
         self.last_sequence
     }
 
-    /// Notes that a request waits for the response to a lease request.
+    /// Records that a request waits for the response to a lease request.
     pub(crate) fn insert_pending(&mut self, sequence: u16, request: RequestId) {
         self.pending_leases.insert(sequence, request);
     }
 
-    /// The request that waited for the response to a lease request; it waits no longer.
+    /// Removes and returns the request that waited for the response to a lease request.
     pub(crate) fn remove_pending(&mut self, sequence: u16) -> Option<RequestId> {
         self.pending_leases.remove(&sequence)
     }
 
-    /// Notes that an owner has not responded in time, so that it is not asked until
-    /// `cooldown_until`.
+    /// Records that an owner has not responded in time. If that makes it an unresponsive owner, it
+    /// is not asked until `cooldown_until`.
     pub(crate) fn record_timeout(&mut self, owner: GatewayId, cooldown_until: Timestamp) {
         let timeouts = self.unresponsive_owners.entry(owner).or_default();
         timeouts.count += 1;
         timeouts.cooldown_until = cooldown_until;
     }
 
-    /// Notes that an owner has responded.
+    /// Records that an owner has responded, which resets its count of timeouts.
     pub(crate) fn record_response(&mut self, owner: GatewayId) {
         self.unresponsive_owners.remove(&owner);
     }
 
-    /// The consecutive lease requests to which an owner has not responded, if there are any.
+    /// Returns the consecutive lease requests that an owner has not responded to in time, if any.
     pub(crate) fn timeouts_of(&self, owner: GatewayId) -> Option<OwnerTimeouts> {
         self.unresponsive_owners.get(&owner).copied()
     }
 
-    /// Notes that usage of a peer has been received.
+    /// Records that usage counts of a peer were received.
     pub(crate) fn record_message(&mut self, now: Timestamp, from: GatewayId) {
         self.liveness.record_message(now, from);
     }
 
-    /// Running counts of what was forwarded here, of customers whose usage rose within `max_age`,
-    /// the latest first.
+    /// Returns the running usage counts to announce: those of customers whose usage here increased
+    /// within the last `max_age`, most recent increase first.
     pub(crate) fn usage_counts(&self, now: Timestamp, max_age: Duration) -> Vec<UsageCount> {
         let mut recent: Vec<_> = self
             .accounts
@@ -221,7 +226,7 @@
                 Some((*customer, usage))
             })
             .collect();
-        recent.sort_by_key(|(customer, usage)| (Reverse(usage.last_risen_at), *customer));
+        recent.sort_by_key(|(customer, usage)| (Reverse(usage.last_increased_at), *customer));
         recent
             .into_iter()
             .map(|(customer, usage)| UsageCount {
@@ -231,7 +236,8 @@
             .collect()
     }
 
-    /// Drops what is idle: memory would grow with every customer ever seen.
+    /// Evicts idle accounts and owned quotas; otherwise memory would grow with every customer ever
+    /// seen.
     pub(crate) fn evict_idle(
         &mut self,
         now: Timestamp,
@@ -250,7 +256,7 @@
             .retain(|_, owned| !owned.is_idle(now, &plans[owned.plan().0]));
     }
 
-    /// How many accounts and owned quotas are kept in memory.
+    /// Returns the number of accounts and owned quotas in memory.
     pub(crate) fn tracked_entries(&self) -> usize {
         self.accounts.len() + self.owned.len()
     }
--- a/crates/gateway-core/src/state/quota/owned.rs
+++ b/crates/gateway-core/src/state/quota/owned.rs
@@ -1,4 +1,4 @@
-//! The part of a customer's quota that this gateway owns.
+//! The part of a customer's quota that this gateway holds as a quota owner.
 
 use super::hard_limit_bucket::HardLimitBucket;
 use super::ledger::LeaseLedger;
@@ -12,56 +12,58 @@
 use crate::units::Units;
 use std::time::Duration;
 
-/// What an owned part is made from.
+/// The parameters from which an owned quota is created.
 #[derive(Clone, Copy)]
 pub(crate) struct OwnedQuotaConfig<'a> {
-    /// The plan that the first lease request names.
+    /// The plan that the customer's first lease request names.
     pub(crate) plan_id: PlanId,
-    /// Its limits.
+    /// The limits of the plan.
     pub(crate) plan: &'a Plan,
-    /// Fraction of the quota that the owner has.
+    /// Fraction of the plan's rate and burst that this gateway owns.
     pub(crate) quota_fraction: f64,
-    /// Fraction of the hard limit that it has.
+    /// Fraction of the hard limit that this gateway owns.
     pub(crate) hard_limit_fraction: f64,
-    /// How long its grants may be used.
+    /// How long granted units may be used.
     pub(crate) grant_lifetime: Duration,
-    /// Units of the largest request.
+    /// Units of the largest request that clients may send.
     pub(crate) max_request_units: Units,
 }
 
-/// A part of a customer's quota and hard limit, what of it is on lease to other gateways, and how
-/// often these ask.
+/// The owned part of a customer's quota and hard limit, the leases granted from it, and the rate of
+/// lease requests.
 pub(crate) struct OwnedQuota {
-    /// The plan that it was made for.
+    /// The plan whose limits apply.
     plan: PlanId,
-    /// What remains of this part of the quota.
+    /// The tokens that remain of the owned part of the quota.
     quota: TokenBucket,
-    /// What fraction of the quota this part is.
+    /// Fraction of the plan's rate and burst that this gateway owns.
     quota_fraction: f64,
-    /// What remains of this part of the hard limit.
+    /// The units that remain of the owned part of the hard limit.
     hard_limit: HardLimitBucket,
+    /// When the quota and the hard limit were last refilled.
     refilled_at: Timestamp,
-    /// When a lease request last came in.
+    /// When a lease request was last received.
     last_used_at: Timestamp,
-    /// What is on lease to other gateways.
+    /// The leases of other gateways.
     ledger: LeaseLedger,
-    /// Permits of the limit on attempts in flight.
+    /// The permits in use, of the plan's limit on attempts in flight.
     permits: ConcurrencyPermits,
-    /// Lease requests in about a second.
+    /// Lease requests per second, as a sum with exponential decay over about a second.
     lease_request_rate: f64,
-    /// Probability with which the customer's requests may ask.
+    /// Probability, from 0 to 1, with which the customer's requests may ask quota owners.
     lease_request_probability: f64,
 }
 
 impl OwnedQuota {
-    /// A part of the quota, full, and of the hard limit, empty.
-    pub(crate) fn new(now: Timestamp, part: OwnedQuotaConfig<'_>) -> Self {
-        let burst_capacity = (part.plan.burst * part.quota_fraction).max(part.max_request_units);
+    /// Creates an owned quota that is full, with an empty bucket for the hard limit.
+    pub(crate) fn new(now: Timestamp, config: OwnedQuotaConfig<'_>) -> Self {
+        let burst_capacity =
+            (config.plan.burst * config.quota_fraction).max(config.max_request_units);
         OwnedQuota {
-            plan: part.plan_id,
+            plan: config.plan_id,
             quota: TokenBucket::new(burst_capacity, burst_capacity),
-            quota_fraction: part.quota_fraction,
-            hard_limit: HardLimitBucket::empty(part.hard_limit_fraction, part.grant_lifetime),
+            quota_fraction: config.quota_fraction,
+            hard_limit: HardLimitBucket::empty(config.hard_limit_fraction, config.grant_lifetime),
             refilled_at: now,
             last_used_at: Timestamp::EPOCH,
             ledger: LeaseLedger::default(),
@@ -71,13 +73,13 @@
         }
     }
 
-    /// The plan that it was made for.
+    /// Returns the plan whose limits apply.
     pub(crate) fn plan(&self) -> PlanId {
         self.plan
     }
 
-    /// A lease request has come in: what its sender returns is taken back, this part is refilled up
-    /// to now, and permits that have expired are released. Returns the seconds since the last
+    /// Prepares for a lease request that was received: reclaims the units that its sender returns,
+    /// refills up to now, and releases expired permits. Returns the seconds since the previous
     /// refill.
     pub(crate) fn begin_lease_request(
         &mut self,
@@ -94,7 +96,7 @@
         seconds
     }
 
-    /// Refills at the rate of a plan.
+    /// Refills the owned parts of the quota and of the hard limit up to now.
     pub(crate) fn refill(&mut self, now: Timestamp, plan: &Plan) {
         let seconds = now.seconds_since(self.refilled_at);
         self.refilled_at = now;
@@ -105,29 +107,29 @@
         }
     }
 
-    /// Tokens of this part of the quota.
+    /// Returns the tokens of the owned part of the quota; negative if it is in debt.
     pub(crate) fn quota_tokens(&self) -> Units {
         self.quota.tokens()
     }
 
-    /// Units that this part of the hard limit still allows.
+    /// Returns the units that the owned part of the hard limit still allows.
     pub(crate) fn hard_limit_tokens(&self) -> Units {
         self.hard_limit.tokens()
     }
 
-    /// Takes units for a request that uses them immediately.
+    /// Charges units of a request that uses them immediately.
     pub(crate) fn consume(&mut self, units: Units) {
         self.quota.take(units);
         self.hard_limit.take(units);
     }
 
-    /// Grants units on lease; they count as used until they are returned.
+    /// Grants a lease. Its units count as used until they are returned.
     pub(crate) fn grant_lease(&mut self, to: GatewayId, sequence: u16, units: Units) {
         self.consume(units);
         self.ledger.grant(to, sequence, units);
     }
 
-    /// Takes back what remains of a gateway's lease.
+    /// Puts back the units that remain of a gateway's lease, if the ledger accepts their return.
     pub(crate) fn reclaim(&mut self, from: GatewayId, returned: ReturnedLease) {
         if let Some(units) = self.ledger.reclaim(from, returned) {
             self.quota.put_back(units);
@@ -135,44 +137,45 @@
         }
     }
 
-    /// Concurrency permits in use.
+    /// Returns the number of concurrency permits in use.
     pub(crate) fn permits_in_use(&self) -> usize {
         self.permits.in_use()
     }
 
-    /// Hands out a concurrency permit, which expires by itself.
+    /// Grants a concurrency permit, which expires at `expires_at` unless it is released before.
     pub(crate) fn acquire_permit(&mut self, holder: PermitHolder, expires_at: Timestamp) {
         self.permits.acquire(holder, expires_at);
     }
 
-    /// Takes back a concurrency permit, if it is still in use.
+    /// Releases a concurrency permit, if it is still in use.
     pub(crate) fn release_permit(&mut self, holder: PermitHolder) {
         self.permits.release(holder);
     }
 
-    /// Counts a lease request, so many seconds after the last one. Returns how many there were in
-    /// about a second.
+    /// Counts a lease request that was received `seconds` after the previous one. Returns the rate
+    /// of lease requests, averaged over about a second.
     pub(crate) fn record_lease_request(&mut self, seconds: f64) -> f64 {
         self.lease_request_rate = self.lease_request_rate * (-seconds).exp() + 1.0;
         self.lease_request_rate
     }
 
-    /// Probability with which the customer's requests may ask.
+    /// Returns the probability with which the customer's requests may ask quota owners.
     pub(crate) fn lease_request_probability(&self) -> f64 {
         self.lease_request_probability
     }
 
-    /// Lowers that probability by a factor.
+    /// Multiplies the lease request probability by `ratio`, which is at most 1.
     pub(crate) fn decrease_request_probability(&mut self, ratio: f64) {
         self.lease_request_probability *= ratio;
     }
 
-    /// Raises that probability, up to 1.
+    /// Adds `gain` to the lease request probability, up to 1.
     pub(crate) fn increase_request_probability(&mut self, gain: f64) {
         self.lease_request_probability = (self.lease_request_probability + gain).min(1.0);
     }
 
-    /// Whether dropping it neither gains nor loses anything: it has long been unused, and is full.
+    /// Returns whether the owned quota can be evicted without gain or loss: it has long been
+    /// unused, is full, and no permits are in use.
     pub(crate) fn is_idle(&mut self, now: Timestamp, plan: &Plan) -> bool {
         if now.duration_since(self.last_used_at) < MIN_IDLE {
             return false;
--- a/crates/gateway-core/src/state/quota/progress.rs
+++ b/crates/gateway-core/src/state/quota/progress.rs
@@ -1,4 +1,4 @@
-//! How a request gets its quota from its customer's quota owners.
+//! The progress of a request with its customer's quota owners.
 
 use crate::time::Timestamp;
 use crate::types::GatewayId;
@@ -6,33 +6,33 @@
 /// One of a customer's quota owners.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct QuotaOwner {
-    /// Its index among the customer's owners.
+    /// The owner's index among the customer's owners.
     pub(crate) index: u32,
-    /// The gateway.
+    /// The gateway that is the owner.
     pub(crate) gateway: GatewayId,
 }
 
-/// A lease request without a response.
+/// A lease request that waits for its response.
 #[derive(Clone, Copy)]
 pub(crate) struct PendingLease {
-    /// Its sequence number.
+    /// Sequence number of the lease request.
     pub(crate) sequence: u16,
-    /// When it was sent.
+    /// When the lease request was sent.
     pub(crate) sent_at: Timestamp,
 }
 
-/// What allows a request to be sent.
+/// The permission to send a request.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestGrant {
-    /// The gateway that granted it; this one, if it used a lease or decided alone.
+    /// The gateway that granted it; this gateway, if it used a held lease or decided alone.
     pub(crate) owner: GatewayId,
-    /// The lease request that it was granted under.
+    /// Sequence number of the lease request that it was granted for.
     pub(crate) sequence: u16,
-    /// Until when it may be used under a hard limit.
+    /// The time up to which it may be used under a hard limit.
     pub(crate) expires_at: Timestamp,
 }
 
-/// How far a request has come with its customer's quota owners.
+/// The lease requests sent for a request, and the grant obtained.
 #[derive(Default)]
 pub(crate) struct QuotaProgress {
     owner: QuotaOwner,
@@ -43,37 +43,37 @@
 }
 
 impl QuotaProgress {
-    /// The owner asked last.
+    /// Returns the owner that was asked most recently.
     pub(crate) fn owner(&self) -> QuotaOwner {
         self.owner
     }
 
-    /// The lease request without a response, if there is one.
+    /// Returns the lease request that waits for its response, if there is one.
     pub(crate) fn pending(&self) -> Option<PendingLease> {
         self.pending
     }
 
-    /// Responses so far that the quota is exceeded.
+    /// Returns the number of responses so far that the quota is exceeded.
     pub(crate) fn rejections(&self) -> u32 {
         self.rejections
     }
 
-    /// Lease requests so far without a response in time.
+    /// Returns the number of lease requests so far that got no response in time.
     pub(crate) fn timeouts(&self) -> u32 {
         self.timeouts
     }
 
-    /// What allows the request to be sent, if anything does yet.
+    /// Returns the grant, or `None` while the request may not be sent.
     pub(crate) fn grant(&self) -> Option<RequestGrant> {
         self.grant
     }
 
-    /// Whether no owner has rejected it or failed to respond so far.
+    /// Returns whether no owner has rejected the request or failed to respond so far.
     pub(crate) fn is_first_try(&self) -> bool {
         self.rejections + self.timeouts == 0
     }
 
-    /// Notes that an owner has been asked.
+    /// Records that a lease request was sent to an owner.
     pub(crate) fn record_lease_request(
         &mut self,
         now: Timestamp,
@@ -87,28 +87,28 @@
         });
     }
 
-    /// Takes the lease request that a response belongs to; `None` if it isn't pending any more.
+    /// Removes and returns the lease request with a sequence number, if it is still pending.
     pub(crate) fn take_pending(&mut self, sequence: u16) -> Option<PendingLease> {
         self.pending.take_if(|pending| pending.sequence == sequence)
     }
 
-    /// Notes that an owner has responded that the quota is exceeded.
+    /// Records that an owner responded that the quota is exceeded.
     pub(crate) fn record_rejection(&mut self) {
         self.rejections += 1;
     }
 
-    /// Notes that the owner asked last has not responded in time.
+    /// Records that the owner asked most recently has not responded in time.
     pub(crate) fn record_timeout(&mut self) {
         self.timeouts += 1;
         self.pending = None;
     }
 
-    /// Notes what allows the request to be sent.
+    /// Records the grant that allows the request to be sent.
     pub(crate) fn set_grant(&mut self, grant: RequestGrant) {
         self.grant = Some(grant);
     }
 
-    /// Notes that the grant must not be used any more.
+    /// Drops the grant, which must no longer be used.
     pub(crate) fn drop_grant(&mut self) {
         self.grant = None;
     }
--- a/crates/gateway-core/tests/unit/customer_account.rs
+++ b/crates/gateway-core/tests/unit/customer_account.rs
@@ -1,4 +1,4 @@
-//! Refill, hard limit, reconfiguration and usage of a customer's account.
+//! Refill, hard limit, reconfiguration, idleness and announced usage of a customer's account.
 
 use super::super::test_plan::plan;
 use super::*;
@@ -19,13 +19,13 @@
     }
 }
 
-/// A new account of a customer with so many gateways, at time 0.
+/// Returns a new account, at time 0, of a customer with the given number of gateways.
 fn account(gateways: u32) -> CustomerAccount {
     CustomerAccount::new(START, Duration::ZERO, config(&plan(), gateways))
 }
 
 #[test]
-fn it_refills_at_the_rate_up_to_the_burst() {
+fn quota_refills_at_plan_rate_up_to_burst() {
     let mut account = account(1);
     account.charge(Units::new(15.0));
     account.refill(START + SECOND / 2, &plan(), 0.0);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn its_share_of_the_hard_limit_starts_empty_and_refills_to_its_share_of_the_capacity() {
+fn hard_limit_part_starts_empty_and_refills_to_part_of_capacity() {
     let mut account = account(2);
     assert_eq!(account.hard_limit_tokens(), Units::new(0.0));
     account.refill(START + SECOND, &plan(), 0.0);
@@ -45,11 +45,14 @@
 }
 
 #[test]
-fn a_reconfiguration_gains_nothing() {
+fn reconfiguration_adds_no_tokens_and_retains_usage() {
     let mut account = account(1);
     account.charge(Units::new(18.0));
     account.record_attempt_sent(START, Units::new(1.0), true);
-    account.peers.of(GatewayId(1)).add(START, Units::new(6.0));
+    account
+        .peers
+        .usage_of(GatewayId(1))
+        .add(START, Units::new(6.0));
     account.reconfigure(
         CustomerAccount::new(START, Duration::ZERO, config(&plan(), 2)),
         Units::new(-3.0),
@@ -67,12 +70,12 @@
 }
 
 #[test]
-fn it_is_idle_once_it_is_full_and_has_long_been_unused() {
+fn account_is_idle_when_full_and_unused_for_min_idle() {
     let is_idle = |account: &mut CustomerAccount, now| account.is_idle(now, &plan(), 0.0);
     let mut account = account(1);
     assert!(
         !is_idle(&mut account, START + MIN_IDLE - Duration::from_micros(1)),
-        "too soon"
+        "unused for less than MIN_IDLE"
     );
     assert!(is_idle(&mut account, START + MIN_IDLE));
     account.record_attempt_sent(START + MIN_IDLE, Units::new(1.0), true);
@@ -86,12 +89,15 @@
 }
 
 #[test]
-fn a_retry_is_not_announced_to_peers() {
+fn retry_is_not_announced_to_peers() {
     let mut account = account(1);
     account.record_attempt_sent(START, Units::new(1.0), true);
     account.record_attempt_sent(START + Duration::from_micros(1), Units::new(1.0), false);
     assert_eq!(
-        (account.forwarded.units(), account.forwarded.last_risen_at()),
+        (
+            account.forwarded.units(),
+            account.forwarded.last_increased_at()
+        ),
         (Units::new(1.0), START)
     );
 }
--- a/crates/gateway-core/tests/unit/held_lease.rs
+++ b/crates/gateway-core/tests/unit/held_lease.rs
@@ -1,4 +1,4 @@
-//! A lease at the gateway that holds it.
+//! Consuming and giving back a lease at the gateway that holds it.
 
 use super::*;
 
@@ -16,20 +16,20 @@
 }
 
 #[test]
-fn it_covers_what_is_left_until_it_expires() {
+fn lease_covers_remaining_units_until_expiry() {
     let mut lease = lease();
     assert_eq!(lease.consume(at(100), Units::new(2.0)), Some(at(100)));
     assert_eq!(
         lease.consume(at(100), Units::new(2.0)),
         None,
-        "one unit is left"
+        "only one unit remains"
     );
     assert_eq!(lease.consume(at(101), Units::new(1.0)), None, "expired");
     assert_eq!(lease.consume(at(100), Units::new(1.0)), Some(at(100)));
 }
 
 #[test]
-fn it_is_given_back_to_its_own_owner_alone() {
+fn lease_is_given_back_only_to_owner_that_granted_it() {
     assert_eq!(
         lease().give_back(1),
         ReturnedLease {
@@ -48,6 +48,6 @@
     assert_eq!(
         lease.consume(at(0), Units::new(1.0)),
         None,
-        "what is given back cannot be used"
+        "units given up cannot be used"
     );
 }
--- a/crates/gateway-core/tests/unit/owned_quota.rs
+++ b/crates/gateway-core/tests/unit/owned_quota.rs
@@ -1,13 +1,13 @@
-//! The part of a quota that an owner keeps: leases, and when it may be dropped.
+//! The part of a quota that an owner holds: leases, permits and idleness.
 
 use super::super::test_plan::plan;
 use super::*;
 
 const START: Timestamp = Timestamp::EPOCH;
 
-/// The whole quota at one owner, at time 0.
+/// Returns a whole quota at a single owner, at time 0.
 fn owned() -> OwnedQuota {
-    let part = OwnedQuotaConfig {
+    let config = OwnedQuotaConfig {
         plan_id: PlanId(0),
         plan: &plan(),
         quota_fraction: 1.0,
@@ -15,11 +15,11 @@
         grant_lifetime: Duration::ZERO,
         max_request_units: Units::new(1.0),
     };
-    OwnedQuota::new(START, part)
+    OwnedQuota::new(START, config)
 }
 
 #[test]
-fn a_lease_is_reclaimed_once() {
+fn lease_is_reclaimed_once() {
     let mut owned = owned();
     owned.grant_lease(GatewayId(1), 5, Units::new(6.0));
     assert_eq!(
@@ -42,11 +42,11 @@
 }
 
 #[test]
-fn it_is_idle_once_it_is_full_and_has_long_been_unused() {
+fn owned_quota_is_idle_when_full_and_unused_for_min_idle() {
     let mut owned = owned();
     assert!(
         !owned.is_idle(START + MIN_IDLE - Duration::from_micros(1), &plan()),
-        "too soon"
+        "unused for less than MIN_IDLE"
     );
     assert!(owned.is_idle(START + MIN_IDLE, &plan()));
     owned.consume(Units::new(1000.0));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_permit_in_use_keeps_it_from_being_idle() {
+fn owned_quota_with_permit_in_use_is_not_idle() {
     let mut owned = owned();
     let holder = PermitHolder {
         gateway: GatewayId(1),
--- a/crates/gateway-core/tests/unit/permits.rs
+++ b/crates/gateway-core/tests/unit/permits.rs
@@ -1,4 +1,4 @@
-//! Permits in use, and how a limit is shared.
+//! Permits in use, and the division of a limit among owners.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_permit_is_in_use_until_it_is_released_or_expires() {
+fn permit_is_in_use_until_released_or_expired() {
     let holder = |sequence| PermitHolder {
         gateway: GatewayId(1),
         sequence,
@@ -19,7 +19,11 @@
         gateway: GatewayId(2),
         sequence: 2,
     });
-    assert_eq!(permits.in_use(), 3, "nobody else's is released");
+    assert_eq!(
+        permits.in_use(),
+        3,
+        "permits of other holders are not released"
+    );
     permits.release(holder(2));
     assert_eq!(permits.in_use(), 2);
     permits.drop_expired(at(100));
@@ -27,9 +31,9 @@
 }
 
 #[test]
-fn owners_share_a_limit_evenly_and_a_standby_owner_has_the_last_share() {
-    let shares = |limit| [0, 1, 2].map(|index| permits_of_owner(limit, 2, index));
-    assert_eq!(shares(4), [2, 2, 2]);
-    assert_eq!(shares(5), [3, 2, 2]);
-    assert_eq!(shares(1), [1, 0, 0]);
+fn owners_divide_limit_evenly_and_standby_owner_gets_last_part() {
+    let parts = |limit| [0, 1, 2].map(|index| permits_of_owner(limit, 2, index));
+    assert_eq!(parts(4), [2, 2, 2]);
+    assert_eq!(parts(5), [3, 2, 2]);
+    assert_eq!(parts(1), [1, 0, 0]);
 }
--- a/crates/gateway-core/tests/unit/quota_owners.rs
+++ b/crates/gateway-core/tests/unit/quota_owners.rs
@@ -1,9 +1,9 @@
-//! Which gateways own a customer's quota.
+//! Selection of the gateways that own a customer's quota.
 
 use super::*;
 
 #[test]
-fn owners_and_the_standby_owner_are_distinct_gateways_of_the_customer() {
+fn owners_and_standby_owner_are_distinct_gateways_of_customer() {
     let gateways = GatewaySet {
         first: GatewayId(95),
         count: 10,
--- a/crates/gateway-core/tests/unit/quota_plan.rs
+++ b/crates/gateway-core/tests/unit/quota_plan.rs
@@ -1,9 +1,10 @@
-//! The plan that the unit tests of quotas share.
+//! The plan that the unit tests of quotas use.
 
 use crate::settings::{HardLimit, Plan};
 use crate::units::Units;
 
-/// 10 units a second with a burst of 20, under a hard limit of 4 a second and a capacity of 8.
+/// Returns a plan of 10 units per second with a burst of 20 units, and a hard limit of 4 units per
+/// second with a capacity of 8 units.
 pub(super) fn plan() -> Plan {
     Plan {
         rate: 10.0,
--- a/crates/gateway-core/tests/unit/token_bucket.rs
+++ b/crates/gateway-core/tests/unit/token_bucket.rs
@@ -1,4 +1,4 @@
-//! Tokens, capacity and refill of a token bucket.
+//! Refill, capacity and debt of a token bucket.
 
 use super::*;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn it_is_full_at_the_burst_or_at_its_own_capacity() {
+fn refill_stops_at_larger_of_plan_burst_and_burst_capacity() {
     for (burst, full) in [(BURST, BURST), (units(4.0), units(5.0))] {
         let mut bucket = TokenBucket::new(Units::ZERO, units(5.0));
         assert!(!bucket.is_full(burst));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn taking_may_leave_any_debt_and_draining_one_of_its_capacity() {
+fn drain_limits_debt_to_burst_capacity_and_take_does_not() {
     let mut bucket = TokenBucket::new(BURST, units(5.0));
     bucket.drain(units(100.0));
     assert_eq!(bucket.tokens(), units(-5.0));
