--- a/crates/gateway-core/src/state/servers/class_health.rs
+++ b/crates/gateway-core/src/state/servers/class_health.rs
@@ -3,83 +3,85 @@
 use crate::statistics::update_mean;
 use crate::time::Timestamp;
 
-/// Steps in a failure rate of 1, for sums over all servers: whole numbers accumulate no rounding
-/// error.
-pub(super) const FAILURE_RATE_SUM_STEPS: f64 = (1u64 << 32) as f64;
+/// Fixed-point value of a failure rate of 1, for sums over all servers: integer sums accumulate no
+/// rounding error.
+pub(super) const FAILURE_RATE_SCALE: f64 = (1u64 << 32) as f64;
 
 /// The health of a server with one class of requests.
 #[derive(Clone, Default)]
 pub(crate) struct ClassHealth {
-    /// Exponentially weighted mean, from 0 to 1.
+    /// Exponentially weighted mean of failures (1) and successes (0).
     pub(super) failure_rate: f64,
+    /// When the server last answered a request of the class; the epoch if never.
     answered_at: Timestamp,
-    /// Set while the server is ejected: when the next probe may be sent.
+    /// When the next probe may be sent; `None` while the server is not ejected.
     pub(super) next_probe_at: Option<Timestamp>,
-    /// When the newest observation was made, here or by a peer.
+    /// When the newest observation was made, by this gateway or a peer; the epoch if never.
     pub(super) observed_at: Timestamp,
-    /// What the server index holds of this.
+    /// The values under which the server index currently holds this health.
     pub(super) indexed: IndexedHealth,
 }
 
 impl ClassHealth {
-    /// Exponentially weighted mean of the attempts that failed, from 0 to 1.
+    /// Returns the exponentially weighted fraction of attempts that failed, from 0 to 1.
     pub(crate) fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// When the server last answered a request of this class; the epoch if never.
+    /// Returns when the server last answered a request of the class; the epoch if never.
     pub(crate) fn answered_at(&self) -> Timestamp {
         self.answered_at
     }
 
-    /// When the newest observation was made, here or by a peer.
+    /// Returns when the newest observation was made, by this gateway or a peer; the epoch if never.
     pub(crate) fn observed_at(&self) -> Timestamp {
         self.observed_at
     }
 
-    /// When the next probe may be sent; `None` while the server is not ejected.
+    /// Returns when the next probe may be sent; `None` while the server is not ejected.
     pub(crate) fn next_probe_at(&self) -> Option<Timestamp> {
         self.next_probe_at
     }
 
-    /// Whether the server is ejected for this class.
+    /// Returns whether the server is ejected for the class.
     pub(crate) fn is_ejected(&self) -> bool {
         self.next_probe_at.is_some()
     }
 
-    /// Ejects the server. If it is ejected already, its probe is not put off.
+    /// Ejects the server. If it is ejected already, the time of its next probe does not change.
     pub(crate) fn eject(&mut self, next_probe_at: Timestamp) {
         self.next_probe_at = self.next_probe_at.or(Some(next_probe_at));
     }
 
-    /// Ejects the server, or sets a new time for the probe of one that is ejected already.
+    /// Ejects the server. If it is ejected already, the time of its next probe is replaced.
     pub(crate) fn schedule_probe(&mut self, next_probe_at: Timestamp) {
         self.next_probe_at = Some(next_probe_at);
     }
 
-    /// Ends an ejection.
+    /// Readmits the server, ending its ejection.
     pub(crate) fn readmit(&mut self) {
         self.next_probe_at = None;
     }
 
-    /// Records that a probe was sent, if the server is ejected.
+    /// Records that an attempt was sent. If the server is ejected, the attempt is a probe, and the
+    /// next probe may be sent at `next_probe_at`.
     pub(super) fn record_probe(&mut self, next_probe_at: Timestamp) {
         if self.is_ejected() {
             self.next_probe_at = Some(next_probe_at);
         }
     }
 
-    /// Records that a request of this class was answered.
+    /// Records that the server answered a request of the class.
     pub(super) fn record_answer(&mut self, now: Timestamp) {
         self.answered_at = now;
     }
 
-    /// Records that the newest observation was made now.
-    pub(crate) fn record_observation(&mut self, now: Timestamp) {
-        self.observed_at = now;
+    /// Records that the newest observation was made at `observed_at`.
+    pub(crate) fn record_observation(&mut self, observed_at: Timestamp) {
+        self.observed_at = observed_at;
     }
 
-    /// Merges a sample of the failure rate.
+    /// Merges a sample into the failure rate, by `weight`.
     pub(super) fn observe_failure_rate(&mut self, sample: f64, weight: f64) {
         update_mean(&mut self.failure_rate, sample, weight);
     }
@@ -89,17 +91,18 @@
         self.failure_rate *= factor;
     }
 
-    /// Raises the failure rate to a minimum.
+    /// Raises the failure rate to `minimum` if it is lower.
     pub(crate) fn raise_failure_rate(&mut self, minimum: f64) {
         self.failure_rate = self.failure_rate.max(minimum);
     }
 }
 
-/// What the server index holds of a server's health with one class.
+/// The values under which the server index holds a server's health with one class.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct IndexedHealth {
     pub(super) next_probe_at: Option<Timestamp>,
-    pub(super) failure_rate_steps: u64,
+    /// The failure rate as a fixed-point value.
+    pub(super) scaled_failure_rate: u64,
     pub(super) observed_at: Timestamp,
 }
 
@@ -107,7 +110,7 @@
     fn from(health: &ClassHealth) -> Self {
         IndexedHealth {
             next_probe_at: health.next_probe_at,
-            failure_rate_steps: (health.failure_rate * FAILURE_RATE_SUM_STEPS).round() as u64,
+            scaled_failure_rate: (health.failure_rate * FAILURE_RATE_SCALE).round() as u64,
             observed_at: health.observed_at,
         }
     }
--- a/crates/gateway-core/src/state/servers/fleet_estimates.rs
+++ b/crates/gateway-core/src/state/servers/fleet_estimates.rs
@@ -1,4 +1,4 @@
-//! What a gateway estimates of the whole fleet, from its own observations and from gossip.
+//! A gateway's estimates of the whole fleet, from its own observations and from gossip.
 
 use crate::statistics::update_mean;
 use crate::time::DurationExt;
@@ -6,11 +6,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Stands for the mean while there is none: the first sample replaces it at a weight of 1, rounded
-/// as every later one is.
-const REPLACED_RATIO: f64 = -1.0;
+/// Placeholder for the mean before the first sample, which replaces it with a weight of 1. The
+/// sample thus passes through the same arithmetic, with the same rounding, as later samples.
+const PLACEHOLDER_RATIO: f64 = -1.0;
 
-/// Running means: of the fleet, and of the attempts that this gateway has in flight.
+/// Running means over the fleet, and over the attempts that this gateway has in flight.
 #[derive(Default)]
 pub(crate) struct FleetEstimates {
     mean_latency_us: f64,
@@ -19,86 +19,88 @@
     load_factor: Option<f64>,
     lowest_class_in_flight: f64,
     total_in_flight: f64,
-    /// By class: mean latency as a ratio to the class's latency objective; `None` while unknown.
+    /// By class: the mean latency ratio; `None` while unknown.
     latency_ratios: Vec<Option<f64>>,
+    /// Answers per second at one gateway.
     throughput: f64,
-    completed_since_tick: f64,
-    /// By zone: fraction of the attempts that found no connection.
+    /// Answers at this gateway since the last control tick.
+    answers_since_tick: f64,
+    /// By zone: the fraction of attempts that could not connect.
     unreachable_by_zone: BTreeMap<ZoneId, f64>,
 }
 
 impl FleetEstimates {
-    /// Estimates before anything was observed. `expected_us`: the latency per concurrent request to
-    /// start from.
-    pub(crate) fn new(classes: usize, expected_us: f64) -> Self {
+    /// Creates the estimates before the first observation. `initial_latency_us` is the initial
+    /// estimate of the latency per concurrent request.
+    pub(crate) fn new(classes: usize, initial_latency_us: f64) -> Self {
         FleetEstimates {
-            mean_latency_us: expected_us,
-            median_latency_us: expected_us,
-            service_time_us: expected_us,
+            mean_latency_us: initial_latency_us,
+            median_latency_us: initial_latency_us,
+            service_time_us: initial_latency_us,
             latency_ratios: vec![None; classes],
             ..FleetEstimates::default()
         }
     }
 
-    /// Mean latency of attempts in µs.
+    /// Returns the mean latency of attempts in µs.
     pub(crate) fn mean_latency_us(&self) -> f64 {
         self.mean_latency_us
     }
 
-    /// Merges the latency of an attempt.
+    /// Merges the latency of an attempt into the mean, by `weight`.
     pub(crate) fn observe_latency(&mut self, sample_us: f64, weight: f64) {
         update_mean(&mut self.mean_latency_us, sample_us, weight);
     }
 
-    /// Latency per concurrent request of the median server in µs.
+    /// Returns the latency per concurrent request of the median server in µs.
     pub(crate) fn median_latency_us(&self) -> f64 {
         self.median_latency_us
     }
 
-    /// Time in µs that a server with free capacity takes.
+    /// Returns the service time in µs: the time that a server with free capacity takes.
     pub(crate) fn service_time_us(&self) -> f64 {
         self.service_time_us
     }
 
-    /// Merges a sample of the time that a server with free capacity takes.
+    /// Merges a sample of the service time, by `weight`.
     pub(crate) fn observe_service_time(&mut self, sample_us: f64, weight: f64) {
         update_mean(&mut self.service_time_us, sample_us, weight);
     }
 
-    /// Load factor of the median server; `None` where servers don't report their load.
+    /// Returns the load factor of the median server; `None` if servers don't report their load.
     pub(crate) fn load_factor(&self) -> Option<f64> {
         self.load_factor
     }
 
-    /// Replaces what is known of the median server.
+    /// Replaces the latency per concurrent request and the load factor of the median server.
     pub(crate) fn set_medians(&mut self, latency_us: f64, load_factor: Option<f64>) {
         self.median_latency_us = latency_us;
         self.load_factor = load_factor;
     }
 
-    /// Mean number of this gateway's attempts of the lowest class in flight.
+    /// Returns the mean number of this gateway's attempts of the lowest class in flight.
     pub(crate) fn lowest_class_in_flight(&self) -> f64 {
         self.lowest_class_in_flight
     }
 
-    /// Mean number of all attempts of this gateway in flight.
+    /// Returns the mean number of this gateway's attempts of all classes in flight.
     pub(crate) fn total_in_flight(&self) -> f64 {
         self.total_in_flight
     }
 
-    /// Merges the attempts in flight now, of the lowest class and in all.
+    /// Merges the current numbers of attempts in flight: of the lowest class, and of all classes.
     pub(crate) fn observe_in_flight(&mut self, lowest: f64, total: f64, weight: f64) {
         update_mean(&mut self.lowest_class_in_flight, lowest, weight);
         update_mean(&mut self.total_in_flight, total, weight);
     }
 
-    /// By class: mean latency as a ratio to the class's latency objective; `None` while unknown.
+    /// Returns the mean latency ratio of each class, ordered by class id; `None` while unknown.
     pub(crate) fn latency_ratios(&self) -> &[Option<f64>] {
         &self.latency_ratios
     }
 
-    /// The largest latency ratio of all classes but `lowest`; of all, if there is only one. `None`
-    /// while unknown.
+    /// Returns the largest latency ratio of the controlled classes, which are all classes other
+    /// than `lowest`; if there is only one class, its latency ratio. `None` while unknown.
     pub(crate) fn worst_latency_ratio(&self, lowest: ClassId) -> Option<f64> {
         let is_only_class = self.latency_ratios.len() == 1;
         let ratios = self.latency_ratios.iter().enumerate();
@@ -108,56 +110,57 @@
             .max_by(f64::total_cmp)
     }
 
-    /// Merges a sample of a class's latency ratio, of this gateway or of a peer: the first one sets
-    /// it, later ones count by `weight`.
+    /// Merges a sample of a class's latency ratio, from this gateway or a peer. The first sample
+    /// sets the ratio; later samples are merged by `weight`.
     pub(crate) fn merge_latency_ratio(&mut self, class: ClassId, sample: f64, weight: f64) {
         let Some(ratio) = self.latency_ratios.get_mut(class.0) else {
             return;
         };
         let (mut mean, weight) = match *ratio {
             Some(mean) => (mean, weight),
-            None => (REPLACED_RATIO, 1.0),
+            None => (PLACEHOLDER_RATIO, 1.0),
         };
         update_mean(&mut mean, sample, weight);
         *ratio = Some(mean);
     }
 
-    /// Makes the latency ratio of a class unknown.
+    /// Resets the latency ratio of a class to unknown.
     pub(crate) fn reset_latency_ratio(&mut self, class: ClassId) {
         if let Some(ratio) = self.latency_ratios.get_mut(class.0) {
             *ratio = None;
         }
     }
 
-    /// Mean number of answers per second at one gateway.
+    /// Returns the mean number of answers per second at one gateway.
     pub(crate) fn throughput(&self) -> f64 {
         self.throughput
     }
 
-    /// Merges the throughput of a peer.
+    /// Merges the throughput of a peer, in answers per second.
     pub(crate) fn merge_throughput(&mut self, per_second: f64, weight: f64) {
         update_mean(&mut self.throughput, per_second, weight);
     }
 
     /// Counts an answer at this gateway.
     pub(crate) fn count_answer(&mut self) {
-        self.completed_since_tick += 1.0;
+        self.answers_since_tick += 1.0;
     }
 
-    /// Merges this gateway's throughput since the last control tick, which was `period` ago.
+    /// Merges this gateway's throughput since the last control tick, which was `period` ago, and
+    /// resets the count of answers.
     pub(crate) fn merge_own_throughput(&mut self, period: Duration, weight: f64) {
-        let per_second = self.completed_since_tick / period.as_seconds();
+        let per_second = self.answers_since_tick / period.as_seconds();
         update_mean(&mut self.throughput, per_second, weight);
-        self.completed_since_tick = 0.0;
+        self.answers_since_tick = 0.0;
     }
 
-    /// Merges whether an attempt into a zone found a connection.
+    /// Merges whether an attempt into a zone could connect.
     pub(crate) fn observe_zone(&mut self, zone: ZoneId, is_unreachable: bool, weight: f64) {
         let fraction = self.unreachable_by_zone.entry(zone).or_default();
         update_mean(fraction, f64::from(u8::from(is_unreachable)), weight);
     }
 
-    /// Fraction of the attempts into a zone that found no connection.
+    /// Returns the fraction of attempts into a zone that could not connect.
     pub(crate) fn unreachable_fraction(&self, zone: ZoneId) -> f64 {
         self.unreachable_by_zone.get(&zone).copied().unwrap_or(0.0)
     }
--- a/crates/gateway-core/src/state/servers/latency_estimates.rs
+++ b/crates/gateway-core/src/state/servers/latency_estimates.rs
@@ -1,5 +1,5 @@
-//! Expected latencies of servers at one moment, as observed and as reported, decayed to those of
-//! the fleet.
+//! Expected latencies of servers at one moment, from observed latencies and reported loads, both
+//! decayed towards the estimates of the fleet.
 
 use super::fleet_estimates::FleetEstimates;
 use super::server::Server;
@@ -9,20 +9,21 @@
 use crate::statistics::count_as_f64;
 use crate::time::Timestamp;
 
-/// Minimum latency in µs that a concurrency is calculated from.
+/// Minimum latency in µs used to calculate a concurrency.
 const MIN_LATENCY_US: f64 = 1.0;
-/// Minimum load factor that a latency is calculated from.
+/// Minimum load factor used to calculate a latency.
 const MIN_LOAD_FACTOR: f64 = 1.0;
 
-/// How observations of servers decay. The half-lives are numbers, as every choice calculates with
-/// them for each server.
+/// How observations of servers decay. The half-lives are floating-point numbers because each
+/// selection of a server calculates with them for every server considered.
 #[derive(Clone, Copy)]
 pub(crate) struct LatencyDecay {
-    /// Time in µs in which an observed latency decays halfway to the fleet's.
+    /// Time in µs in which an observed latency decays halfway to that of the fleet.
     pub(crate) latency_half_life_us: f64,
-    /// Time in µs in which a reported load does; `None` where reported loads do not count.
+    /// Time in µs in which a reported load factor decays halfway to that of the fleet; `None` if
+    /// reported loads are not used.
     pub(crate) load_half_life_us: Option<f64>,
-    /// Minimum warm-up fraction that the latency of an unknown server is divided by.
+    /// Minimum warm-up fraction by which the latency of an unknown server is divided.
     pub(crate) min_warm_up_fraction: f64,
 }
 
@@ -35,7 +36,7 @@
 }
 
 impl<'a> LatencyEstimates<'a> {
-    /// The expected latencies now.
+    /// Creates the estimates for the time of a context.
     pub(crate) fn new(context: Context<'a>, decay: &LatencyDecay) -> Self {
         LatencyEstimates {
             now: context.now,
@@ -45,10 +46,10 @@
         }
     }
 
-    /// Expected latency per concurrent request at a server, in µs: the larger of what was observed
-    /// and what its reported load lets expect. An unknown server counts as the median one, by how
-    /// far it has warmed up.
-    #[inline] // it is called for each server at each choice
+    /// Returns the expected latency per concurrent request at a server, in µs: the larger of the
+    /// observed latency and the latency predicted from the reported load. A server without an
+    /// observed latency is assumed to have the median latency divided by its warm-up fraction.
+    #[inline] // called for every server considered at each selection
     pub(crate) fn expected_latency_us(&self, server: &Server) -> f64 {
         let median_us = self.fleet.median_latency_us();
         let half_life_us = self.decay.latency_half_life_us;
@@ -61,7 +62,8 @@
         }
     }
 
-    /// The latency in µs that a server's reported load lets expect.
+    /// Returns the latency in µs predicted from a server's reported load; `None` if no load is
+    /// known or reported loads are not used.
     fn latency_by_load_us(&self, server: &Server) -> Option<f64> {
         let half_life_us = self.decay.load_half_life_us?;
         let fleet_load_factor = self.fleet.load_factor()?;
@@ -69,8 +71,8 @@
         Some(self.fleet.service_time_us() * load_factor.max(MIN_LOAD_FACTOR))
     }
 
-    /// Attempts that the ready servers together finish within `objective_us` µs. Those that are not
-    /// tracked count as the median one.
+    /// Returns the fleet concurrency: how many attempts the ready servers together finish within
+    /// `objective_us` µs. Servers that are not tracked are assumed to have the median latency.
     pub(crate) fn fleet_concurrency(&self, servers: &ServerTable, objective_us: f64) -> f64 {
         let mut tracked = 0;
         let concurrency =
@@ -85,7 +87,7 @@
         sum + untracked * (objective_us / median_us.max(MIN_LATENCY_US))
     }
 
-    /// Whether a server has all of its capacity.
+    /// Returns whether a server has completed its warm-up.
     pub(crate) fn is_warm(&self, server: &Server) -> bool {
         server.is_warm(self.rules, self.now)
     }
--- a/crates/gateway-core/src/state/servers/mod.rs
+++ b/crates/gateway-core/src/state/servers/mod.rs
@@ -1,5 +1,5 @@
-//! What a gateway remembers of servers: the table of all of them, the health of each, and estimates
-//! of the fleet.
+//! The state of servers at a gateway: the table of all servers, the health of each server, and
+//! estimates of the fleet.
 
 mod class_health;
 mod fleet_estimates;
--- a/crates/gateway-core/src/state/servers/ranked_set.rs
+++ b/crates/gateway-core/src/state/servers/ranked_set.rs
@@ -1,13 +1,13 @@
-//! An ordered set that can iterate from a rank, stored in chunks short enough to be moved at each
-//! change.
+//! An ordered set that can be iterated from a rank. It is stored in chunks that are short enough
+//! for each insertion or removal to move the items of one chunk.
 
 /// Maximum number of items in one chunk.
 const MAX_CHUNK: usize = 2_048;
 
-/// A set in ascending order. Finding a rank costs a step for each chunk; a change, that and the
-/// move of one chunk.
+/// A set in ascending order. Finding a rank takes time linear in the number of chunks; an insertion
+/// or removal also moves the items of one chunk.
 pub(crate) struct RankedSet<T> {
-    /// None of them is empty.
+    /// Sorted chunks in ascending order; no chunk is empty.
     chunks: Vec<Vec<T>>,
     len: usize,
 }
@@ -26,7 +26,7 @@
         let mut all: Vec<T> = items.into_iter().collect();
         all.sort_unstable();
         all.dedup();
-        // Half full, so that the next insertions do not split chunks.
+        // Chunks start half full, so that the next insertions do not split them.
         RankedSet {
             len: all.len(),
             chunks: all.chunks(MAX_CHUNK / 2).map(<[T]>::to_vec).collect(),
@@ -35,21 +35,23 @@
 }
 
 impl<T: Ord + Copy> RankedSet<T> {
-    /// How many items there are.
+    /// Returns the number of items in the set.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
 
-    /// Index of the chunk where an item is, or belongs.
-    fn chunk_of(&self, item: &T) -> usize {
-        let before = |chunk: &Vec<T>| chunk.first().is_some_and(|first| first <= item);
-        self.chunks.partition_point(before).saturating_sub(1)
+    /// Returns the index of the chunk that contains an item, or to which it would be added.
+    fn chunk_index_of(&self, item: &T) -> usize {
+        let starts_at_or_before = |chunk: &Vec<T>| chunk.first().is_some_and(|first| first <= item);
+        self.chunks
+            .partition_point(starts_at_or_before)
+            .saturating_sub(1)
     }
 
-    /// Adds an item, unless it is there.
+    /// Adds an item, unless it is in the set already.
     pub(crate) fn insert(&mut self, item: T) {
-        let at = self.chunk_of(&item);
-        let Some(chunk) = self.chunks.get_mut(at) else {
+        let chunk_index = self.chunk_index_of(&item);
+        let Some(chunk) = self.chunks.get_mut(chunk_index) else {
             self.chunks = vec![vec![item]];
             self.len = 1;
             return;
@@ -61,14 +63,14 @@
         self.len += 1;
         if chunk.len() > MAX_CHUNK {
             let upper = chunk.split_off(MAX_CHUNK / 2);
-            self.chunks.insert(at + 1, upper);
+            self.chunks.insert(chunk_index + 1, upper);
         }
     }
 
-    /// Removes an item, if it is there.
+    /// Removes an item, if it is in the set.
     pub(crate) fn remove(&mut self, item: &T) {
-        let at = self.chunk_of(item);
-        let Some(chunk) = self.chunks.get_mut(at) else {
+        let chunk_index = self.chunk_index_of(item);
+        let Some(chunk) = self.chunks.get_mut(chunk_index) else {
             return;
         };
         let Ok(index) = chunk.binary_search(item) else {
@@ -77,25 +79,25 @@
         chunk.remove(index);
         self.len -= 1;
         if chunk.is_empty() {
-            self.chunks.remove(at);
+            self.chunks.remove(chunk_index);
         }
     }
 
-    /// All items in order from that rank on, wrapping round.
+    /// Iterates over all items in order from `rank`, wrapping around.
     pub(crate) fn iter_from(&self, rank: usize) -> impl Iterator<Item = T> + '_ {
-        let mut at = 0;
+        let mut chunk_index = 0;
         let mut offset = rank.min(self.len);
         while self
             .chunks
-            .get(at)
+            .get(chunk_index)
             .is_some_and(|chunk| chunk.len() <= offset)
         {
-            offset -= self.chunks[at].len();
-            at += 1;
+            offset -= self.chunks[chunk_index].len();
+            chunk_index += 1;
         }
         let from_rank = self
             .chunks
-            .get(at..)
+            .get(chunk_index..)
             .into_iter()
             .flatten()
             .flatten()
--- a/crates/gateway-core/src/state/servers/server.rs
+++ b/crates/gateway-core/src/state/servers/server.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of one server.
+//! The state of one server at a gateway: its endpoint, load and health.
 
 use super::class_health::ClassHealth;
 use super::slow_start_credit::SlowStartCredit;
@@ -8,40 +8,45 @@
 use crate::types::{ClassId, Endpoint, EndpointState, ServerId};
 use std::time::Duration;
 
-/// A server: its entry on the endpoint list, its load and its health.
+/// A tracked server: its entry on the endpoint list, its load and its health.
 #[derive(Default)]
 pub(crate) struct Server {
     pub(super) endpoint: Endpoint,
-    /// Attempts of this gateway in flight.
+    /// Number of this gateway's attempts in flight at the server.
     pub(super) in_flight: u32,
     /// Estimated latency per concurrent request in µs; 0 while unknown.
     latency_us: f64,
+    /// When the newest sample of the latency was observed, by this gateway or a peer.
     latency_observed_at: Timestamp,
+    /// When the server last answered a request of any class; the epoch if never.
     answered_at: Timestamp,
-    /// By class.
+    /// The health with each class, indexed by class.
     pub(super) health: Vec<ClassHealth>,
-    /// Attempts that may be sent while it warms up.
+    /// Credit for attempts that may be sent while the server warms up.
     pub(super) slow_start_credit: SlowStartCredit,
-    /// Requests in flight that it last reported.
+    /// Number of requests in flight that the server reported most recently; `None` if it never did.
     reported_load: Option<f64>,
+    /// When that load was reported.
     load_reported_at: Timestamp,
     consecutive_connect_failures: u32,
+    /// The end of the connect backoff; the epoch if there is none.
     connect_backoff_until: Timestamp,
-    /// When it was last used, or a report on it received.
+    /// When this gateway last used the server, or received a health report on it.
     pub(super) last_used_at: Timestamp,
 }
 
-/// How long a server receives nothing after an attempt that found no connection.
+/// Parameters of the connect backoff, during which a server receives no attempts because recent
+/// attempts could not connect.
 #[derive(Clone, Copy)]
 pub(crate) struct ConnectBackoff {
-    /// Backoff after the first such attempt.
+    /// Duration of the backoff after the first attempt that could not connect.
     pub(crate) initial: Duration,
-    /// Maximum number of times that it doubles with consecutive ones.
+    /// Maximum number of times that the backoff doubles with consecutive connect failures.
     pub(crate) max_doublings: u32,
 }
 
 impl Server {
-    /// A server of which nothing is known but its entry on the endpoint list.
+    /// Creates a server of which only the entry on the endpoint list is known.
     pub(crate) fn unknown(endpoint: Endpoint, now: Timestamp, classes: usize) -> Self {
         Server {
             endpoint,
@@ -52,54 +57,54 @@
         }
     }
 
-    /// The same server with attempts in flight, which a restart of its process does not end.
+    /// Sets the number of attempts in flight. They do not end when the server's process restarts.
     pub(super) fn with_in_flight(self, in_flight: u32) -> Self {
         Server { in_flight, ..self }
     }
 
-    /// Its id.
+    /// Returns the server's id.
     pub(crate) fn id(&self) -> ServerId {
         self.endpoint.server
     }
 
-    /// Its entry on the endpoint list.
+    /// Returns the server's entry on the endpoint list.
     pub(crate) fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
 
-    /// Whether the endpoint list says that it takes new requests.
+    /// Returns whether the endpoint list marks the server as ready for new requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.endpoint.state == EndpointState::Ready
     }
 
-    /// Attempts of this gateway in flight.
+    /// Returns the number of this gateway's attempts in flight at the server.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Its health with a class.
+    /// Returns the server's health with a class.
     pub(crate) fn class_health(&self, class: ClassId) -> &ClassHealth {
         &self.health[class.0]
     }
 
-    /// Its health with a class, to be changed.
+    /// Returns the server's health with a class, for changes.
     pub(crate) fn class_health_mut(&mut self, class: ClassId) -> &mut ClassHealth {
         &mut self.health[class.0]
     }
 
-    /// Its health with each class, to be changed.
+    /// Iterates over the server's health with each class, for changes.
     pub(crate) fn iter_health_mut(&mut self) -> impl Iterator<Item = (ClassId, &mut ClassHealth)> {
         let health = self.health.iter_mut().enumerate();
         health.map(|(class, health)| (ClassId(class), health))
     }
 
-    /// Whether it is ejected for any class.
+    /// Returns whether the server is ejected for at least one class.
     pub(crate) fn is_ejected_for_any_class(&self) -> bool {
         self.health.iter().any(ClassHealth::is_ejected)
     }
 
-    /// Records that an attempt was sent: it takes slow-start credit, and is the probe of an ejected
-    /// server, whose next one may be sent at `next_probe_at`.
+    /// Records that an attempt was sent. It takes slow-start credit; if the server is ejected for
+    /// the class, it is also a probe, and the next probe may be sent at `next_probe_at`.
     pub(crate) fn record_attempt_sent(&mut self, class: ClassId, next_probe_at: Timestamp) {
         self.in_flight += 1;
         self.slow_start_credit.take_attempt();
@@ -111,24 +116,25 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// When it last answered a request of any class; the epoch if never.
+    /// Returns when the server last answered a request of any class; the epoch if never.
     pub(crate) fn answered_at(&self) -> Timestamp {
         self.answered_at
     }
 
-    /// Records that it answered a request.
+    /// Records that the server answered a request of a class.
     pub(crate) fn record_answer(&mut self, now: Timestamp, class: ClassId) {
         self.answered_at = now;
         self.health[class.0].record_answer(now);
     }
 
-    /// Latency per concurrent request as last estimated, in µs; `None` while unknown.
+    /// Returns the estimated latency per concurrent request in µs, as of the latest observation;
+    /// `None` while unknown.
     pub(crate) fn observed_latency_us(&self) -> Option<f64> {
         Some(self.latency_us).filter(|latency_us| *latency_us > 0.0)
     }
 
-    /// Latency per concurrent request by now, in µs: the estimate decays to that of the fleet,
-    /// halfway in each half-life. `None` while unknown.
+    /// Returns the estimated latency per concurrent request in µs, decayed up to now: in each
+    /// half-life, the estimate moves halfway towards that of the fleet. `None` while unknown.
     pub(crate) fn decayed_latency_us(
         &self,
         now: Timestamp,
@@ -141,7 +147,8 @@
         Some(latency_us * remaining + fleet_latency_us * (1.0 - remaining))
     }
 
-    /// Lets the estimated latency decay to that of the fleet up to now.
+    /// Replaces the estimated latency with its value decayed up to now, as returned by
+    /// [`decayed_latency_us`](Self::decayed_latency_us).
     pub(crate) fn decay_latency(
         &mut self,
         now: Timestamp,
@@ -152,8 +159,8 @@
         self.latency_us = decayed.unwrap_or(0.0);
     }
 
-    /// Merges a sample of the latency per concurrent request; `initial_us` stands for the estimate
-    /// while there is none.
+    /// Merges a sample of the latency per concurrent request. If there is no estimate yet,
+    /// `initial_us` is used in its place.
     pub(crate) fn observe_latency(
         &mut self,
         at: Timestamp,
@@ -166,7 +173,8 @@
         self.latency_observed_at = self.latency_observed_at.max(at);
     }
 
-    /// Merges a peer's health report if it is newer than what is known, and returns whether it was.
+    /// Merges a peer's health report if it is newer than the newest observation; returns whether it
+    /// was newer.
     pub(crate) fn merge_report(
         &mut self,
         now: Timestamp,
@@ -188,18 +196,20 @@
         true
     }
 
-    /// Requests in flight that it last reported; `None` if it never did.
+    /// Returns the number of requests in flight that the server reported most recently; `None` if
+    /// it never did.
     pub(crate) fn reported_load(&self) -> Option<f64> {
         self.reported_load
     }
 
-    /// The same, if it was reported at most `max_age` ago.
+    /// Returns the reported number of requests in flight, if it was reported at most `max_age` ago.
     pub(crate) fn recent_load(&self, now: Timestamp, max_age: Duration) -> Option<f64> {
         let is_recent = now <= self.load_reported_at + max_age;
         self.reported_load.filter(|_| is_recent)
     }
 
-    /// Records how many requests it had in flight; a report older than the newest is ignored.
+    /// Records the number of requests in flight that the server reported at `at`. A report older
+    /// than the newest is ignored.
     pub(crate) fn observe_load(&mut self, at: Timestamp, load: Option<f64>) {
         if load.is_some() && at >= self.load_reported_at {
             self.reported_load = load;
@@ -207,12 +217,13 @@
         }
     }
 
-    /// Load factor: requests in flight for each unit of its weight, with one more.
+    /// Returns the load factor: requests in flight, plus one, per unit of the server's weight.
     pub(crate) fn load_factor(&self, in_flight: f64) -> f64 {
         (in_flight + 1.0) / self.endpoint.weight.max(1.0)
     }
 
-    /// The reported load factor, which decays to that of the fleet, halfway in each half-life.
+    /// Returns the reported load factor, decayed up to now: in each half-life, it moves halfway
+    /// towards that of the fleet. `None` if no load was reported.
     pub(crate) fn decayed_load_factor(
         &self,
         now: Timestamp,
@@ -225,13 +236,14 @@
         Some(reported * remaining + fleet_load_factor * (1.0 - remaining))
     }
 
-    /// Whether it receives nothing now, as recent attempts found no connection.
+    /// Returns whether the server receives no attempts now because recent attempts could not
+    /// connect.
     pub(crate) fn is_in_connect_backoff(&self, now: Timestamp) -> bool {
         self.connect_backoff_until > now
     }
 
-    /// Records whether an attempt found a connection. The backoff doubles with each consecutive one
-    /// that did not.
+    /// Records whether an attempt could connect. The backoff doubles with each consecutive connect
+    /// failure, and ends with a successful connect.
     pub(crate) fn observe_connect(
         &mut self,
         now: Timestamp,
@@ -248,8 +260,8 @@
         }
     }
 
-    /// Records whether an attempt of a class failed. `other_class_fraction`: fraction of the weight
-    /// with which it counts for other classes.
+    /// Records whether an attempt of a class failed. For the other classes, the sample is merged
+    /// with the fraction `other_class_fraction` of the weight.
     pub(crate) fn observe_failure(
         &mut self,
         class: ClassId,
@@ -268,12 +280,12 @@
         }
     }
 
-    /// Whether it has slow-start credit for one more attempt.
+    /// Returns whether the server has slow-start credit for one more attempt.
     pub(crate) fn has_slow_start_credit(&self) -> bool {
         self.slow_start_credit.covers_attempt()
     }
 
-    /// Minimum fraction of its capacity that it has by now: 1 once it is warm.
+    /// Returns the minimum fraction of its capacity that the server has reached: 1 once it is warm.
     pub(crate) fn warm_up_fraction(&self, rules: &Rules, now: Timestamp) -> f64 {
         let Some(started_at) = self.endpoint.started_at else {
             return 1.0;
@@ -282,13 +294,13 @@
         (rules.warm_up_from + (1.0 - rules.warm_up_from) * progress).min(1.0)
     }
 
-    /// Whether it has all of its capacity.
+    /// Returns whether the server has completed its warm-up and has all of its capacity.
     pub(crate) fn is_warm(&self, rules: &Rules, now: Timestamp) -> bool {
         self.warm_up_fraction(rules, now) >= 1.0
     }
 }
 
-/// The fraction of an observation that remains after some time.
+/// Returns the fraction of an observation that remains after `elapsed_us`.
 fn remaining_fraction(elapsed_us: f64, half_life_us: f64) -> f64 {
     0.5f64.powf(elapsed_us / half_life_us)
 }
--- a/crates/gateway-core/src/state/servers/server_index.rs
+++ b/crates/gateway-core/src/state/servers/server_index.rs
@@ -1,6 +1,6 @@
-//! Indexes and sums over the ready servers, updated as their health changes.
+//! Indexes and sums over the health of the ready servers, updated on each change.
 
-use super::class_health::{IndexedHealth, FAILURE_RATE_SUM_STEPS};
+use super::class_health::{IndexedHealth, FAILURE_RATE_SCALE};
 use super::server::Server;
 use crate::time::Timestamp;
 use crate::types::{ClassId, ServerId};
@@ -11,81 +11,81 @@
 /// Indexes over the health of the ready servers.
 #[derive(Default)]
 pub(crate) struct ServerIndex {
-    /// By class: the ejected ones, by when the next probe may be sent.
+    /// By class: the ejected servers, ordered by the time of the next probe.
     probes: Vec<BTreeSet<(Timestamp, ServerId)>>,
-    /// By class: the sum of the failure rates, in steps.
-    failure_rates: Vec<u64>,
-    /// All observations, by when they were made.
+    /// By class: the sum of the failure rates, as a fixed-point value.
+    failure_rate_sums: Vec<u64>,
+    /// The newest observation of each server with each class, ordered by time.
     observations: BTreeSet<(Timestamp, ServerId, ClassId)>,
 }
 
 impl ServerIndex {
-    /// The index of no servers.
+    /// Creates an empty index.
     pub(crate) fn new(classes: usize) -> Self {
         ServerIndex {
             probes: vec![BTreeSet::new(); classes],
-            failure_rates: vec![0; classes],
+            failure_rate_sums: vec![0; classes],
             observations: BTreeSet::new(),
         }
     }
 
-    /// Updates the entries of a server after its health has changed; removes them unless
-    /// `is_included`.
+    /// Updates the entries of a server after a change of its health, or removes them if it is not
+    /// to be included.
     pub(crate) fn update(&mut self, server: &mut Server, is_included: bool) {
         let id = server.endpoint.server;
         for (class, health) in server.health.iter_mut().enumerate() {
-            let now = if is_included {
+            let current = if is_included {
                 IndexedHealth::from(&*health)
             } else {
                 IndexedHealth::default()
             };
-            let before = std::mem::replace(&mut health.indexed, now);
-            self.update_probe(id, class, before, now);
-            self.update_observation(id, class, before, now);
-            let others = self.failure_rates[class] - before.failure_rate_steps;
-            self.failure_rates[class] = others + now.failure_rate_steps;
+            let previous = std::mem::replace(&mut health.indexed, current);
+            self.update_probe(id, class, previous, current);
+            self.update_observation(id, class, previous, current);
+            let others = self.failure_rate_sums[class] - previous.scaled_failure_rate;
+            self.failure_rate_sums[class] = others + current.scaled_failure_rate;
         }
     }
 
-    /// Moves the probe of a server.
+    /// Updates the entry for the next probe of a server with a class.
     fn update_probe(
         &mut self,
         id: ServerId,
         class: usize,
-        before: IndexedHealth,
-        now: IndexedHealth,
+        previous: IndexedHealth,
+        current: IndexedHealth,
     ) {
-        if before.next_probe_at == now.next_probe_at {
+        if previous.next_probe_at == current.next_probe_at {
             return;
         }
-        if let Some(at) = before.next_probe_at {
-            self.probes[class].remove(&(at, id));
+        if let Some(probe_at) = previous.next_probe_at {
+            self.probes[class].remove(&(probe_at, id));
         }
-        if let Some(at) = now.next_probe_at {
-            self.probes[class].insert((at, id));
+        if let Some(probe_at) = current.next_probe_at {
+            self.probes[class].insert((probe_at, id));
         }
     }
 
-    /// Moves the newest observation of a server.
+    /// Updates the entry for the newest observation of a server with a class.
     fn update_observation(
         &mut self,
         id: ServerId,
         class: usize,
-        before: IndexedHealth,
-        now: IndexedHealth,
+        previous: IndexedHealth,
+        current: IndexedHealth,
     ) {
-        if before.observed_at == now.observed_at {
+        if previous.observed_at == current.observed_at {
             return;
         }
         self.observations
-            .remove(&(before.observed_at, id, ClassId(class)));
-        if now.observed_at > Timestamp::EPOCH {
+            .remove(&(previous.observed_at, id, ClassId(class)));
+        if current.observed_at > Timestamp::EPOCH {
             self.observations
-                .insert((now.observed_at, id, ClassId(class)));
+                .insert((current.observed_at, id, ClassId(class)));
         }
     }
 
-    /// Ejected servers whose probe with a class is due, the longest due first.
+    /// Iterates over the ejected servers whose next probe with a class is due, longest due first.
     pub(crate) fn probes_due(
         &self,
         class: ClassId,
@@ -95,17 +95,17 @@
         due.map(|(_, server)| *server)
     }
 
-    /// How many are ejected for a class.
+    /// Returns the number of servers that are ejected for a class.
     pub(crate) fn ejected_count(&self, class: ClassId) -> usize {
         self.probes[class.0].len()
     }
 
-    /// Sum of the failure rates with a class.
+    /// Returns the sum of the servers' failure rates with a class.
     pub(crate) fn failure_rate_sum(&self, class: ClassId) -> f64 {
-        self.failure_rates[class.0] as f64 / FAILURE_RATE_SUM_STEPS
+        self.failure_rate_sums[class.0] as f64 / FAILURE_RATE_SCALE
     }
 
-    /// Observations made after some time, the newest first.
+    /// Iterates over the observations made after `start`, newest first.
     pub(crate) fn observed_after(
         &self,
         start: Timestamp,
@@ -118,7 +118,7 @@
     }
 }
 
-/// A server that is being changed; the index is updated when the guard is dropped.
+/// Write access to a server. The index is updated when the guard is dropped.
 pub(crate) struct ServerGuard<'a> {
     pub(super) server: &'a mut Server,
     pub(super) index: &'a mut ServerIndex,
--- a/crates/gateway-core/src/state/servers/server_table/candidates.rs
+++ b/crates/gateway-core/src/state/servers/server_table/candidates.rs
@@ -1,25 +1,25 @@
-//! Finding candidates: some servers of many, without a scan of all.
+//! Search for candidate servers without a scan of all servers.
 
 use super::ServerTable;
 use crate::state::servers::server::Server;
 use crate::time::Timestamp;
 use crate::types::{CellId, ClassId, ServerId};
 
-/// Which servers [`ServerTable::find_candidates`] looks at, in this order: those of a cell, if one
-/// is named; those of a subset of the ring, from a position in it on and wrapping round; those
-/// beyond the subset.
+/// The servers that [`ServerTable::find_candidates`] visits, in this order: the servers of `cell`,
+/// if given; the servers of a subset of the ring, starting within the subset and wrapping around at
+/// its end; the servers after the subset.
 pub(crate) struct CandidateQuery {
-    /// Cell whose servers are looked at first.
+    /// Cell whose servers are visited first.
     pub(crate) cell: Option<CellId>,
-    /// Where the subset begins on the ring.
+    /// Position on the ring at which the subset begins.
     pub(crate) subset_position: usize,
     /// Number of servers in the subset.
     pub(crate) subset_size: usize,
-    /// Position in the subset to begin at.
+    /// Offset within the subset at which the visit begins.
     pub(crate) subset_start: usize,
-    /// Maximum number of servers to look at.
+    /// Maximum number of servers to visit; at most half of them for the cell.
     pub(crate) max_visited: usize,
-    /// Maximum number of servers to find, apart from those to be probed.
+    /// Maximum number of servers to find, not counting ejected servers to be probed.
     pub(crate) max_found: usize,
 }
 
@@ -27,12 +27,12 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Candidate {
     pub(crate) server: ServerId,
-    /// Whether the table tracks it already.
+    /// Whether the table tracks the server already.
     pub(crate) is_tracked: bool,
 }
 
 impl ServerTable {
-    /// The server as a candidate, if a condition holds for it.
+    /// Returns the server as a candidate if it is in the table and meets a condition.
     fn candidate_if(&self, id: ServerId, condition: impl Fn(&Server) -> bool) -> Option<Candidate> {
         if let Some(server) = self.get(&id) {
             return condition(server).then_some(Candidate {
@@ -47,8 +47,8 @@
         })
     }
 
-    /// Servers for which a condition holds, in the order of their ids: for each class the ejected
-    /// one whose probe is longest due, and those that the query finds.
+    /// Returns servers that meet a condition, ordered by id: for each class the ejected server
+    /// whose probe has been due longest, and the servers that the query finds.
     pub(crate) fn find_candidates(
         &self,
         now: Timestamp,
@@ -72,7 +72,7 @@
         found
     }
 
-    /// The servers that a query looks at, in order.
+    /// Iterates over the servers that a query visits, in order.
     fn query_order<'a>(&'a self, query: &'a CandidateQuery) -> impl Iterator<Item = ServerId> + 'a {
         let position = query.subset_position;
         let in_cell = query.cell.into_iter().flat_map(|cell| self.in_cell(cell));
--- a/crates/gateway-core/src/state/servers/server_table/eviction.rs
+++ b/crates/gateway-core/src/state/servers/server_table/eviction.rs
@@ -1,4 +1,5 @@
-//! Eviction of servers that are gone or idle, or memory would grow with every server ever listed.
+//! Eviction of servers that are gone or idle. Without it, memory would grow with every server ever
+//! listed.
 
 use super::ServerTable;
 use crate::message::short_id;
@@ -7,8 +8,8 @@
 use std::time::Duration;
 
 impl ServerTable {
-    /// Evicts servers that are gone and have no attempt in flight. Where not all servers are
-    /// tracked, stops tracking those that are idle: not used for `max_idle`, not ejected, and
+    /// Evicts servers that are gone and have no attempt in flight. If there are too many servers to
+    /// track all, also stops tracking idle servers: not used for `max_idle`, not ejected, and
     /// without attempts in flight.
     pub(crate) fn evict_idle(&mut self, now: Timestamp, max_idle: Duration) {
         let scans_all = self.scans_all();
@@ -33,7 +34,8 @@
         }
     }
 
-    /// Drops the health of a server, and retains its endpoint if it is ready.
+    /// Drops the health of a server; retains only its endpoint if it is ready, and nothing
+    /// otherwise.
     fn stop_tracking(&mut self, id: ServerId) {
         let Some(mut server) = self.tracked.remove(&id) else {
             return;
--- a/crates/gateway-core/src/state/servers/server_table/health_summary.rs
+++ b/crates/gateway-core/src/state/servers/server_table/health_summary.rs
@@ -7,7 +7,8 @@
 use crate::types::{ClassId, ServerId};
 
 impl ServerTable {
-    /// The ejected servers whose probe with a class is due, the longest due first.
+    /// Iterates over the ready servers that are ejected for a class and whose next probe is due,
+    /// longest due first.
     pub(crate) fn probes_due(
         &self,
         class: ClassId,
@@ -16,7 +17,7 @@
         self.index.probes_due(class, now)
     }
 
-    /// Observations of the ready servers made after some time, the newest first.
+    /// Iterates over the observations of ready servers made after `start`, newest first.
     pub(crate) fn observed_after(
         &self,
         start: Timestamp,
@@ -24,23 +25,24 @@
         self.index.observed_after(start)
     }
 
-    /// How many servers are ready.
+    /// Returns the number of ready servers.
     pub(crate) fn ready_count(&self) -> usize {
         self.ring.len()
     }
 
-    /// How many of the ready servers are ejected for a class.
+    /// Returns the number of ready servers that are ejected for a class.
     pub(crate) fn ejected_count(&self, class: ClassId) -> usize {
         self.index.ejected_count(class)
     }
 
-    /// How many of the ready servers are not ejected for a class.
+    /// Returns the number of ready servers that are not ejected for a class.
     pub(crate) fn healthy_count(&self, class: ClassId) -> usize {
         self.ready_count().saturating_sub(self.ejected_count(class))
     }
 
-    /// Sum of the ready servers' failure rates with a class. Where all servers are scanned they are
-    /// added in the order of their ids, else the sum is that of the index.
+    /// Returns the sum of the ready servers' failure rates with a class. If all servers may be
+    /// scanned, the rates are added in order of server id; otherwise the sum is taken from the
+    /// index.
     pub(crate) fn failure_rate_sum(&self, class: ClassId) -> f64 {
         if self.scans_all() {
             return self
@@ -51,12 +53,12 @@
         self.index.failure_rate_sum(class)
     }
 
-    /// Mean of the ready servers' failure rates with a class.
+    /// Returns the mean of the ready servers' failure rates with a class.
     pub(crate) fn mean_failure_rate(&self, class: ClassId) -> f64 {
         self.failure_rate_sum(class) / count_as_f64(self.ready_count().max(1))
     }
 
-    /// How many of the ready servers are warm by now.
+    /// Returns the number of ready servers that are warm by now.
     pub(crate) fn warm_count(&mut self, now: Timestamp) -> usize {
         let period = self.warm_up_period;
         while self
@@ -69,7 +71,7 @@
         self.ring.len() - self.warming_up.len()
     }
 
-    /// A value of each ready server that has one, in ascending order.
+    /// Returns the values that `value` yields for the tracked ready servers, in ascending order.
     pub(crate) fn sorted_values(&self, value: impl Fn(&Server) -> Option<f64>) -> Vec<f64> {
         let mut values: Vec<f64> = self.iter_ready().filter_map(value).collect();
         values.sort_by(f64::total_cmp);
--- a/crates/gateway-core/src/state/servers/server_table/mod.rs
+++ b/crates/gateway-core/src/state/servers/server_table/mod.rs
@@ -1,7 +1,7 @@
 //! The server table: all servers on the endpoint list.
 //!
-//! A server that this gateway uses is tracked, with its health. Where too many are ready to track
-//! all, only the endpoint of each other one is retained.
+//! Each server that this gateway uses is tracked, with its health. If too many servers are ready to
+//! track all of them, the table retains only the endpoint of each other ready server.
 
 mod candidates;
 mod eviction;
@@ -30,37 +30,38 @@
 pub(crate) struct ServerTable {
     /// Number of request classes.
     classes: usize,
-    /// Time that a server takes to warm up.
+    /// Time that a server takes to warm up, from its start.
     warm_up_period: Duration,
-    /// Number of ready servers up to which all are tracked.
+    /// Maximum number of ready servers for which all servers are tracked.
     full_scan_limit: usize,
-    /// The tracked servers; all, as long as at most `full_scan_limit` are ready.
+    /// The tracked servers: all servers, while at most `full_scan_limit` are ready.
     tracked: BTreeMap<ServerId, Server>,
-    /// The endpoints of the other ready servers.
+    /// The endpoints of ready servers that are not tracked.
     untracked: BTreeMap<ServerId, Endpoint>,
-    /// The ready servers in the order of their hashes.
+    /// The ready servers, ordered by hash.
     ring: HashRing,
-    /// The ready servers by cell.
+    /// The ready servers, ordered by cell.
     cells: BTreeSet<(CellId, ServerId)>,
-    /// The ready servers that are warming up, by the time of their start.
+    /// The ready servers that are warming up, ordered by the time of their start.
     warming_up: BTreeSet<(Timestamp, ServerId)>,
+    /// Server ids by the short ids that stand for them in health reports.
     by_short_id: HashMap<ShortServerId, ServerId>,
     index: ServerIndex,
-    /// Number of servers looked at since the start.
+    /// Number of servers visited since the gateway started.
     visited: Cell<u64>,
 }
 
-/// A server that warms up, to be granted slow-start credit.
+/// A server that is warming up, and its slow-start credit.
 pub(crate) struct WarmingServer<'a> {
-    /// Minimum fraction of its capacity that the server has by now.
+    /// Minimum fraction of its capacity that the server has reached, less than 1.
     pub(crate) warm_up_fraction: f64,
-    /// Its slow-start credit.
+    /// The server's slow-start credit, for changes.
     pub(crate) credit: &'a mut SlowStartCredit,
 }
 
 impl ServerTable {
-    /// An empty table. All servers are tracked, and may be scanned, as long as at most
-    /// `full_scan_limit` are ready.
+    /// Creates an empty table. While at most `full_scan_limit` servers are ready, all servers are
+    /// tracked and may be scanned.
     pub(crate) fn new(settings: &Settings, full_scan_limit: usize) -> Self {
         let classes = settings.classes.len();
         ServerTable {
@@ -72,43 +73,45 @@
         }
     }
 
-    /// Whether so few are ready that all are tracked and may be scanned.
+    /// Returns whether so few servers are ready that all servers are tracked and may be scanned.
     pub(crate) fn scans_all(&self) -> bool {
         self.ring.len() <= self.full_scan_limit
     }
 
-    /// How many servers were looked at since the start: work that tests can count.
+    /// Returns the number of servers visited since the gateway started, a measure of work for
+    /// tests.
     pub(crate) fn visited(&self) -> u64 {
         self.visited.get()
     }
 
-    /// Counts that a server was looked at.
+    /// Counts a visit of a server.
     fn visit(&self) {
         self.visited.set(self.visited.get() + 1);
     }
 
-    /// How many servers and short ids are in memory.
+    /// Returns the number of servers and short ids in memory.
     pub(crate) fn tracked_entries(&self) -> usize {
         self.tracked.len() + self.untracked.len() + self.by_short_id.len()
     }
 
-    /// The server that health reports call by this short id.
+    /// Returns the server that a short id stands for in health reports.
     pub(crate) fn by_short_id(&self, short: ShortServerId) -> Option<ServerId> {
         self.by_short_id.get(&short).copied()
     }
 
-    /// A tracked server.
+    /// Returns a server if it is tracked.
     pub(crate) fn get(&self, id: &ServerId) -> Option<&Server> {
         self.visit();
         self.tracked.get(id)
     }
 
-    /// Tracks a server from now on.
+    /// Tracks a server from now on, if it is in the table.
     pub(crate) fn track(&mut self, now: Timestamp, id: &ServerId) {
         self.get_or_track(now, id);
     }
 
-    /// A server to be changed. It is tracked from now on, and counts as used now.
+    /// Returns a server for changes; `None` if it is not in the table. The server is tracked from
+    /// now on, and counts as used now.
     pub(crate) fn get_or_track(
         &mut self,
         now: Timestamp,
@@ -137,13 +140,12 @@
         }
     }
 
-    /// The tracked servers, in the order of their ids.
+    /// Iterates over the tracked servers, ordered by id.
     pub(crate) fn iter_tracked(&self) -> impl Iterator<Item = &Server> {
         self.tracked.values().inspect(|_| self.visit())
     }
 
-    /// The tracked servers that warm up, in the order of their ids: the fraction of its capacity
-    /// that each has, and its slow-start credit to be changed.
+    /// Iterates over the tracked servers that are warming up, ordered by id.
     pub(crate) fn warming_up_mut<'a>(
         &'a mut self,
         now: Timestamp,
@@ -160,7 +162,7 @@
             })
     }
 
-    /// The tracked servers that are ready.
+    /// Iterates over the tracked servers that are ready, ordered by id.
     pub(crate) fn iter_ready(&self) -> impl Iterator<Item = &Server> {
         self.iter_tracked().filter(|server| server.is_ready())
     }
--- a/crates/gateway-core/src/state/servers/server_table/reports.rs
+++ b/crates/gateway-core/src/state/servers/server_table/reports.rs
@@ -1,4 +1,4 @@
-//! Health reports on the servers that were observed recently.
+//! Health reports on recently observed servers.
 
 use super::ServerTable;
 use crate::message::{short_id, HealthReport};
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl ServerTable {
-    /// Reports on ready servers from observations younger than `max_age`: the newest `max_reports`
-    /// of them, in the order of the servers.
+    /// Returns health reports on the newest observations of ready servers: at most `max_reports`,
+    /// none as old as `max_age`, ordered by server id.
     pub(crate) fn recent_reports(
         &self,
         now: Timestamp,
@@ -24,7 +24,7 @@
             .collect()
     }
 
-    /// The report on a server with a class.
+    /// Returns the health report on a server with a class.
     fn report(&self, now: Timestamp, id: ServerId, class: ClassId) -> Option<HealthReport> {
         let server = self.get(&id)?;
         let health = server.health.get(class.0)?;
--- a/crates/gateway-core/src/state/servers/server_table/ring.rs
+++ b/crates/gateway-core/src/state/servers/server_table/ring.rs
@@ -1,22 +1,22 @@
-//! Orders of the ready servers: on the hash ring, and by cell.
+//! Access to the ready servers by hash ring and by cell.
 
 use super::ServerTable;
 use crate::state::servers::server::Server;
 use crate::types::{CellId, GatewayId, ServerId};
 
 impl ServerTable {
-    /// A gateway's position on the ring of ready servers.
+    /// Returns a gateway's position on the ring of ready servers.
     pub(crate) fn ring_position(&self, gateway: GatewayId) -> usize {
         self.ring.position_of(gateway)
     }
 
-    /// The ready servers in ring order from a position on, wrapping round.
+    /// Iterates over the ready servers in ring order from `position`, wrapping around.
     pub(crate) fn ring_from(&self, position: usize) -> impl Iterator<Item = ServerId> + '_ {
         self.ring.iter_from(position)
     }
 
-    /// The first `count` of some servers, which are in the order of their ids, on the ring from a
-    /// position on.
+    /// Returns the `count` servers of `among` that come first on the ring from `position`. `among`
+    /// must be ordered by id.
     pub(crate) fn first_on_ring<'s>(
         &self,
         position: usize,
@@ -31,7 +31,7 @@
             .collect()
     }
 
-    /// The ready servers of a cell.
+    /// Iterates over the ready servers of a cell, ordered by id.
     pub(crate) fn in_cell(&self, cell: CellId) -> impl Iterator<Item = ServerId> + '_ {
         let members = self
             .cells
--- a/crates/gateway-core/src/state/servers/server_table/update.rs
+++ b/crates/gateway-core/src/state/servers/server_table/update.rs
@@ -1,4 +1,4 @@
-//! Updates of the server table by endpoint lists.
+//! Application of endpoint updates to the server table.
 
 use super::ServerTable;
 use crate::message::short_id;
@@ -8,14 +8,14 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, HashMap};
 
-/// Whether an endpoint takes new requests.
+/// Returns whether an endpoint is marked as ready for new requests.
 fn is_ready(endpoint: &Endpoint) -> bool {
     endpoint.state == EndpointState::Ready
 }
 
 impl ServerTable {
-    /// Applies an endpoint list, or changes to it. What was known of a server that has restarted is
-    /// dropped.
+    /// Applies a snapshot of the endpoint list, or a delta to it. All observations of a server that
+    /// has restarted are dropped.
     pub(crate) fn apply_update(
         &mut self,
         now: Timestamp,
@@ -38,15 +38,15 @@
         }
     }
 
-    /// Applies the change of one endpoint.
+    /// Applies the change of one endpoint in a delta.
     fn apply_change(&mut self, now: Timestamp, endpoint: Endpoint) {
         let id = endpoint.server;
-        let known = self
+        let previous = self
             .get(&id)
             .filter(|server| server.is_ready())
             .map(|server| server.endpoint);
-        let track = self.scans_all();
-        let after = match self.update_tracked(now, endpoint, track) {
+        let should_track = self.scans_all();
+        let after = match self.update_tracked(now, endpoint, should_track) {
             Some(server) => server.is_ready().then_some(server.endpoint),
             None => Some(endpoint).filter(is_ready),
         };
@@ -60,20 +60,21 @@
         } else if !is_tracked {
             self.remove_short_id(id);
         }
-        self.reindex(now, known.or(untracked), after);
+        self.reindex(now, previous.or(untracked), after);
     }
 
-    /// Applies the endpoint of a server that is tracked, or is to be. `None` if it is not.
+    /// Applies an endpoint to its tracked server and returns the server. If the server is not
+    /// tracked, starts to track it if `should_track` is set, and returns `None` otherwise.
     fn update_tracked(
         &mut self,
         now: Timestamp,
         endpoint: Endpoint,
-        track: bool,
+        should_track: bool,
     ) -> Option<&Server> {
         let fresh = || Server::unknown(endpoint, now, self.classes);
         let server = match self.tracked.entry(endpoint.server) {
             Entry::Occupied(known) => known.into_mut(),
-            Entry::Vacant(vacant) if track => vacant.insert(fresh()),
+            Entry::Vacant(vacant) if should_track => vacant.insert(fresh()),
             Entry::Vacant(_) => return None,
         };
         if is_ready(&endpoint) {
@@ -83,7 +84,8 @@
             }
             server.endpoint = endpoint;
         } else {
-            // Its zone and cell stay: requests that it may have executed are bound to them.
+            // The server keeps its zone and cell: requests that it may have executed are bound to
+            // them.
             server.endpoint.state = endpoint.state;
         }
         let ready = server.is_ready();
@@ -91,8 +93,8 @@
         Some(server)
     }
 
-    /// Moves a server to where its endpoint belongs in the indexes, or removes it if it is no
-    /// longer ready.
+    /// Updates the ring, cells and warm-ups after a server's ready endpoint changed from `before`
+    /// to `after`; `None` stands for a server that is not ready.
     fn reindex(&mut self, now: Timestamp, before: Option<Endpoint>, after: Option<Endpoint>) {
         if before == after {
             return;
@@ -107,25 +109,20 @@
         if let Some(endpoint) = after {
             self.ring.insert(endpoint.server);
             self.cells.insert((endpoint.cell, endpoint.server));
-            self.warming_up
-                .extend(self.warming_up_since(now, &endpoint));
+            self.warming_up.extend(self.warm_up_entry(now, &endpoint));
         }
     }
 
-    /// When a server started, if it is still warming up.
-    fn warming_up_since(
-        &self,
-        now: Timestamp,
-        endpoint: &Endpoint,
-    ) -> Option<(Timestamp, ServerId)> {
+    /// Returns a server's entry in `warming_up`; `None` if the server is not warming up.
+    fn warm_up_entry(&self, now: Timestamp, endpoint: &Endpoint) -> Option<(Timestamp, ServerId)> {
         let started_at = endpoint.started_at?;
-        let warms_up = started_at + self.warm_up_period > now;
-        warms_up.then_some((started_at, endpoint.server))
+        let is_warming_up = started_at + self.warm_up_period > now;
+        is_warming_up.then_some((started_at, endpoint.server))
     }
 
-    /// Replaces the endpoint list.
+    /// Applies a snapshot, which replaces the endpoint list.
     fn apply_snapshot(&mut self, now: Timestamp, endpoints: Vec<Endpoint>) {
-        let track = self.will_scan_all(&endpoints);
+        let should_track = self.will_scan_all(&endpoints);
         let mut before = std::mem::take(&mut self.untracked);
         if !before.is_empty() {
             self.by_short_id = self.tracked.keys().map(|id| (short_id(*id), *id)).collect();
@@ -140,10 +137,10 @@
                 self.by_short_id
                     .insert(short_id(endpoint.server), endpoint.server);
             }
-            if track {
-                self.track_known(now, &mut before, endpoint.server);
+            if should_track {
+                self.track_untracked(now, &mut before, endpoint.server);
             }
-            if self.update_tracked(now, endpoint, track).is_none() {
+            if self.update_tracked(now, endpoint, should_track).is_none() {
                 untracked.push((endpoint.server, endpoint));
             }
         }
@@ -154,8 +151,9 @@
         self.rebuild_indexes(now);
     }
 
-    /// Whether a snapshot leaves so few servers ready that all are scanned. The last entry of a
-    /// server counts: a list that names one twice may have fewer ready servers than entries.
+    /// Returns whether a snapshot leaves so few servers ready that all may be scanned. The last
+    /// entry of a server counts: a list that names a server twice may have fewer ready servers than
+    /// entries.
     fn will_scan_all(&self, endpoints: &[Endpoint]) -> bool {
         if endpoints.len() <= self.full_scan_limit {
             return true;
@@ -167,9 +165,9 @@
         last_entries.values().filter(|ready| **ready).count() <= self.full_scan_limit
     }
 
-    /// Tracks a server that was known and not tracked: its zone and cell stay if it is no longer
-    /// ready.
-    fn track_known(
+    /// Tracks a server of which only the endpoint was retained before a snapshot, so that it keeps
+    /// its zone and cell if it is no longer ready.
+    fn track_untracked(
         &mut self,
         now: Timestamp,
         before: &mut BTreeMap<ServerId, Endpoint>,
@@ -185,9 +183,9 @@
         }
     }
 
-    /// Builds all indexes anew from the servers that are ready.
+    /// Rebuilds all indexes from the servers that are ready.
     fn rebuild_indexes(&mut self, now: Timestamp) {
-        // Servers that are no longer listed are still in the index.
+        // This also removes servers that are no longer listed from the index.
         for server in self.tracked.values_mut() {
             let ready = server.is_ready();
             self.index.update(server, ready);
@@ -202,7 +200,7 @@
             .map(|endpoint| (endpoint.cell, endpoint.server))
             .collect();
         self.warming_up = ready()
-            .filter_map(|endpoint| self.warming_up_since(now, endpoint))
+            .filter_map(|endpoint| self.warm_up_entry(now, endpoint))
             .collect();
         self.ring = ready().map(|endpoint| endpoint.server).collect();
     }
--- a/crates/gateway-core/src/state/servers/slow_start_credit.rs
+++ b/crates/gateway-core/src/state/servers/slow_start_credit.rs
@@ -3,13 +3,13 @@
 /// Credit that one attempt takes.
 const CREDIT_PER_ATTEMPT: f64 = 1.0;
 
-/// Attempts that may be sent to a server while it warms up. Negative while the server was sent
-/// attempts as a warm one.
+/// The number of attempts that may be sent to a server while it warms up. Negative if attempts were
+/// sent while the server counted as warm, when credit is not required.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SlowStartCredit(f64);
 
 impl SlowStartCredit {
-    /// Whether there is credit for one more attempt.
+    /// Returns whether there is credit for one more attempt.
     pub(super) fn covers_attempt(self) -> bool {
         self.0 >= CREDIT_PER_ATTEMPT
     }
@@ -19,7 +19,7 @@
         self.0 -= CREDIT_PER_ATTEMPT;
     }
 
-    /// Adds credit to the fraction that is retained of unused credit, up to a maximum.
+    /// Retains a fraction of the unused credit and adds `gained`, up to `maximum`.
     pub(crate) fn add(&mut self, gained: f64, retained_fraction: f64, maximum: f64) {
         let retained = self.0.max(0.0) * retained_fraction;
         self.0 = (retained + gained).min(maximum);
--- a/crates/gateway-core/tests/unit/fleet_estimates.rs
+++ b/crates/gateway-core/tests/unit/fleet_estimates.rs
@@ -1,14 +1,14 @@
-//! Estimates of the fleet: latency ratios by class, reachability by zone.
+//! Fleet estimates: latency ratios by class, and reachability by zone.
 
 use super::*;
 
 #[test]
-fn the_worst_latency_ratio_leaves_out_the_lowest_class() {
+fn worst_latency_ratio_excludes_lowest_class_unless_it_is_only_class() {
     let mut fleet = FleetEstimates::new(3, 1.0);
     assert_eq!(
         fleet.worst_latency_ratio(ClassId(0)),
         None,
-        "nothing is known"
+        "all ratios are unknown"
     );
     fleet.latency_ratios = vec![Some(9.0), Some(2.0), None];
     assert_eq!(fleet.worst_latency_ratio(ClassId(0)), Some(2.0));
@@ -16,12 +16,12 @@
     assert_eq!(
         fleet.worst_latency_ratio(ClassId(0)),
         Some(9.0),
-        "an only class counts"
+        "the only class is included"
     );
 }
 
 #[test]
-fn zones_are_observed_apart() {
+fn unreachable_fraction_is_estimated_per_zone() {
     let mut fleet = FleetEstimates::new(1, 1.0);
     fleet.observe_zone(ZoneId(1), true, 0.5);
     assert_eq!(
--- a/crates/gateway-core/tests/unit/hash_ring.rs
+++ b/crates/gateway-core/tests/unit/hash_ring.rs
@@ -1,8 +1,9 @@
-//! How gateways choose their subsets of servers on the ring.
+//! The subsets of servers that gateways select on the hash ring.
 
 use super::*;
 use std::collections::BTreeMap;
 
+/// Returns a ring of servers with the given numbers; their ids are not consecutive.
 fn ring(servers: std::ops::Range<u64>) -> HashRing {
     servers.map(|number| ServerId(number * 7919)).collect()
 }
@@ -13,7 +14,7 @@
 }
 
 #[test]
-fn all_gateways_and_those_of_one_customer_use_the_servers_evenly() {
+fn subsets_of_all_gateways_or_of_one_customer_cover_servers_evenly() {
     for gateways in [0..100, 40..53] {
         let mut uses: BTreeMap<ServerId, u32> = BTreeMap::new();
         let ring = ring(0..60);
@@ -22,18 +23,18 @@
                 *uses.entry(server).or_default() += 1;
             }
         }
-        let even_share = gateways.len() as f64 * 12.0 / 60.0;
+        let mean_uses = gateways.len() as f64 * 12.0 / 60.0;
         let most = uses.values().max().copied().map_or(0.0, f64::from);
         assert!(
-            uses.len() >= 58 && most <= even_share * 1.2 + 1.5,
-            "{gateways:?}: {} used, {most}",
+            uses.len() >= 58 && most <= mean_uses * 1.2 + 1.5,
+            "{gateways:?}: {} servers used, {most} times at most",
             uses.len()
         );
     }
 }
 
 #[test]
-fn a_server_that_is_removed_changes_little() {
+fn removing_server_changes_subsets_by_few_servers() {
     let (before, after) = (ring(0..60), ring(1..60));
     for gateway in 0..100 {
         let old: Vec<_> = subset(&before, gateway, 12).collect();
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn an_empty_ring_has_no_servers_and_a_subset_is_no_larger_than_the_ring() {
+fn subset_is_no_larger_than_ring() {
     assert_eq!(subset(&ring(0..0), 3, usize::MAX).count(), 0);
     assert_eq!(subset(&ring(0..3), 3, usize::MAX).count(), 3);
 }
--- a/crates/gateway-core/tests/unit/ranked_set.rs
+++ b/crates/gateway-core/tests/unit/ranked_set.rs
@@ -1,4 +1,4 @@
-//! The ranked set against a sorted set.
+//! Comparison of the ranked set with a sorted set of the standard library.
 
 use super::*;
 use proptest::prelude::*;
@@ -7,15 +7,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Long runs are inserted and removed, so that chunks are split and emptied.
+    /// Inserts and removes long runs of items, so that chunks are split and emptied.
     #[test]
-    fn it_holds_and_ranks_the_same_items_as_a_sorted_set(
-        first in proptest::collection::vec(0u32..9_000, 0..3_000),
+    fn agrees_with_btree_set_on_items_and_ranks(
+        initial in proptest::collection::vec(0u32..9_000, 0..3_000),
         runs in proptest::collection::vec((any::<bool>(), 0u32..9_000, 0u32..4_000), 0..8),
         ranks in proptest::collection::vec(0usize..9_000, 4),
     ) {
-        let mut sorted: BTreeSet<u32> = first.iter().copied().collect();
-        let mut ranked: RankedSet<u32> = first.into_iter().collect();
+        let mut sorted: BTreeSet<u32> = initial.iter().copied().collect();
+        let mut ranked: RankedSet<u32> = initial.into_iter().collect();
         for (inserts, start, length) in runs {
             for item in start..start + length {
                 if inserts {
--- a/crates/gateway-core/tests/unit/server.rs
+++ b/crates/gateway-core/tests/unit/server.rs
@@ -1,4 +1,4 @@
-//! What is known of one server, and how it decays.
+//! The state of one server: latency decay, connect backoff and warm-up.
 
 use super::*;
 use crate::types::ServerId;
@@ -7,6 +7,7 @@
     Timestamp::from_micros(micros)
 }
 
+/// Returns an unknown server that started at 1 ms.
 fn server() -> Server {
     let endpoint = Endpoint {
         server: ServerId(1),
@@ -17,12 +18,12 @@
 }
 
 #[test]
-fn the_latency_decays_halfway_to_that_of_the_fleet_in_a_half_life() {
+fn latency_moves_halfway_to_that_of_fleet_in_half_life() {
     let mut server = server();
     assert_eq!(
         server.decayed_latency_us(at(0), 20.0, 100.0),
         None,
-        "unknown"
+        "the latency is unknown"
     );
     server.observe_latency(at(1000), 60.0, 0.5, 20.0);
     assert_eq!(server.observed_latency_us(), Some(40.0));
@@ -30,20 +31,20 @@
 }
 
 #[test]
-fn the_connect_backoff_doubles_up_to_its_limit_and_ends_with_a_connection() {
+fn connect_backoff_doubles_up_to_limit_and_resets_on_connect() {
     let backoff = ConnectBackoff {
         initial: Duration::from_micros(10),
         max_doublings: 2,
     };
     let mut server = server();
-    let until = [10, 20, 40, 40].map(|_| {
+    let backoffs_us = [10, 20, 40, 40].map(|_| {
         server.observe_connect(at(1000), true, backoff);
         server
             .connect_backoff_until
             .duration_since(at(1000))
             .as_micros()
     });
-    assert_eq!(until, [10, 20, 40, 40]);
+    assert_eq!(backoffs_us, [10, 20, 40, 40]);
     server.observe_connect(at(1000), false, backoff);
     assert_eq!(server.connect_backoff_until, at(0));
     server.observe_connect(at(1000), true, backoff);
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn its_capacity_grows_from_its_start_over_the_warm_up() {
+fn capacity_grows_from_start_over_warm_up_period() {
     let rules = Rules {
         warm_up_from: 0.25,
         warm_up_period: Duration::from_micros(100),
--- a/crates/gateway-core/tests/unit/server_table.rs
+++ b/crates/gateway-core/tests/unit/server_table.rs
@@ -1,5 +1,5 @@
-//! The server table against a reference model that retains every server and scans all of them for
-//! each sum.
+//! Comparison of the server table with a reference model that retains every server and scans all
+//! servers for each sum.
 
 use super::*;
 use crate::settings::{Class, EndpointDiscovery, Idempotency, Permissions, Rules};
@@ -15,12 +15,12 @@
 const CLASSES: usize = 2;
 const MAX_IDLE: Duration = Duration::from_micros(50);
 const WARM_UP: Duration = Duration::from_micros(40);
-/// Time for which observations are looked up.
+/// Maximum age of the observations that are compared.
 const OBSERVED_WITHIN: Duration = Duration::from_micros(30);
 
 type CheckResult = Result<(), TestCaseError>;
 
-/// What may happen to a table.
+/// An operation on the table, or time passing.
 #[derive(Clone, Debug)]
 enum Step {
     Update(EndpointUpdate, Vec<Endpoint>),
@@ -92,6 +92,7 @@
     ]
 }
 
+/// The compared part of a server's health with one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct ReferenceHealth {
     failure_rate: f64,
@@ -144,7 +145,7 @@
     }
 }
 
-/// Every server that was ever listed and is not evicted.
+/// Reference model of the table: every server that was ever listed and is not evicted.
 #[derive(Default)]
 struct ReferenceTable {
     full_scan_limit: usize,
@@ -160,7 +161,7 @@
         self.ready().map(|server| server.endpoint.server).collect()
     }
 
-    /// Health of the ready servers with a class.
+    /// Iterates over the health of the ready servers with a class.
     fn health_of(&self, class: usize) -> impl Iterator<Item = (ServerId, ReferenceHealth)> + '_ {
         self.ready()
             .map(move |server| (server.endpoint.server, server.health[class]))
@@ -173,11 +174,11 @@
             }
         }
         for endpoint in endpoints {
-            self.list(now, *endpoint);
+            self.apply_endpoint(now, *endpoint);
         }
     }
 
-    fn list(&mut self, now: Timestamp, endpoint: Endpoint) {
+    fn apply_endpoint(&mut self, now: Timestamp, endpoint: Endpoint) {
         let fresh = ReferenceServer::unknown(endpoint, now);
         let server = self
             .servers
@@ -244,7 +245,7 @@
     }
 }
 
-/// The table, the reference, and the time.
+/// The table and its reference model, to which the same steps are applied, and the current time.
 struct Comparison {
     table: ServerTable,
     reference: ReferenceTable,
@@ -300,9 +301,9 @@
                 self.table.evict_idle(now, MAX_IDLE);
                 self.reference.evict_idle(now);
             }
-            Step::Wait(span) => self.now = self.now + span,
+            Step::Wait(duration) => self.now = self.now + duration,
         }
-        self.forget_unused()
+        self.drop_evicted()
     }
 
     fn observe_health(
@@ -311,7 +312,7 @@
         class: usize,
         observed: ReferenceHealth,
     ) -> CheckResult {
-        // Of one that is not ready and was never used the table knows nothing: it need not.
+        // The table need not retain a server that is not ready and was never used.
         let Some(mut server) = self.table.get_or_track(self.now, id) else {
             return Ok(());
         };
@@ -339,10 +340,10 @@
         }
     }
 
-    /// Of a server that is not ready and was never used the table does not even retain when it
-    /// started: it need not. So it may evict only what has no attempt in flight and no observation;
-    /// the reference then drops it too.
-    fn forget_unused(&mut self) -> CheckResult {
+    /// Removes servers from the reference that the table has evicted. The table need not retain a
+    /// server that is not ready and was never used, not even its start time. Checks that only
+    /// servers without attempts in flight and without observations were evicted.
+    fn drop_evicted(&mut self) -> CheckResult {
         let table = &self.table;
         let is_evicted = |server: &&ReferenceServer| {
             !server.is_ready() && table.get(&server.endpoint.server).is_none()
@@ -447,7 +448,7 @@
         Ok(())
     }
 
-    /// Whatever was observed is retained, with the attempts in flight.
+    /// Checks that the health and attempts in flight of every observed server are retained.
     fn check_retained_health(&self) -> CheckResult {
         for known in self
             .reference
@@ -469,7 +470,7 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn it_agrees_with_a_scan_of_all_servers(
+    fn agrees_with_reference_that_scans_all_servers(
         full_scan_limit in prop_oneof![Just(0usize), Just(4), Just(100)],
         steps in proptest::collection::vec(step(), 1..60),
     ) {
