--- a/crates/gateway-core/src/state/quota/hard_limit_bucket.rs
+++ b/crates/gateway-core/src/state/quota/hard_limit_bucket.rs
@@ -77,7 +77,7 @@
 /// Returns the microseconds in which `missing` units are refilled; 0 if none are missing.
 pub(super) fn refill_time_us(missing: Units, units_per_second: f64) -> f64 {
     if missing > Units::ZERO {
-        missing.seconds_at(units_per_second.max(f64::EPSILON)) * MICROS_PER_SECOND
+        missing.seconds_to_refill(units_per_second.max(f64::EPSILON)) * MICROS_PER_SECOND
     } else {
         0.0
     }
--- a/crates/gateway-core/tests/unit/server.rs
+++ b/crates/gateway-core/tests/unit/server.rs
@@ -53,7 +53,7 @@
 
 #[test]
 fn capacity_grows_from_start_over_warm_up_period() {
-    let rules = Rules {
+    let rules = ServerRules {
         warm_up_from: 0.25,
         warm_up_period: Duration::from_micros(100),
         overload_multiple: 3.0,
