--- a/crates/gateway-core/src/state/quota/progress.rs
+++ b/crates/gateway-core/src/state/quota/progress.rs
@@ -24,11 +24,12 @@
 /// The permission to send a request.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestGrant {
-    /// The gateway that granted it; this gateway, if it used a held lease or decided alone.
+    /// The gateway that granted the permission; this gateway, if it used a held lease or decided
+    /// alone.
     pub(crate) owner: GatewayId,
-    /// Sequence number of the lease request that it was granted for.
+    /// Sequence number of the lease request that the permission was granted for.
     pub(crate) sequence: u16,
-    /// The time up to which it may be used under a hard limit.
+    /// The time up to which the permission may be used under a hard limit.
     pub(crate) expires_at: Timestamp,
 }
 
--- a/crates/gateway-core/src/state/servers/server_table/reports.rs
+++ b/crates/gateway-core/src/state/servers/server_table/reports.rs
@@ -8,7 +8,7 @@
 
 impl ServerTable {
     /// Returns health reports on the newest observations of ready servers: at most `max_reports`,
-    /// none as old as `max_age`, ordered by server id.
+    /// all younger than `max_age`, ordered by server id.
     pub(crate) fn recent_reports(
         &self,
         now: Timestamp,
