--- a/crates/gateway-core/tests/policy.rs
+++ b/crates/gateway-core/tests/policy.rs
@@ -1,7 +1,7 @@
-//! The decisions of the library, by concern. Each module is named after the one of `src/policy`
-//! that it tests, but for `gateway`, which tests all of them together, `quota`, `lease` and
-//! `quota_owner`, which test `quota_sharing`, and `gossip`, which tests the messages between
-//! gateways.
+//! Tests of the policy decisions, grouped by concern. Each module is named after the module of
+//! `src/policy` that it tests, except for `gateway`, which tests all of them together, `quota`,
+//! `lease` and `quota_owner`, which test `quota_sharing`, and `gossip`, which tests the messages
+//! between gateways.
 
 #[path = "policy/admission.rs"]
 mod admission;
--- a/crates/gateway-core/tests/policy/admission.rs
+++ b/crates/gateway-core/tests/policy/admission.rs
@@ -1,11 +1,11 @@
-//! What is rejected, and how that is counted.
+//! Rejections, and how they are counted.
 
 use crate::common::*;
 use gateway_core::*;
 
-/// Counted by reason and plan, so that a bad day can be split by cause.
+/// Rejections are counted by reason and plan, so that operators can tell their causes apart.
 #[test]
-fn rejections_are_counted_by_reason_and_plan() {
+fn counts_rejections_by_reason_and_plan() {
     let mut gateway = GatewayHarness::new(1, settings(0, 2), S);
     for _ in 0..5 {
         gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * S);
--- a/crates/gateway-core/tests/policy/controller_inputs.rs
+++ b/crates/gateway-core/tests/policy/controller_inputs.rs
@@ -2,9 +2,10 @@
 
 use crate::common::*;
 
-/// One request that hangs must not look like many.
+/// A request that hangs counts once as a latency sample. If it counted at every control tick, it
+/// would look like many slow requests, and the gateway would shed others.
 #[test]
-fn a_request_that_hangs_sheds_no_other() {
+fn hanging_request_does_not_shed_others() {
     let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), S, 4);
     gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, 6 * S);
     let mut sent = 0;
@@ -17,5 +18,5 @@
         sent += usize::from(gateway.request_and_complete(class, UNLIMITED, CUSTOMER, 2 * S));
         gateway.advance(100 * MS);
     }
-    assert!(sent >= 52, "{sent} of 55");
+    assert!(sent >= 52, "{sent} of 55 requests were sent");
 }
--- a/crates/gateway-core/tests/policy/deadlines.rs
+++ b/crates/gateway-core/tests/policy/deadlines.rs
@@ -1,10 +1,10 @@
-//! Requests that can't be answered in time, and when their clients are to retry.
+//! Rejections of requests that cannot be answered in time, and the `Retry-After` of rejections.
 
 use crate::common::*;
 use gateway_core::*;
 use std::time::Duration;
 
-/// The `Retry-After` of each rejection, in order.
+/// Returns the `Retry-After` of each rejection, in order.
 fn retry_afters(actions: &[Action]) -> Vec<Option<Micros>> {
     let retry_after = |action: &Action| match action {
         Action::Reject { retry_after, .. } => {
@@ -15,9 +15,10 @@
     actions.iter().filter_map(retry_after).collect()
 }
 
-/// A request is not delayed until its token bucket covers it, but rejected with a `Retry-After`.
+/// A request that its token bucket does not cover is rejected with a `Retry-After` instead of being
+/// delayed.
 #[test]
-fn a_rejection_tells_when_the_token_bucket_will_cover_the_request() {
+fn rejection_states_when_token_bucket_will_cover_request() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 1), S, 8);
     let mut retry_after = |wait: Micros| {
         gateway.now += wait;
@@ -26,28 +27,33 @@
         retry_afters(&gateway.actions).into_iter().flatten().next()
     };
     for _ in 0..4 {
-        assert_eq!(retry_after(0), None, "the burst is sent");
+        assert_eq!(retry_after(0), None, "a request within the burst is sent");
     }
     assert_eq!(
         retry_after(0),
         Some(80 * MS),
-        "a whole unit is missing, but the objective would be over"
+        "a whole unit is missing, so the longest Retry-After applies"
     );
-    let soon = retry_after(950 * MS).expect("still short");
+    let soon = retry_after(950 * MS).expect("the token bucket is still short");
     assert!((49 * MS..51 * MS).contains(&soon), "{soon}");
-    assert_eq!(retry_after(50 * MS), None, "it is covered then");
+    assert_eq!(
+        retry_after(50 * MS),
+        None,
+        "the token bucket covers the request after the Retry-After"
+    );
 }
 
-/// A rejection has a `Retry-After` if the settings allow one, and no longer one than they allow.
+/// A rejection has a `Retry-After` only if the settings allow one, and no longer one than they
+/// allow.
 #[test]
-fn retry_after_keeps_to_the_settings() {
-    for (longest, expected) in [
+fn retry_after_stays_within_configured_maximum() {
+    for (max_retry_after, expected) in [
         (None, None),
         (Some(5 * MS), Some(5 * MS)),
         (Some(10 * S), Some(80 * MS)),
     ] {
         let settings = SettingsBuilder::new(0, 2)
-            .max_retry_after(longest.map(Duration::from_micros))
+            .max_retry_after(max_retry_after.map(Duration::from_micros))
             .build();
         let mut gateway = GatewayHarness::with_servers(1, settings, S, 2);
         gateway.actions.clear();
@@ -57,14 +63,14 @@
         assert_eq!(
             retry_afters(&gateway.actions).last(),
             Some(&expected),
-            "at most {longest:?}"
+            "maximum {max_retry_after:?}"
         );
     }
 }
 
-/// By half of its timeout a client is notified that nothing was sent, and when to retry.
+/// At the half time of a request that was not sent, its client is notified, and told when to retry.
 #[test]
-fn a_request_that_is_unsent_at_half_of_its_timeout_is_rejected() {
+fn rejects_unsent_request_at_half_time() {
     let mut gateway = GatewayHarness::new(1, settings(0, 2), S);
     for (class, timeout) in [
         (IDEMPOTENT, 2 * S),
@@ -88,12 +94,15 @@
 }
 
 #[test]
-fn a_client_with_a_short_timeout_is_rejected_immediately() {
+fn rejects_request_with_short_timeout_immediately() {
     for timeout in [0, 1, 5 * MS, 19 * MS] {
         let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 0);
         let id = gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, timeout);
         let is_rejection =
-            |action: &Action| matches!(action, Action::Reject { id: of, .. } if *of == id);
-        assert!(gateway.actions.iter().any(is_rejection), "{timeout} µs");
+            |action: &Action| matches!(action, Action::Reject { id: found, .. } if *found == id);
+        assert!(
+            gateway.actions.iter().any(is_rejection),
+            "timeout of {timeout} µs"
+        );
     }
 }
--- a/crates/gateway-core/tests/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/tests/policy/fuzzy_controller.rs
@@ -2,54 +2,54 @@
 
 use gateway_core::policy::fuzzy_controller::infer_change;
 
-fn change_of(error: f64, change: f64) -> f64 {
-    infer_change(error, change).change
+fn inferred_change(error: f64, error_change: f64) -> f64 {
+    infer_change(error, error_change).change
 }
 
-fn alpha_of(error: f64, change: f64) -> f64 {
-    infer_change(error, change).alpha
+fn inferred_alpha(error: f64, error_change: f64) -> f64 {
+    infer_change(error, error_change).alpha
 }
 
-/// Levels of an input, from -1 to 1.
+/// Returns evenly spaced levels of an input, from -1 to 1.
 fn input_levels() -> impl Iterator<Item = f64> {
     (-12..=12).map(|step| f64::from(step) / 12.0)
 }
 
 #[test]
-fn change_rules_hold_the_printed_entry_and_the_zones() {
+fn change_follows_published_rule_and_zones() {
     assert!(
-        (change_of(1.0 / 3.0, 2.0 / 3.0) + 1.0).abs() < 1e-9,
-        "(PS, PM) is NL"
+        (inferred_change(1.0 / 3.0, 2.0 / 3.0) + 1.0).abs() < 1e-9,
+        "the published rule: (PS, PM) gives NL"
     );
-    assert!(change_of(0.0, 0.0).abs() < 1e-9);
+    assert!(inferred_change(0.0, 0.0).abs() < 1e-9);
     for error in input_levels() {
-        for change in input_levels() {
-            let here = change_of(error, change);
+        for error_change in input_levels() {
+            let change = inferred_change(error, error_change);
             assert!(
-                (here + change_of(-error, -change)).abs() < 1e-9,
-                "odd at {error} {change}"
+                (change + inferred_change(-error, -error_change)).abs() < 1e-9,
+                "not antisymmetric at error {error}, error change {error_change}"
             );
-            assert!(change_of((error + 1.0 / 3.0).min(1.0), change) <= here + 1e-9);
-            assert!(change_of(error, (change + 1.0 / 3.0).min(1.0)) <= here + 1e-9);
+            assert!(inferred_change((error + 1.0 / 3.0).min(1.0), error_change) <= change + 1e-9);
+            assert!(inferred_change(error, (error_change + 1.0 / 3.0).min(1.0)) <= change + 1e-9);
         }
     }
-    assert_eq!(change_of(9.0, 9.0), change_of(1.0, 1.0));
+    assert_eq!(inferred_change(9.0, 9.0), inferred_change(1.0, 1.0));
 }
 
 #[test]
-fn alpha_is_large_when_leaving_small_when_returning_and_zero_at_rest() {
-    assert!(alpha_of(0.0, 0.0).abs() < 1e-9);
-    assert!(alpha_of(-1.0, -1.0) > 0.9 && alpha_of(-1.0, 1.0) < 0.3);
-    assert!(alpha_of(0.0, -1.0) > 0.9, "a disturbance");
+fn alpha_is_large_for_growing_error_small_for_shrinking_error_and_zero_at_rest() {
+    assert!(inferred_alpha(0.0, 0.0).abs() < 1e-9);
+    assert!(inferred_alpha(-1.0, -1.0) > 0.9 && inferred_alpha(-1.0, 1.0) < 0.3);
+    assert!(inferred_alpha(0.0, -1.0) > 0.9, "a disturbance begins");
     assert!(
-        alpha_of(1.0 / 3.0, -1.0 / 3.0) < 0.2,
-        "positive small, negative small"
+        inferred_alpha(1.0 / 3.0, -1.0 / 3.0) < 0.2,
+        "the error is positive small, its change negative small"
     );
     for error in input_levels() {
-        for change in input_levels() {
-            let alpha = alpha_of(error, change);
+        for error_change in input_levels() {
+            let alpha = inferred_alpha(error, error_change);
             assert!((0.0..=1.0).contains(&alpha));
-            assert!((alpha - alpha_of(-error, -change)).abs() < 1e-9);
+            assert!((alpha - inferred_alpha(-error, -error_change)).abs() < 1e-9);
         }
     }
 }
--- a/crates/gateway-core/tests/policy/gateway.rs
+++ b/crates/gateway-core/tests/policy/gateway.rs
@@ -1,11 +1,11 @@
-//! The gateway as a whole: its rules on arbitrary events, determinism, memory, settings.
+//! The gateway as a whole: its rules under random events, determinism, memory and settings.
 
 use crate::common::*;
 use gateway_core::*;
 use std::time::Duration;
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_produce_same_actions() {
     let run = || {
         let mut gateway = GatewayHarness::with_servers(11, settings(0, 2), S, 5);
         for step in 0..300u64 {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn invalid_settings_are_errors() {
+fn rejects_invalid_settings() {
     let error_of = |change: fn(&mut Settings)| {
         let mut settings = settings(0, 1);
         change(&mut settings);
@@ -36,27 +36,31 @@
     };
     assert_eq!(error_of(|_| {}), None);
     assert_eq!(
-        error_of(|s| s.classes.clear()),
+        error_of(|settings| settings.classes.clear()),
         Some(SettingsError::NoClasses)
     );
-    assert_eq!(error_of(|s| s.plans.clear()), Some(SettingsError::NoPlans));
     assert_eq!(
-        error_of(|s| s.gateway_id = GatewayId(4)),
+        error_of(|settings| settings.plans.clear()),
+        Some(SettingsError::NoPlans)
+    );
+    assert_eq!(
+        error_of(|settings| settings.gateway_id = GatewayId(4)),
         Some(SettingsError::UnknownGateway)
     );
     assert_eq!(
-        error_of(|s| s.plans[0].rate = -1.0),
+        error_of(|settings| settings.plans[0].rate = -1.0),
         Some(SettingsError::InvalidNumber)
     );
     assert_eq!(
-        error_of(|s| s.classes[0].priority_weight = f64::NAN),
+        error_of(|settings| settings.classes[0].priority_weight = f64::NAN),
         Some(SettingsError::InvalidNumber)
     );
 }
 
-/// No queued request is sent and no timer is set because of a request that the settings do not describe.
+/// A request whose class or plan the settings do not describe must neither cause queued requests to
+/// be sent nor set a timer.
 #[test]
-fn a_request_of_an_unknown_class_or_plan_fails_and_nothing_else_follows() {
+fn request_of_unknown_class_or_plan_fails_without_other_actions() {
     let unknown = [(ClassId(99), UNLIMITED), (IDEMPOTENT, PlanId(99))];
     for (class, plan) in unknown {
         let now = Timestamp::from_micros(S);
@@ -76,13 +80,18 @@
         };
         let mut actions = Vec::new();
         gateway.handle(now, event, &mut actions);
-        assert_eq!(actions, [Action::Fail { id }], "no timer is set");
+        assert_eq!(
+            actions,
+            [Action::Fail { id }],
+            "the failure is the only action"
+        );
     }
 }
 
-/// A long day: servers under ever new ids, customers that come once.
+/// Over a long time, servers appear under ever new ids, and customers send a single request each.
+/// Memory must not grow with their number.
 #[test]
-fn servers_and_customers_that_are_gone_are_evicted() {
+fn evicts_gone_servers_and_idle_customers() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
     for number in 0..300 {
         let gone = Endpoint {
@@ -98,10 +107,10 @@
     }
     gateway.advance(90 * S);
     let tracked = gateway.gateway.tracked_entries();
-    assert!(tracked <= 8, "{tracked}");
+    assert!(tracked <= 8, "{tracked} entries are still tracked");
 }
 
-/// Outcomes as often as they are drawn.
+/// Outcomes of attempts, repeated in proportion to the probability with which they are drawn.
 const OUTCOMES: [AttemptOutcome; 10] = [
     AttemptOutcome::Success,
     AttemptOutcome::Success,
@@ -115,28 +124,28 @@
     AttemptOutcome::NotSent,
 ];
 
-/// A gateway, and random numbers for what happens to it.
-struct ArbitraryDay {
+/// A gateway that receives random events.
+struct RandomEvents {
     gateway: GatewayHarness,
     random: fastrand::Rng,
 }
 
-impl ArbitraryDay {
+impl RandomEvents {
     fn new(seed: u64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let gateway = GatewayHarness::with_servers(seed, settings(0, 2), S, random.u64(1..8));
-        ArbitraryDay { gateway, random }
+        RandomEvents { gateway, random }
     }
 
-    /// One legal event, or some time.
+    /// Handles one random legal event, or lets some time pass.
     fn step(&mut self) {
         let in_flight = !self.gateway.in_flight.is_empty();
         match self.random.u32(0..14) {
-            0..=3 => self.request(),
-            4..=7 if in_flight => self.finish_some_attempt(),
-            8 => self.change_some_endpoint(),
+            0..=3 => self.receive_request(),
+            4..=7 if in_flight => self.finish_random_attempt(),
+            8 => self.update_random_endpoint(),
             9 if self.random.u8(0..5) == 0 => self.replace_endpoints(),
-            10 => self.receive_noise(),
+            10 => self.receive_random_peer_message(),
             11 if in_flight && self.random.u8(0..4) == 0 => {
                 let id = self.gateway.in_flight[0].request.clone();
                 self.gateway.disconnect(&id);
@@ -147,7 +156,7 @@
         }
     }
 
-    fn request(&mut self) {
+    fn receive_request(&mut self) {
         let class = ClassId(self.random.usize(0..CLASS_COUNT));
         let is_short = self.random.u8(0..9) == 0;
         let timeout = if is_short { 0..30 * MS } else { MS..3 * S };
@@ -157,14 +166,14 @@
         self.gateway.request(class, plan, customer, timeout);
     }
 
-    fn finish_some_attempt(&mut self) {
+    fn finish_random_attempt(&mut self) {
         let index = self.random.usize(0..self.gateway.in_flight.len());
         let id = self.gateway.in_flight[index].request.clone();
         let outcome = OUTCOMES[self.random.usize(0..OUTCOMES.len())];
         self.gateway.finish(&id, outcome);
     }
 
-    fn change_some_endpoint(&mut self) {
+    fn update_random_endpoint(&mut self) {
         let states = [
             EndpointState::Ready,
             EndpointState::Draining,
@@ -192,7 +201,7 @@
         );
     }
 
-    fn receive_noise(&mut self) {
+    fn receive_random_peer_message(&mut self) {
         let length = self.random.usize(0..300);
         let bytes = (0..length).map(|_| self.random.u8(0..3)).collect();
         self.gateway.handle(Event::PeerMessage {
@@ -202,22 +211,22 @@
     }
 }
 
-/// Arbitrary legal events, with fixed seeds; the harness checks the rules.
+/// Handles random legal events from fixed seeds; the harness checks the rules.
 #[test]
-fn rules_hold_on_arbitrary_days() {
+fn rules_hold_under_random_events() {
     let mut sent = 0;
     let mut unserved = 0;
     for seed in 0..40 {
-        let mut day = ArbitraryDay::new(seed);
+        let mut events = RandomEvents::new(seed);
         for _ in 0..1500 {
-            day.step();
+            events.step();
         }
-        day.gateway.advance(4 * S);
-        sent += day.gateway.sent_count();
-        unserved += day.gateway.rejected_or_failed_count();
+        events.gateway.advance(4 * S);
+        sent += events.gateway.sent_count();
+        unserved += events.gateway.rejected_or_failed_count();
     }
     assert!(
         sent > 3000 && unserved > 1000,
-        "too little happened: {sent} sent, {unserved} rejected or failed"
+        "too few requests for a check: {sent} sent, {unserved} rejected or failed"
     );
 }
--- a/crates/gateway-core/tests/policy/gossip.rs
+++ b/crates/gateway-core/tests/policy/gossip.rs
@@ -1,11 +1,11 @@
-//! Messages from peers that make no sense.
+//! Malformed and random messages from peers.
 
 use crate::common::*;
 use gateway_core::*;
 use std::collections::BTreeSet;
 
 #[test]
-fn malformed_messages_are_ignored() {
+fn ignores_malformed_messages() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
     for bytes in [vec![], vec![9; 40], vec![1], vec![1; 300], vec![1; 13]] {
         gateway.handle(Event::PeerMessage {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn arbitrary_messages_do_no_harm_in_a_large_fleet() {
+fn random_messages_of_one_peer_eject_no_server_in_large_fleet() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, LARGE_FLEET), S, 4);
     let mut random = fastrand::Rng::with_seed(3);
     for kind in 0..6u8 {
@@ -35,7 +35,8 @@
             });
         }
     }
-    // The reports of one peer, however many, eject no server: all four are still used.
+    // Health reports of a single peer, however many, eject no server: all four servers are still
+    // used.
     let mut used = BTreeSet::new();
     for customer in 0..200 {
         let id = gateway.request(IDEMPOTENT, UNLIMITED, CustomerId(customer), 2 * S);
@@ -45,5 +46,5 @@
             gateway.finish(&id, AttemptOutcome::Success);
         }
     }
-    assert_eq!(used.len(), 4, "{used:?}");
+    assert_eq!(used.len(), 4, "servers used: {used:?}");
 }
--- a/crates/gateway-core/tests/policy/in_flight_limit.rs
+++ b/crates/gateway-core/tests/policy/in_flight_limit.rs
@@ -3,26 +3,28 @@
 use crate::common::*;
 use gateway_core::*;
 
-/// Whether the in-flight limit starts while requests of a plan come faster than they are served.
-fn limit_starts(plan: PlanId) -> bool {
+/// Returns whether the in-flight limit has started after requests of a plan have arrived faster
+/// than they were served.
+fn has_limit_after_overload(plan: PlanId) -> bool {
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
     for _ in 0..40 {
         gateway.request(NON_IDEMPOTENT, plan, CUSTOMER, 5 * S);
     }
     for _ in 0..16 {
         gateway.advance(150 * MS);
-        // With a concurrency limit, what is in flight is served soon; without one, all of it hangs.
+        // With a concurrency limit, attempts in flight are completed soon; without one, all of them
+        // hang.
         if plan == TWO_CONCURRENT {
             gateway.complete_all();
         }
     }
-    let is_missed =
+    let is_objective_missed =
         |action: &Action| matches!(action, Action::Warn(Warning::ObjectiveMissed { .. }));
-    gateway.actions.iter().any(is_missed)
+    gateway.actions.iter().any(is_objective_missed)
 }
 
 #[test]
-fn missed_objectives_start_the_in_flight_limit_and_a_concurrency_limit_does_not() {
-    assert!(limit_starts(UNLIMITED));
-    assert!(!limit_starts(TWO_CONCURRENT));
+fn missed_objectives_start_in_flight_limit_and_concurrency_limit_does_not() {
+    assert!(has_limit_after_overload(UNLIMITED));
+    assert!(!has_limit_after_overload(TWO_CONCURRENT));
 }
--- a/crates/gateway-core/tests/policy/lease.rs
+++ b/crates/gateway-core/tests/policy/lease.rs
@@ -4,8 +4,9 @@
 use crate::common::*;
 use gateway_core::*;
 
-/// Nine in ten requests come through one gateway, as customers' requests come unevenly.
-fn mostly_one(random: &mut fastrand::Rng, gateways: usize) -> usize {
+/// Chooses the same gateway for nine in ten requests, because the requests of real customers are
+/// spread unevenly over gateways.
+fn choose_mostly_one_gateway(random: &mut fastrand::Rng, gateways: usize) -> usize {
     if random.u8(0..10) < 9 {
         3
     } else {
@@ -13,11 +14,11 @@
     }
 }
 
-/// Hazard: lease requests are lost among too many, and each lost one causes one more. What a
-/// gateway takes in is bounded, so a busy one must not exchange messages with an owner for each
-/// request.
+/// Guards against a flood of lease requests. A gateway's message intake is bounded: if there are
+/// too many lease requests, some are lost, and each lost one causes one more. A busy gateway must
+/// therefore not exchange messages with an owner for each request.
 #[test]
-fn a_busy_gateway_sends_fewer_lease_requests_than_it_has_requests() {
+fn busy_gateway_sends_fewer_lease_requests_than_requests() {
     let mut fleet = Fleet::new(60, 40, |settings| {
         let hard_limit = HardLimit {
             rate: 120.0,
@@ -28,33 +29,33 @@
             .burst(HARD_LIMITED, 60.0)
             .hard_limit(HARD_LIMITED, hard_limit)
     });
-    // an owner's part of the hard limit starts empty
-    fleet.drive_chosen_gateways(HARD_LIMITED, 30, 1, mostly_one);
+    // The owner's part of the hard limit starts empty.
+    fleet.drive_chosen_gateways(HARD_LIMITED, 30, 1, choose_mostly_one_gateway);
     let messages_before = fleet.messages_sent;
     let requests = 30 * 6;
-    let sent = fleet.drive_chosen_gateways(HARD_LIMITED, 30, 6, mostly_one);
+    let sent = fleet.drive_chosen_gateways(HARD_LIMITED, 30, 6, choose_mostly_one_gateway);
     assert!(
         sent >= 171,
-        "under the hard limit, inside the quota: {sent} of {requests}"
+        "{sent} of {requests} requests were sent, all within the hard limit and the quota"
     );
     let messages = fleet.messages_sent - messages_before;
     assert!(
         messages * 4 <= requests * 5,
-        "{messages} messages for {requests} requests; it would be two for each without leases"
+        "{messages} messages for {requests} requests; without leases there are two for each"
     );
 }
 
-/// What is on lease counts as used until it is returned, and is returned once.
+/// Units on lease count as used until they are returned, and they are returned only once.
 #[test]
-fn a_hard_limit_holds_over_leases_that_are_lost_late_or_repeated() {
+fn hard_limit_holds_when_leases_are_lost_late_or_repeated() {
     for seed in 1..=4 {
         let mut fleet = Fleet::new(60, 40, |settings| settings);
         fleet.random = fastrand::Rng::with_seed(seed);
         let started_at = fleet.now();
         let mut sent = 0;
         for round in 0..4 {
-            // Bursts and rests, so that leases expire, are returned and are granted again.
-            sent += fleet.drive_chosen_gateways(HARD_LIMITED, 100, 1, mostly_one);
+            // Bursts and pauses, so that leases expire, are returned and are granted again.
+            sent += fleet.drive_chosen_gateways(HARD_LIMITED, 100, 1, choose_mostly_one_gateway);
             fleet.advance(S);
             sent += fleet.complete_all();
             if round % 2 == 1 {
@@ -62,15 +63,16 @@
             }
         }
         let seconds = (fleet.now() - started_at) as f64 / S as f64;
-        let most = 12.0 + 8.0 * seconds;
+        let max_sent = 12.0 + 8.0 * seconds;
         assert!(
-            sent as f64 <= most && sent >= 10,
-            "seed {seed}: {sent}, at most {most} by the hard limit"
+            sent as f64 <= max_sent && sent >= 10,
+            "seed {seed}: {sent} requests were sent, the hard limit allows {max_sent}"
         );
     }
 }
 
-/// A hard limit of 40 units that refills in 2 s, under a quota that binds no sooner.
+/// Returns settings with a hard limit of 40 units that refills in 2 s, and a quota that is never
+/// exceeded before the hard limit.
 fn hard_limited_settings(gateway: u32) -> Settings {
     SettingsBuilder::new(gateway, LARGE_FLEET)
         .rate(HARD_LIMITED, 20.0)
@@ -85,13 +87,13 @@
         .build()
 }
 
-/// The quota owner that gateways request leases of.
+/// Quota owner to which gateways send lease requests.
 struct Owner {
     id: GatewayId,
     harness: GatewayHarness,
 }
 
-/// A gateway, its customer's quota owner, and how many requests were sent on.
+/// A gateway, the quota owner of its customer, and the number of requests that were sent.
 struct LeaseScenario {
     gateway: GatewayHarness,
     owner: Option<Owner>,
@@ -99,7 +101,8 @@
 }
 
 impl LeaseScenario {
-    /// A gateway on its own; the owner's part of the hard limit has had time to fill.
+    /// Creates a scenario with one gateway. The owner's part of the hard limit has had time to
+    /// fill.
     fn new() -> Self {
         let gateway = GatewayHarness::with_servers(1, hard_limited_settings(3), S, 40);
         let mut scenario = LeaseScenario {
@@ -114,14 +117,14 @@
         scenario
     }
 
-    /// One request at the gateway. Its lease request reaches the owner `copies` times. Returns
-    /// whether the request was sent immediately, without a response of the owner.
+    /// Receives one request at the gateway, and delivers its lease request to the owner `copies`
+    /// times. Returns whether the request was sent immediately, without a response of the owner.
     fn request(&mut self, copies: usize) -> bool {
         let actions_before = self.gateway.actions.len();
         let id = self
             .gateway
             .request(IDEMPOTENT, HARD_LIMITED, CUSTOMER, 2 * S);
-        let sent_at_once = self.gateway.server_of(&id).is_some();
+        let sent_immediately = self.gateway.server_of(&id).is_some();
         let actions = self.gateway.actions[actions_before..].to_vec();
         for action in actions {
             let Action::SendToPeer { to, bytes } = action else {
@@ -132,10 +135,10 @@
             }
         }
         self.sent += usize::from(self.gateway.server_of(&id).is_some());
-        sent_at_once
+        sent_immediately
     }
 
-    /// Hands a lease request to the owner, and the owner's answers back to the gateway.
+    /// Delivers a lease request to the owner, and the owner's responses to the gateway.
     fn exchange_with_owner(&mut self, to: GatewayId, bytes: &[u8]) {
         let from = self.gateway.settings.gateway_id;
         let now = self.gateway.now;
@@ -143,20 +146,20 @@
             id: to,
             harness: GatewayHarness::new(1, hard_limited_settings(to.0), now),
         });
-        assert_eq!(owner.id, to, "a customer with one owner");
+        assert_eq!(owner.id, to, "the customer has one owner");
         owner.harness.now = now;
-        for answer in owner.harness.handle(Event::PeerMessage {
+        for response in owner.harness.handle(Event::PeerMessage {
             from,
             bytes: bytes.to_vec(),
         }) {
-            let Action::SendToPeer { bytes, .. } = answer else {
+            let Action::SendToPeer { bytes, .. } = response else {
                 continue;
             };
             self.gateway.handle(Event::PeerMessage { from: to, bytes });
         }
     }
 
-    /// The gateway uses a lease for a while, then leaves the rest of it to expire.
+    /// Uses a lease for a while, then lets the rest of it expire.
     fn let_lease_expire(&mut self) {
         let mut sent_on_lease = 0;
         for _ in 0..24 {
@@ -165,58 +168,59 @@
         }
         assert!(
             sent_on_lease >= 12,
-            "{sent_on_lease} of 24 were sent on a lease"
+            "{sent_on_lease} of 24 requests were sent on a lease"
         );
         self.gateway.advance(520 * MS);
     }
 
-    /// One request at each of other gateways, which leave the owner with less.
-    fn request_from_others(&mut self, gateways: std::ops::Range<u32>) {
+    /// Receives one request at each of the other gateways, which leaves the owner with fewer units.
+    fn request_at_other_gateways(&mut self, gateways: std::ops::Range<u32>) {
         let now = self.gateway.now;
         for number in gateways {
             let other = GatewayHarness::with_servers(1, hard_limited_settings(number), now, 40);
-            let this = std::mem::replace(&mut self.gateway, other);
+            let original = std::mem::replace(&mut self.gateway, other);
             self.request(1);
-            self.gateway = this;
+            self.gateway = original;
         }
     }
 }
 
-/// How many requests are sent until the owner is short, where an expired lease is returned `copies`
-/// times.
-fn sent_until_owner_is_short(copies: usize) -> usize {
+/// Returns how many requests are sent until the owner runs out of units, if an expired lease is
+/// returned `copies` times.
+fn sent_until_owner_runs_out(copies: usize) -> usize {
     let mut scenario = LeaseScenario::new();
     scenario.let_lease_expire();
-    scenario.request_from_others(100..115); // so that what is returned finds room
+    scenario.request_at_other_gateways(100..115); // makes room for the returned units
     assert!(
         !scenario.request(copies),
         "an expired lease covers no request"
     );
-    scenario.request_from_others(115..200);
+    scenario.request_at_other_gateways(115..200);
     scenario.sent
 }
 
-/// Hazard: a lease that is used late, or returned twice, passes the hard limit.
+/// Guards against exceeding the hard limit by a lease that is used late or returned twice.
 #[test]
-fn an_expired_lease_is_returned_once() {
-    let once = sent_until_owner_is_short(1);
-    let twice = sent_until_owner_is_short(2);
+fn expired_lease_is_returned_only_once() {
+    let sent_with_one_return = sent_until_owner_runs_out(1);
+    let sent_with_two_returns = sent_until_owner_runs_out(2);
     assert!(
-        twice <= once,
-        "{once} requests were sent, and {twice} where the lease was returned twice"
+        sent_with_two_returns <= sent_with_one_return,
+        "one return: {sent_with_one_return} requests sent; two returns: {sent_with_two_returns}"
     );
-    // The owner's part of 40 units, a quarter reserved, and of 20 a second over 1.72 s is 0.7. What
-    // was on lease and not used goes to others.
-    let most = 0.7 * (0.75 * 40.0 + 20.0 * 1.72);
+    // The owner's part is 0.7 of the hard limit: 40 units, a quarter of them reserved, and 20 units
+    // per second over 1.72 s. Units on lease that were not used are granted to others.
+    let max_sent = 0.7 * (0.75 * 40.0 + 20.0 * 1.72);
     assert!(
-        (most - 3.0..=most).contains(&(once as f64)),
-        "{once} of {most}"
+        (max_sent - 3.0..=max_sent).contains(&(sent_with_one_return as f64)),
+        "{sent_with_one_return} requests were sent, of at most {max_sent}"
     );
 }
 
-/// In a partition, or where more is sent than can be taken in, more lease requests make it worse.
+/// In a partition, or if more messages are sent than gateways can take in, more lease requests
+/// would make it worse.
 #[test]
-fn an_unanswered_lease_request_is_repeated_at_growing_intervals() {
+fn repeats_unanswered_lease_request_at_growing_intervals() {
     let mut gateway = GatewayHarness::with_servers(5, settings(0, LARGE_FLEET), S, 40);
     gateway.request(IDEMPOTENT, HARD_LIMITED, CUSTOMER, 8 * S);
     gateway.advance(3900 * MS);
@@ -228,14 +232,14 @@
     );
 }
 
-/// A message to another gateway.
+/// Message to another gateway.
 #[derive(Clone)]
 struct SentMessage {
     to: GatewayId,
     bytes: Vec<u8>,
 }
 
-/// The messages among these actions.
+/// Returns the messages to other gateways among `actions`.
 fn sent_messages(actions: &[Action]) -> Vec<SentMessage> {
     let message = |action: &Action| match action {
         Action::SendToPeer { to, bytes } => Some(SentMessage {
@@ -247,17 +251,17 @@
     actions.iter().filter_map(message).collect()
 }
 
-/// Only consecutive misses make an owner unresponsive: a few messages are always lost.
+/// Only consecutive timeouts make an owner unresponsive, because a few messages are always lost.
 #[test]
-fn an_owner_that_answers_in_between_is_asked_again_and_not_its_standby() {
+fn asks_owner_that_responds_between_timeouts_and_not_standby_owner() {
     let settings = |gateway| {
-        let nothing_to_grant = HardLimit {
+        let exhausted_hard_limit = HardLimit {
             rate: 0.1,
             capacity: Units::new(12.0),
         };
         SettingsBuilder::new(gateway, LARGE_FLEET)
             .rate(HARD_LIMITED, 20.0)
-            .hard_limit(HARD_LIMITED, nothing_to_grant)
+            .hard_limit(HARD_LIMITED, exhausted_hard_limit)
     };
     let mut gateway = GatewayHarness::with_servers(1, settings(3).build(), S, 40);
     let mut owner: Option<GatewayHarness> = None;
@@ -266,19 +270,19 @@
         gateway.request(IDEMPOTENT, HARD_LIMITED, CUSTOMER, 2 * S);
         gateway.advance(100 * MS); // the first lease request is lost, and repeated
         let sent = sent_messages(&gateway.actions);
-        let SentMessage { to, bytes } = sent.last().expect("a lease request").clone();
+        let SentMessage { to, bytes } = sent.last().expect("a lease request was sent").clone();
         let owner = owner.get_or_insert_with(|| GatewayHarness::new(1, settings(to.0).build(), S));
         assert!(
             sent.iter()
                 .all(|message| message.to == owner.settings.gateway_id),
-            "the same owner"
+            "all lease requests go to the same owner"
         );
         owner.now = gateway.now;
         let from = gateway.settings.gateway_id;
-        for answer in sent_messages(&owner.handle(Event::PeerMessage { from, bytes })) {
+        for response in sent_messages(&owner.handle(Event::PeerMessage { from, bytes })) {
             gateway.handle(Event::PeerMessage {
                 from: to,
-                bytes: answer.bytes,
+                bytes: response.bytes,
             });
         }
     }
--- a/crates/gateway-core/tests/policy/load_balancing.rs
+++ b/crates/gateway-core/tests/policy/load_balancing.rs
@@ -1,11 +1,11 @@
-//! Which servers requests are sent to.
+//! Selection of the servers that requests are sent to.
 
 use crate::common::*;
 use gateway_core::*;
 use std::collections::BTreeSet;
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_missing_server() {
+fn sends_no_attempt_to_draining_or_removed_server() {
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 2);
     let draining = Endpoint {
         state: EndpointState::Draining,
@@ -25,7 +25,7 @@
     assert_eq!(gateway.sent_count() - before, 0);
 }
 
-/// Attempts in flight at twelve slow servers, of one gateway out of so many.
+/// Returns the number of attempts that one gateway of a fleet has in flight at twelve slow servers.
 fn in_flight_at_slow_servers(gateways: u32) -> usize {
     let mut gateway = GatewayHarness::with_servers(3, settings(0, gateways), S, 12);
     for _ in 0..40 {
@@ -41,17 +41,23 @@
     gateway.in_flight.len()
 }
 
-/// Many gateways, each with one in flight at every slow server, would overload them all.
+/// Many gateways with one attempt in flight at every slow server each would overload all of them.
 #[test]
-fn with_many_gateways_little_is_in_flight_at_slow_servers() {
-    let few = in_flight_at_slow_servers(2);
-    let many = in_flight_at_slow_servers(12);
-    assert!((8..=12).contains(&few), "with few, one at each: {few}");
-    assert!((1..=6).contains(&many), "with many, a part of that: {many}");
+fn many_gateways_have_few_attempts_in_flight_at_slow_servers() {
+    let with_few_gateways = in_flight_at_slow_servers(2);
+    let with_many_gateways = in_flight_at_slow_servers(12);
+    assert!(
+        (8..=12).contains(&with_few_gateways),
+        "about one attempt at each server: {with_few_gateways}"
+    );
+    assert!(
+        (1..=6).contains(&with_many_gateways),
+        "fewer attempts than servers: {with_many_gateways}"
+    );
 }
 
 #[test]
-fn a_large_fleet_chooses_servers_by_reported_load() {
+fn large_fleet_prefers_servers_with_low_reported_load() {
     const FULL: ServerId = ServerId(0);
     let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), S, 4);
     let load = |server| if server == FULL { 30.0 } else { 0.0 };
@@ -64,13 +70,13 @@
     let to_full = servers.iter().filter(|server| **server == FULL).count();
     assert!(
         sent >= 190 && to_full <= 20,
-        "{to_full} of {sent} went to the full one"
+        "{to_full} of {sent} requests went to the full server"
     );
 }
 
-/// Few servers are used by one gateway, and all by the fleet.
+/// Each gateway uses few servers, and the fleet uses all of them.
 #[test]
-fn a_gateway_of_a_large_fleet_uses_a_subset_of_the_servers() {
+fn gateway_of_large_fleet_uses_subset_of_servers() {
     let mut used_by_fleet = BTreeSet::new();
     for number in 0..60 {
         let mut gateway =
@@ -79,12 +85,12 @@
         for _ in 0..60 {
             let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
             used.extend(gateway.in_flight.iter().map(|attempt| attempt.server));
-            gateway.advance(100 * MS); // as long as is expected of a server that is not known yet
+            gateway.advance(100 * MS); // the expected latency of an unknown server
             gateway.finish(&id, AttemptOutcome::Success);
         }
         assert!(
             (4..=20).contains(&used.len()),
-            "gateway {number} used {}",
+            "gateway {number} used {} servers",
             used.len()
         );
         used_by_fleet.extend(used);
@@ -92,9 +98,10 @@
     assert_eq!(used_by_fleet.len(), 60);
 }
 
-/// Where gateways are few for so many servers, each uses more of them, so that none is left out.
+/// If there are few gateways for many servers, each gateway uses more of them, so that no server is
+/// left out.
 #[test]
-fn every_server_is_in_the_subset_of_a_gateway() {
+fn every_server_is_in_subset_of_some_gateway() {
     let mut used = BTreeSet::new();
     for number in 0..23 {
         let mut gateway =
@@ -110,12 +117,12 @@
 }
 
 #[test]
-fn a_retry_goes_to_another_one_of_equal_servers() {
+fn retry_goes_to_other_of_two_equal_servers() {
     for seed in 0..20 {
         let mut gateway = GatewayHarness::with_servers(seed, settings(0, 2), S, 2);
         let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
         let first = gateway.server_of(&id).expect("a first attempt");
-        gateway.finish(&id, AttemptOutcome::NotSent); // which tells nothing of the server
+        gateway.finish(&id, AttemptOutcome::NotSent); // reveals nothing about the server
         assert_ne!(gateway.server_of(&id), Some(first), "seed {seed}");
     }
 }
--- a/crates/gateway-core/tests/policy/outlier_detection.rs
+++ b/crates/gateway-core/tests/policy/outlier_detection.rs
@@ -1,28 +1,33 @@
-//! Servers that stall or can't be reached are left alone, and the others of their zone are not.
+//! Servers that stall or cannot be reached receive no requests, while the other servers of their
+//! zone still do.
 
 use crate::common::*;
 use gateway_core::*;
 
-fn cancels(actions: &[Action]) -> bool {
+fn cancels_attempt(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::CancelAttempt { .. }))
 }
 
-/// A gateway that had no CPU for a while first reads what has come, before it calls a server stalled.
+/// A gateway that had no CPU for a while first reads the answers that have arrived, before it
+/// considers a server stalled.
 #[test]
-fn a_late_timer_ejects_no_server() {
+fn late_timer_ejects_no_server() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
     gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 9 * S);
     assert_eq!(gateway.in_flight.len(), 1);
     gateway.now += 1500 * MS;
     let late = gateway.handle(Event::TimerFired { token: 0 });
-    assert!(!cancels(&late));
-    assert!(cancels(&gateway.advance(50 * MS)), "still stalled");
+    assert!(!cancels_attempt(&late));
+    assert!(
+        cancels_attempt(&gateway.advance(50 * MS)),
+        "the server is still stalled at the next timer"
+    );
 }
 
 #[test]
-fn an_idempotent_request_moves_on_from_a_stalled_server() {
+fn retries_idempotent_request_of_stalled_server_on_another_server() {
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
     let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 3 * S);
     let stalled = gateway.server_of(&id);
@@ -37,45 +42,47 @@
         .any(|action| matches!(action, Action::Warn(_))));
     gateway.finish(&id, AttemptOutcome::Cancelled);
     let second = gateway.server_of(&id);
-    assert!(second.is_some(), "sent again");
-    assert_ne!(second, stalled, "sent elsewhere");
+    assert!(second.is_some(), "the request is sent again");
+    assert_ne!(second, stalled, "the retry goes to another server");
 }
 
-/// A hung machine takes no connection: its probes fail like links that are cut. They must not keep requests away from
-/// its whole zone.
+/// A hung machine takes no connection, so its probes fail as if its link were cut. These failures
+/// must not keep requests away from its whole zone.
 #[test]
-fn probes_of_a_dead_server_do_not_count_against_its_zone() {
-    const DEAD: ServerId = ServerId(0);
+fn probes_of_hung_server_do_not_count_against_its_zone() {
+    const HUNG: ServerId = ServerId(0);
     const NEIGHBOUR: ServerId = ServerId(2);
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
     let mut to_neighbour = 0;
     for number in 0..600 {
-        let known_to_be_dead = number >= 300;
+        let is_known_to_hang = number >= 300;
         let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
         gateway.advance(10 * MS);
         while let Some(server) = gateway.server_of(&id) {
             let outcome = match server {
-                DEAD if known_to_be_dead => AttemptOutcome::Unreachable,
-                DEAD => {
-                    gateway.advance(900 * MS); // it stalls, until the attempt is cancelled and it is ejected
+                HUNG if is_known_to_hang => AttemptOutcome::Unreachable,
+                HUNG => {
+                    // The server stalls until the attempt is cancelled and the server is ejected.
+                    gateway.advance(900 * MS);
                     AttemptOutcome::Cancelled
                 }
                 _ => AttemptOutcome::Success,
             };
             gateway.finish(&id, outcome);
-            to_neighbour += u32::from(known_to_be_dead && server == NEIGHBOUR);
+            to_neighbour += u32::from(is_known_to_hang && server == NEIGHBOUR);
         }
         gateway.advance(40 * MS);
     }
     assert!(
         to_neighbour > 60,
-        "{to_neighbour} of 300 went to the healthy server of that zone"
+        "{to_neighbour} of 300 requests went to the healthy server of that zone"
     );
 }
 
-/// A server that takes no connection is left alone, also where most are so, and costs no request its answer.
+/// Connect backoff keeps requests away from servers that take no connection, even if most servers
+/// are unreachable, and no request fails because of them.
 #[test]
-fn a_large_fleet_backs_off_from_unreachable_servers() {
+fn large_fleet_backs_off_from_unreachable_servers() {
     let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), S, 10);
     let mut served = 0;
     let mut unreachable = 0;
@@ -92,9 +99,10 @@
         }
         gateway.advance(50 * MS);
     }
-    // In 5 s each of the six is tried some four times, its backoff doubling from 0.5 s on.
+    // In 5 s each of the six servers is tried about four times, as its backoff doubles from 0.5 s
+    // on.
     assert!(
         served >= 97 && unreachable <= 36,
-        "{served} served, {unreachable} unreachable"
+        "{served} requests were served, {unreachable} attempts found no connection"
     );
 }
--- a/crates/gateway-core/tests/policy/retry.rs
+++ b/crates/gateway-core/tests/policy/retry.rs
@@ -1,5 +1,5 @@
-//! Which attempts may be followed by another, by their outcome and the idempotency of their
-//! request.
+//! Which attempts may be followed by a retry, depending on their outcome and the idempotency of
+//! their request.
 
 use crate::common::*;
 use gateway_core::*;
@@ -7,9 +7,9 @@
     Cancelled, ConnectionLost, NotSent, Overloaded, ServerError, TimedOut, Unreachable,
 };
 
-/// Every outcome but success for every class: what follows immediately.
+/// Checks what immediately follows each outcome but success, for each class.
 #[test]
-fn retries_by_outcome_and_idempotency() {
+fn retries_according_to_outcome_and_idempotency() {
     for class in [IDEMPOTENT, KEYED_BY_CELL, NON_IDEMPOTENT, KEYED] {
         for outcome in [
             ServerError,
@@ -30,20 +30,24 @@
     let id = gateway.request(class, UNLIMITED, CUSTOMER, 2 * S);
     let first = gateway.server_of(&id).expect("a first attempt");
     let actions = gateway.finish(&id, outcome);
-    let never_executed = matches!(outcome, Overloaded | Unreachable | NotSent);
-    if class == NON_IDEMPOTENT && !never_executed {
+    let was_not_executed = matches!(outcome, Overloaded | Unreachable | NotSent);
+    if class == NON_IDEMPOTENT && !was_not_executed {
         assert_eq!(actions, [Action::Fail { id }], "{outcome:?}");
         return;
     }
-    assert_eq!(count_sent(&actions), 1, "{class:?} {outcome:?}: sent again");
-    if class == KEYED_BY_CELL && !never_executed {
+    assert_eq!(
+        count_sent(&actions),
+        1,
+        "{class:?} {outcome:?}: the request is sent again"
+    );
+    if class == KEYED_BY_CELL && !was_not_executed {
         let second = gateway.server_of(&id).expect("a second attempt");
-        assert_eq!(second.0 % 2, first.0 % 2, "inside its cell");
+        assert_eq!(second.0 % 2, first.0 % 2, "the retry stays within the cell");
     }
 }
 
 #[test]
-fn a_keyed_request_outside_its_window_fails_and_is_not_rejected() {
+fn keyed_request_after_its_window_fails_and_is_not_rejected() {
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
     let id = gateway.request(KEYED_BY_CELL, UNLIMITED, CUSTOMER, 2 * S);
     gateway.now += 600 * MS;
@@ -53,9 +57,9 @@
     assert!(later.contains(&Action::Fail { id }));
 }
 
-/// A server forgets the key a window after it saw the request first.
+/// A server forgets an idempotency key one window after it first saw the request.
 #[test]
-fn the_window_of_a_key_begins_with_the_first_attempt() {
+fn key_window_begins_with_first_attempt() {
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
     let id = gateway.request(KEYED, UNLIMITED, CUSTOMER, 2 * S);
     gateway.now += 300 * MS;
@@ -65,5 +69,9 @@
         "within the window of 500 ms"
     );
     gateway.now += 300 * MS;
-    assert_eq!(count_sent(&gateway.finish(&id, ServerError)), 0, "after it");
+    assert_eq!(
+        count_sent(&gateway.finish(&id, ServerError)),
+        0,
+        "after the window of 500 ms"
+    );
 }
--- a/crates/gateway-core/tests/policy/retry_budget.rs
+++ b/crates/gateway-core/tests/policy/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget, which first attempts earn.
+//! The retry budget, to which first attempts add.
 
 use crate::common::*;
 use gateway_core::*;
@@ -6,7 +6,7 @@
 
 /// If every attempt fails, retries must not multiply the load.
 #[test]
-fn retries_are_bounded_by_the_budget_that_first_attempts_earn() {
+fn retry_budget_bounds_retries_if_every_attempt_fails() {
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
     for _ in 0..60 {
         let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
@@ -17,6 +17,6 @@
     let retries = gateway.sent_count() - 60;
     assert!(
         (20..=32).contains(&retries),
-        "20 at the start and a fifth of 60: {retries}"
+        "20 retries at the start and a fifth of 60 first attempts: {retries}"
     );
 }
--- a/crates/gateway-core/tests/policy/slow_start.rs
+++ b/crates/gateway-core/tests/policy/slow_start.rs
@@ -1,11 +1,11 @@
-//! Servers that have just started get no more than they can do by then.
+//! Servers that have just started receive no more attempts than they can process by then.
 
 use crate::common::*;
 use gateway_core::*;
 use std::time::Duration;
 
 #[test]
-fn a_server_that_warms_up_gets_less_than_a_warm_one() {
+fn warming_up_server_receives_fewer_attempts_than_warm_server() {
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), 100 * S, 1);
     for _ in 0..400 {
         let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
@@ -27,13 +27,15 @@
         sent += gateway.sent_count() - before;
         gateway.complete_all();
     }
-    // A warm one was seen to do some 45 a second; this one can do a fifth of it, and collapses at three times that.
-    assert!((1..=27).contains(&sent), "{sent}");
+    // The warm server completed about 45 attempts per second. The new one can complete a fifth of
+    // that, and collapses at three times that fifth.
+    assert!((1..=27).contains(&sent), "{sent} attempts were sent");
 }
 
 const SECONDS: usize = 5;
 
-/// Attempts by second at a server that has just started, of one gateway that is the only one of its customer.
+/// Returns the attempts in each second that one gateway, the only one of its customer, sends to a
+/// server that has just started.
 fn sent_by_second(number: u32) -> [usize; SECONDS] {
     let mut gateway = Gateway::new(
         u64::from(number),
@@ -84,18 +86,21 @@
 }
 
 #[test]
-fn hundreds_of_gateways_do_not_overload_a_server_that_warms_up() {
+fn hundreds_of_gateways_do_not_overload_warming_up_server() {
     let mut by_second = [0; SECONDS];
     for number in 0..LARGE_FLEET {
         for (sum, sent) in by_second.iter_mut().zip(sent_by_second(number)) {
             *sum += sent;
         }
     }
-    // Without knowledge of each other, a fifth to half warm: a part of 1.5 a second for all gateways, and what chance
-    // adds.
-    assert!(by_second.iter().all(|sent| *sent <= 5), "{by_second:?}");
+    // The gateways do not know of each other, and the server has a fifth to half of its capacity:
+    // all gateways together send that fraction of 1.5 attempts per second, and what chance adds.
+    assert!(
+        by_second.iter().all(|sent| *sent <= 5),
+        "attempts in each second: {by_second:?}"
+    );
     assert!(
         by_second.iter().sum::<usize>() >= 1,
-        "it is used all the same"
+        "the server receives some attempts"
     );
 }
--- a/crates/gateway-core/tests/unit/fuzzy_controller.rs
+++ b/crates/gateway-core/tests/unit/fuzzy_controller.rs
@@ -1,9 +1,9 @@
-//! The in-flight limit over control ticks, against figures recorded before the controller had a
-//! file of its own.
+//! The in-flight limit over control ticks, compared with limits that were recorded before the
+//! controller became a module of its own.
 
 use super::*;
 
-/// What a control tick observes, and the limit after it.
+/// Inputs of a control tick, and the limit after it.
 struct Tick {
     latency_ratio: f64,
     lowest_class_in_flight: f64,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Calm, a growing disturbance, a large error that corrects itself, and rest.
+/// A calm phase, a growing disturbance, a large error that corrects itself, and rest.
 const RECORDED: [Tick; 12] = [
     tick(0.6, 5.0, 12.0, None),
     tick(1.3, 9.0, 24.0, Some(9.0)),
@@ -42,7 +42,7 @@
 ];
 
 #[test]
-fn the_limit_moves_as_recorded() {
+fn limit_follows_recorded_ticks() {
     let mut controller = FuzzyController::default();
     let mut limits = Vec::new();
     for tick in &RECORDED {
--- a/crates/gateway-core/tests/unit/outlier_detection.rs
+++ b/crates/gateway-core/tests/unit/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! When a server is ejected, and when it is probed again.
+//! When a server is ejected, and when it is probed.
 
 use super::*;
 use crate::types::Endpoint;
@@ -7,9 +7,9 @@
     Timestamp::from_micros(micros)
 }
 
-/// Attempts that were sent before the ejection and fail after it must not put off the probe.
+/// Attempts that were sent before an ejection and fail after it must not postpone the probe.
 #[test]
-fn a_failure_after_the_ejection_does_not_put_off_the_probe() {
+fn failure_after_ejection_does_not_postpone_probe() {
     const CLASS: ClassId = ClassId(0);
     let mut server = Server::unknown(Endpoint::default(), at(0), 1);
     server.observe_failure(CLASS, true, 1.0, 0.0);
