--- a/crates/gateway-core/src/policy/outlier_detection/ejection.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/ejection.rs
@@ -41,8 +41,8 @@
     health.failure_rate() < EJECTION_FAILURE_RATE * READMISSION_FRACTION
 }
 
-/// Records that a server has answered. An answer of an ejected server reduces its failure rate: the
-/// server is readmitted if the rate is low enough, otherwise its next probe is due immediately.
+/// Records that a server has answered. An answer from an ejected server reduces its failure rate:
+/// the server is readmitted if the rate is low enough, otherwise its next probe is due immediately.
 pub(crate) fn observe_answer(server: &mut Server, now: Timestamp, class: ClassId) {
     server.record_answer(now, class);
     let health = server.class_health_mut(class);
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -5,8 +5,8 @@
 //! 1. [`on_arrival`]: the request may be shed, admitted on a lease that this gateway holds,
 //!    rejected because too many requests of its customer ask owners, or left to an owner to decide.
 //! 2. [`next_owner`]: which owner the request asks.
-//! 3. [`lease_request`]: which units beyond those of the request are requested, so that later
-//!    requests need not ask.
+//! 3. [`lease_request`]: how many units beyond its own the request asks for, so that later requests
+//!    need not ask.
 //! 4. [`on_response`]: what follows from the owner's response.
 //! 5. [`check_unsent`]: on a timer, what follows if a response is overdue or a grant has expired.
 //! 6. [`permit_release`]: which gateway is notified that a request no longer needs its concurrency
@@ -285,8 +285,8 @@
 }
 
 /// Decides what follows one more timeout. After [`TIMEOUTS_UNTIL_UNRESPONSIVE`] timeouts the
-/// customer's account at this gateway decides, except under a hard limit, where the request keeps
-/// asking owners.
+/// customer's account at this gateway decides. Under a hard limit it must not decide, so the
+/// request keeps asking owners.
 fn decide_after_timeout(
     hard_limit: Option<&HardLimit>,
     quotas: &QuotaState,
