--- a/crates/edge-node/src/node/attempts.rs
+++ b/crates/edge-node/src/node/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight: how they are started, cancelled and reported to the decision library.
+//! Attempts in flight: starts and cancels them, and reports their results to the decision library.
 
 use super::pending_requests::NextAttempt;
 use super::{Answer, Node};
@@ -12,27 +12,27 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// The attempt of a request that is in flight.
+/// An attempt that is in flight.
 struct InFlightAttempt {
     number: AttemptNumber,
-    /// Cancels the attempt when it is dropped.
+    /// Dropping this sender cancels the attempt.
     _cancel: oneshot::Sender<()>,
 }
 
-/// Attempts in flight, at most one for each request. An entry stays until the attempt's connection
-/// is closed or free again, also when the request has been answered.
+/// The attempts in flight, at most one per request. An entry stays until the attempt's connection
+/// is closed or idle again, even if the request has its final answer before then.
 #[derive(Default)]
 pub(super) struct InFlightAttempts {
     by_request: RefCell<HashMap<RequestId, InFlightAttempt>>,
 }
 
 impl InFlightAttempts {
-    /// Whether an attempt of this request is in flight.
+    /// Returns whether an attempt of this request is in flight.
     pub(super) fn contains(&self, id: &RequestId) -> bool {
         self.by_request.borrow().contains_key(id)
     }
 
-    /// Enters an attempt. The receiver ends when the attempt is cancelled.
+    /// Adds an attempt. Returns a receiver whose channel closes when the attempt is cancelled.
     fn insert(&self, id: RequestId, number: AttemptNumber) -> oneshot::Receiver<()> {
         let (cancel, cancelled) = oneshot::channel();
         let attempt = InFlightAttempt {
@@ -43,8 +43,8 @@
         cancelled
     }
 
-    /// Cancels an attempt, unless it has ended. Its task closes the connection and then reports the
-    /// end.
+    /// Cancels an attempt, unless it has ended. The attempt's task closes the connection and then
+    /// reports the result.
     fn cancel(&self, id: &RequestId, number: AttemptNumber) {
         let mut attempts = self.by_request.borrow_mut();
         if attempts
@@ -61,16 +61,16 @@
 }
 
 impl Node {
-    /// Sends the next attempt of a request to a server. It ends after `timeout`, or at the
-    /// request's deadline.
+    /// Sends the next attempt of a request to a server. The attempt ends after `timeout` or at the
+    /// request's deadline, whichever comes first.
     pub(super) fn start_attempt(
         self: &Rc<Self>,
         id: RequestId,
         server: ServerId,
         timeout: Option<Duration>,
     ) {
-        // The decision library is notified when a request is answered or abandoned, and sends no
-        // such request.
+        // Only a request that has been answered or abandoned is missing. The decision library is
+        // notified of both, and starts no attempt of such a request.
         let Some(NextAttempt { request, number }) = self.requests.next_attempt(&id) else {
             return;
         };
@@ -87,9 +87,9 @@
         let deadline = attempt_deadline(timeout, request.deadline);
         let cancelled = self.attempts.insert(id.clone(), number);
         let node = Rc::clone(self);
-        // The task ends by itself: when the attempt has its answer, at its deadline, or when its
-        // entry is removed. It is never aborted, so each attempt is reported to the decision library
-        // once.
+        // The task ends when the response is complete, at the attempt's deadline, or when the
+        // attempt's table entry is removed. It is never aborted, so each attempt is reported to the
+        // decision library exactly once.
         tokio::task::spawn_local(async move {
             let is_open = || node.requests.contains(&id);
             let attempt = Attempt {
@@ -109,8 +109,8 @@
         self.attempts.cancel(id, number);
     }
 
-    /// Reports the end of an attempt. Its connection is closed or free again by now, so that a
-    /// request never has two attempts in flight.
+    /// Reports the result of an attempt to the decision library. The attempt's connection is closed
+    /// or idle again by now, so a request never has two attempts in flight.
     fn finish_attempt(
         self: &Rc<Self>,
         id: RequestId,
@@ -127,7 +127,7 @@
             id = %id.0,
             attempt = attempt.0,
             ?outcome,
-            "request {}: attempt {} ended, {outcome:?}",
+            "request {}: attempt {} ended: {outcome:?}",
             id.0,
             attempt.0
         );
@@ -149,11 +149,11 @@
     }
 }
 
-/// The latest end of an attempt: its own timeout from now, or its request's deadline if that is
-/// earlier.
+/// Returns the time at which an attempt ends at the latest: `timeout` from now or the request's
+/// deadline, whichever is earlier.
 fn attempt_deadline(timeout: Option<Duration>, request_deadline: Instant) -> Instant {
-    let own_deadline = timeout.and_then(|timeout| Instant::now().checked_add(timeout));
-    own_deadline.map_or(request_deadline, |own| own.min(request_deadline))
+    let timeout_deadline = timeout.and_then(|timeout| Instant::now().checked_add(timeout));
+    timeout_deadline.map_or(request_deadline, |deadline| deadline.min(request_deadline))
 }
 
 #[cfg(test)]
--- a/crates/edge-node/src/node/clock.rs
+++ b/crates/edge-node/src/node/clock.rs
@@ -1,21 +1,21 @@
-//! The clock by which the decision library is called.
+//! The clock whose time is passed to the decision library with each event.
 
 use gateway_core::Timestamp;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Unix time in microseconds that never goes back: the wall clock is read once, and a monotonic
-/// clock adds to it.
+/// A monotonic clock that shows Unix time in microseconds: the wall clock is read once, and the
+/// time elapsed since then is added.
 ///
-/// Discovery reports when servers started in Unix time, so that its times need no conversion but of
-/// units.
+/// Unix time is used because discovery reports the start times of servers in it; only their unit
+/// has to be converted.
 pub(super) struct Clock {
     started: Instant,
     unix_at_start: Timestamp,
 }
 
 impl Clock {
-    /// Reads the wall clock. A time before 1970 counts as 1970.
+    /// Reads the wall clock once. A time before 1970 is taken as the start of 1970.
     pub(super) fn start() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The time now, since 1970.
+    /// Returns the current Unix time.
     pub(super) fn now(&self) -> Timestamp {
         self.unix_at_start + self.started.elapsed()
     }
--- a/crates/edge-node/src/node/endpoints.rs
+++ b/crates/edge-node/src/node/endpoints.rs
@@ -1,5 +1,5 @@
-//! Endpoint lists of discovery: how they reach the connection pools and the decision library, and
-//! what is known of the watch that brings them.
+//! Endpoint lists from discovery: passes them on to the connection pools and the decision library,
+//! and records the status of the watch on discovery.
 
 use super::Node;
 use crate::endpoint_list::{EndpointEntry, EndpointHealth, EndpointList};
@@ -15,60 +15,64 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// The zone of each server where the settings name no zones: no request crosses a zone boundary
-/// then.
+/// The zone of every server if the settings name no zones. No request crosses a zone boundary then.
 const ONLY_ZONE: ZoneId = ZoneId(0);
-/// The zone of a server whose zone the settings don't name.
+/// The zone of a server whose zone name is not in the settings.
 const UNKNOWN_ZONE: ZoneId = ZoneId(u32::MAX);
 const MICROS_PER_MILLI: u64 = 1000;
-/// Parameters of the hash FNV-1a, 64 bits.
+/// Initial value of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Multiplier of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 /// The endpoint list that was applied last.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AppliedList {
-    /// Its number, as discovery counts.
+    /// The sequence number that discovery gave the list.
     pub(super) sequence: u64,
-    /// When it was applied.
+    /// Time at which the list was applied.
     pub(super) applied_at: Instant,
 }
 
-/// What is known of the watch on discovery.
+/// The status of the watch on discovery.
 #[derive(Default)]
 pub(super) struct WatchStatus {
-    /// Whether the watch was logged as lost and no list has come since.
+    /// Whether the watch was logged as lost and no list has been applied since.
     is_lost: Cell<bool>,
     last_list: Cell<Option<AppliedList>>,
 }
 
 impl WatchStatus {
-    /// Whether the watch was logged as lost and no list has come since.
+    /// Returns whether the watch was logged as lost and no list has been applied since.
     pub(super) fn is_lost(&self) -> bool {
         self.is_lost.get()
     }
 
-    /// The list that came last; `None` before the first.
+    /// Returns the list that was applied last; `None` before the first list.
     pub(super) fn last_list(&self) -> Option<AppliedList> {
         self.last_list.get()
     }
 }
 
 impl Node {
-    /// Applies endpoints: first to the connection pools, then to the decision library. In this order
-    /// no request that waits for a connection is sent to a server that has left.
-    pub(crate) fn apply_endpoints(self: &Rc<Self>, kind: EndpointUpdate, hosts: &[EndpointEntry]) {
+    /// Applies endpoints to the connection pools first and then to the decision library. In this
+    /// order, a request that waits for a connection is never sent to a server that has left.
+    pub(crate) fn apply_endpoints(
+        self: &Rc<Self>,
+        kind: EndpointUpdate,
+        entries: &[EndpointEntry],
+    ) {
         let zones = &self.settings.zone_names;
-        let endpoints = hosts.iter().map(|host| endpoint(host, zones)).collect();
-        let addresses = hosts.iter().map(|host| ServerAddress {
-            server: server_id(&host.name),
-            address: dial_address(host),
+        let endpoints = entries.iter().map(|entry| endpoint(entry, zones)).collect();
+        let addresses = entries.iter().map(|entry| ServerAddress {
+            server: server_id(&entry.name),
+            address: connect_address(entry),
         });
         self.upstream.update_endpoints(kind, addresses);
         self.handle_event(Event::EndpointsUpdated { kind, endpoints });
     }
 
-    /// Notes and logs that a list from discovery has been applied.
+    /// Records and logs that a list from discovery has been applied.
     pub(crate) fn endpoint_list_applied(&self, list: &EndpointList) {
         let sequence = list.sequence;
         let entries = list.entries.readable.len();
@@ -80,48 +84,48 @@
             info!(
                 event = "watch_restored",
                 seq = sequence,
-                "discovery: the watch is back"
+                "discovery: watch restored"
             );
         }
-        let extent = if list.is_snapshot {
-            "the whole list"
+        let kind = if list.is_snapshot {
+            "snapshot"
         } else {
-            "changes"
+            "delta"
         };
         info!(
             event = "endpoints_updated",
             seq = sequence,
             entries,
             whole = list.is_snapshot,
-            "list {sequence} applied: {extent}, {entries} entries"
+            "endpoint list {sequence} applied: {kind}, {entries} entries"
         );
     }
 
-    /// Counts a watch on discovery that has ended, whatever the reason.
+    /// Counts a watch on discovery that has ended, for any reason.
     pub(crate) fn watch_ended(&self) {
         if let Some(metrics) = &self.metrics {
             metrics.record_watch_reset();
         }
     }
 
-    /// Notes and logs that the watch on discovery was lost, for a reason that has not been logged
-    /// yet.
+    /// Records and logs that the watch on discovery was lost. Called once per loss, not for each
+    /// failed attempt to reopen the watch.
     pub(crate) fn watch_lost(&self, address: SocketAddr, error: &dyn fmt::Display) {
         self.watch.is_lost.set(true);
         warn!(event = "watch_lost", %address, cause = %format_args!("{error:#}"), "discovery: {error:#}");
     }
 }
 
-/// An entry of discovery's list in the decision library's terms.
-fn endpoint(host: &EndpointEntry, zone_names: &[String]) -> Endpoint {
+/// Converts an entry of an endpoint list into the decision library's type.
+fn endpoint(entry: &EndpointEntry, zone_names: &[String]) -> Endpoint {
     Endpoint {
-        server: server_id(&host.name),
-        zone: zone_id(&host.zone, zone_names),
-        cell: CellId(host.cell),
-        state: endpoint_state(host.health),
-        weight: host.weight,
-        started_at: (host.started_at_ms > 0).then_some(Timestamp::from_micros(
-            host.started_at_ms.saturating_mul(MICROS_PER_MILLI),
+        server: server_id(&entry.name),
+        zone: zone_id(&entry.zone, zone_names),
+        cell: CellId(entry.cell),
+        state: endpoint_state(entry.health),
+        weight: entry.weight,
+        started_at: (entry.started_at_ms > 0).then_some(Timestamp::from_micros(
+            entry.started_at_ms.saturating_mul(MICROS_PER_MILLI),
         )),
     }
 }
@@ -134,10 +138,11 @@
     }
 }
 
-/// Where new connections to a server go; `None` if it takes none.
-fn dial_address(host: &EndpointEntry) -> Option<SocketAddr> {
-    host.address
-        .filter(|_| host.health == EndpointHealth::Ready)
+/// Returns the address for new connections to a server; `None` if the server accepts none.
+fn connect_address(entry: &EndpointEntry) -> Option<SocketAddr> {
+    entry
+        .address
+        .filter(|_| entry.health == EndpointHealth::Ready)
 }
 
 fn zone_id(name: &str, zone_names: &[String]) -> ZoneId {
@@ -147,7 +152,7 @@
     settings::zone_by_name(zone_names, name).unwrap_or(UNKNOWN_ZONE)
 }
 
-/// A server's id, the same at every edge node: the FNV-1a hash of its name.
+/// Returns the id of a server: the FNV-1a hash of its name, so that all edge nodes use the same id.
 fn server_id(name: &str) -> ServerId {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     ServerId(name.bytes().fold(FNV_OFFSET_BASIS, step))
--- a/crates/edge-node/src/node/mod.rs
+++ b/crates/edge-node/src/node/mod.rs
@@ -1,9 +1,9 @@
 //! The node: owner of the decision library, its clock, and the tables of open requests and attempts
 //! in flight.
 //!
-//! Only [`Node::handle_event`] calls the decision library, and what the module asks for is done in the
-//! order in which it asks. All tasks run on one thread and share the node as an `Rc`; no cell is
-//! borrowed across an `await`.
+//! Only [`Node::handle_event`] passes events to the decision library. It executes the returned
+//! actions in their order. All tasks run on one thread and share the node as an `Rc`; no `RefCell`
+//! is borrowed across an `await`.
 
 mod attempts;
 mod clock;
@@ -30,21 +30,22 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// What a node is built from.
+/// The arguments of [`Node::new`].
 pub(crate) struct NodeParts {
-    /// Seed of the decision library's random numbers.
+    /// Seed of the decision library's random number generator.
     pub(crate) seed: u64,
     /// The settings, with the names of classes, plans and zones.
     pub(crate) settings: ResolvedSettings,
     /// Connections to servers.
     pub(crate) upstream: Upstream,
-    /// The socket to other edge nodes, where some are configured.
+    /// Socket for messages to and from other edge nodes; `None` if no peers are configured.
     pub(crate) peers: Option<Peers>,
-    /// Figures for operators, where the admin listener is configured.
+    /// Metrics for operators; `None` if no admin listener is configured.
     pub(crate) metrics: Option<Rc<Metrics>>,
 }
 
-/// The owner of the decision library and of all that the module's events and actions refer to.
+/// The owner of the decision library, and of the requests, attempts and connections that its events
+/// and actions refer to.
 pub(crate) struct Node {
     /// The settings, with the names of classes, plans and zones.
     pub(crate) settings: ResolvedSettings,
@@ -53,20 +54,19 @@
     peers: Option<Peers>,
     metrics: Option<Rc<Metrics>>,
     clock: Clock,
-    /// The decision library.
     gateway: RefCell<Gateway>,
     requests: PendingRequests,
     attempts: InFlightAttempts,
     watch: WatchStatus,
-    /// Connections of clients that are open.
+    /// Number of open client connections.
     client_connections: Rc<Cell<usize>>,
 }
 
 impl Node {
-    /// Makes a node and starts its clock.
+    /// Creates a node and starts its clock.
     ///
     /// # Errors
-    /// The settings contradict each other.
+    /// Returns an error if the settings contradict each other.
     pub(crate) fn new(parts: NodeParts) -> Result<Rc<Node>, SettingsError> {
         let clock = Clock::start();
         let gateway = Gateway::new(parts.seed, parts.settings.settings.clone(), clock.now())?;
@@ -84,10 +84,10 @@
         }))
     }
 
-    /// Hands an event to the decision library and executes the actions that it returns.
+    /// Passes an event to the decision library and executes the returned actions.
     ///
-    /// No action waits, and none dispatches an event before it returns: the module is never entered
-    /// twice.
+    /// Executing an action neither waits nor dispatches another event, so calls of the decision
+    /// library never nest.
     pub(crate) fn handle_event(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
         self.gateway
@@ -111,14 +111,14 @@
             Action::Broadcast { bytes } => self.broadcast(&bytes),
             Action::SendToPeer { to, bytes } => self.send_to_peer(to, &bytes),
             Action::SetTimer { after, token } => self.set_timer(after, token),
-            // The watch on discovery is open from the start on, so that there is nothing to do.
+            // Nothing to do: the watch on discovery is opened at startup.
             Action::WatchEndpoints => {}
             Action::Warn(warning) => warn!(event = "policy_warning", "{warning}"),
         }
     }
 
-    /// Dispatches [`Event::TimerFired`] with this token after this time. A timer can't be stopped:
-    /// its task ends when it fires, or with the process.
+    /// Dispatches [`Event::TimerFired`] with `token` once `after` has elapsed. A timer can't be
+    /// stopped: its task ends when the timer fires, or with the process.
     fn set_timer(self: &Rc<Self>, after: Duration, token: u64) {
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
--- a/crates/edge-node/src/node/pending_requests.rs
+++ b/crates/edge-node/src/node/pending_requests.rs
@@ -14,17 +14,17 @@
 /// The final answer to a client's request.
 #[derive(Debug)]
 pub(crate) enum Answer {
-    /// A server answered; this is the body of its answer.
+    /// The body of a server's response.
     Served(Bytes),
-    /// The decision library rejected the request; how long the client should wait before it tries
-    /// again, if known.
+    /// The decision library rejected the request. Holds how long the client should wait before it
+    /// retries; `None` if that is not known.
     Rejected(Option<Duration>),
-    /// No server could answer the request.
+    /// The request failed: no server answered it.
     Failed,
 }
 
 impl Answer {
-    /// What the request is counted as.
+    /// Returns the outcome under which the metrics count the request.
     pub(super) fn outcome(&self) -> RequestOutcome {
         match self {
             Answer::Served(_) => RequestOutcome::Served,
@@ -34,17 +34,17 @@
     }
 }
 
-/// What a request is counted under.
+/// The class and plan under which the metrics count a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RequestKind {
-    /// Its class.
+    /// Class of the request.
     pub(super) class: ClassId,
-    /// The plan of its customer.
+    /// Plan of the request's customer.
     pub(super) plan: PlanId,
 }
 
 impl RequestKind {
-    /// The kind of a request that is received; `None` for any other event.
+    /// Returns the kind of the request in [`Event::RequestReceived`]; `None` for any other event.
     pub(super) fn of(event: &Event) -> Option<RequestKind> {
         match event {
             Event::RequestReceived { class, plan, .. } => Some(RequestKind {
@@ -59,25 +59,25 @@
 /// A request that has no final answer yet.
 pub(super) struct PendingRequest {
     request: Rc<UpstreamRequest>,
-    /// Whoever waits for the answer has the receiver.
-    pub(super) answer: oneshot::Sender<Answer>,
+    /// Sends the final answer to the client's connection.
+    pub(super) answer_sender: oneshot::Sender<Answer>,
     attempts_started: u32,
-    /// What the request is counted under, if it is counted.
+    /// The class and plan under which the metrics count the request; `None` if it is not counted.
     pub(super) kind: Option<RequestKind>,
-    /// When the request was complete, with its body.
+    /// Time at which the request had been received completely, including its body.
     pub(super) received_at: Instant,
 }
 
 impl PendingRequest {
-    /// A request that is complete now, without attempts.
+    /// Creates a pending request without attempts, received completely at this moment.
     pub(super) fn new(
         request: UpstreamRequest,
         kind: Option<RequestKind>,
-        answer: oneshot::Sender<Answer>,
+        answer_sender: oneshot::Sender<Answer>,
     ) -> PendingRequest {
         PendingRequest {
             request: Rc::new(request),
-            answer,
+            answer_sender,
             attempts_started: 0,
             kind,
             received_at: Instant::now(),
@@ -87,42 +87,42 @@
 
 /// An attempt that is about to be sent.
 pub(super) struct NextAttempt {
-    /// The request to be sent.
+    /// The request to send.
     pub(super) request: Rc<UpstreamRequest>,
-    /// Counts the attempts of the request, from 0 on.
+    /// Number of the attempt within its request, from 0.
     pub(super) number: AttemptNumber,
 }
 
-/// A pending request as the admin listener shows it.
+/// A pending request as the admin listener reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PendingRequestStatus {
-    /// The id that the client gave the request.
+    /// Id that the client gave the request.
     pub(crate) id: RequestId,
-    /// Time since the request was complete.
+    /// Time since the request was received completely.
     pub(crate) age: Duration,
-    /// Attempts that have been started, the one in flight among them.
+    /// Number of attempts started, including one in flight.
     pub(crate) attempts: u32,
 }
 
-/// All requests without a final answer. The entry of a request is the right to answer it: whoever
-/// removes it answers.
+/// All requests without a final answer. Only the caller that removes the entry of a request answers
+/// it, so each request gets one final answer.
 #[derive(Default)]
 pub(super) struct PendingRequests {
     by_id: RefCell<HashMap<RequestId, PendingRequest>>,
 }
 
 impl PendingRequests {
-    /// How many requests are pending.
+    /// Returns the number of pending requests.
     pub(super) fn len(&self) -> usize {
         self.by_id.borrow().len()
     }
 
-    /// Whether the request has no final answer yet.
+    /// Returns whether the request has no final answer yet.
     pub(super) fn contains(&self, id: &RequestId) -> bool {
         self.by_id.borrow().contains_key(id)
     }
 
-    /// Counts one more attempt of a request; `None` if it is not pending.
+    /// Counts one more attempt of a request and returns it; `None` if the request is not pending.
     pub(super) fn next_attempt(&self, id: &RequestId) -> Option<NextAttempt> {
         let mut requests = self.by_id.borrow_mut();
         let pending = requests.get_mut(id)?;
@@ -134,7 +134,7 @@
         })
     }
 
-    /// The requests that were received first, the oldest in front, at most `limit`.
+    /// Returns the `limit` oldest requests, or all if there are fewer, the oldest first.
     pub(super) fn oldest(&self, limit: usize) -> Vec<PendingRequestStatus> {
         let requests = self.by_id.borrow();
         let mut by_age: Vec<_> = requests.iter().collect();
@@ -148,12 +148,12 @@
         by_age.into_iter().map(status).collect()
     }
 
-    /// Adds a request whose id is not in the table.
+    /// Adds a request. Its id must not be in the table.
     pub(super) fn insert(&self, id: RequestId, pending: PendingRequest) {
         self.by_id.borrow_mut().insert(id, pending);
     }
 
-    /// Removes a request; `None` if it has its final answer.
+    /// Removes and returns a request; `None` if it is not pending.
     pub(super) fn remove(&self, id: &RequestId) -> Option<PendingRequest> {
         self.by_id.borrow_mut().remove(id)
     }
--- a/crates/edge-node/src/node/requests.rs
+++ b/crates/edge-node/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! What the node does with requests: accepts them, and gives each its one final answer.
+//! The requests of clients: accepts them, and gives each exactly one final answer.
 
 use super::pending_requests::{Answer, PendingRequest, RequestKind};
 use super::Node;
@@ -11,19 +11,19 @@
 use tracing::debug;
 
 impl Node {
-    /// Requests that have no final answer yet.
+    /// Returns the number of requests that have no final answer yet.
     pub(crate) fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Puts a request into the table and hands it to the decision library; the receiver gets its
-    /// final answer.
+    /// Adds a request to the table and passes it to the decision library. Returns the receiver of
+    /// the final answer.
     ///
-    /// `None` if the id is in use, also by an attempt whose request has been answered: two requests
-    /// under one id would mix up their answers.
+    /// Returns `None` if the id is in use by a pending request, or by an attempt in flight of a
+    /// request that has been answered: the answers of two requests with one id could be confused.
     ///
-    /// Whoever waits for the answer has to call [`Node::abandon_request`] when it stops waiting.
-    /// Dropping the receiver alone leaves the request in the table.
+    /// A caller that stops waiting for the answer has to call [`Node::abandon_request`]. Dropping
+    /// the receiver leaves the request in the table.
     pub(crate) fn accept_request(
         self: &Rc<Self>,
         event: Event,
@@ -41,21 +41,21 @@
             id.0,
             request.target
         );
-        let (answer, answered) = oneshot::channel();
-        let pending = PendingRequest::new(request, RequestKind::of(&event), answer);
+        let (answer_sender, answer_receiver) = oneshot::channel();
+        let pending = PendingRequest::new(request, RequestKind::of(&event), answer_sender);
         self.requests.insert(id, pending);
         self.handle_event(event);
-        Some(answered)
+        Some(answer_receiver)
     }
 
-    /// Ends a request for which nobody waits any more: its client has disconnected, or its deadline
-    /// has passed. Does nothing once the request has its final answer.
+    /// Ends a request whose client has disconnected or whose deadline has passed. Does nothing if
+    /// the request has its final answer.
     pub(crate) fn abandon_request(self: &Rc<Self>, id: &RequestId) {
         let Some(pending) = self.requests.remove(id) else {
             return;
         };
         self.record_outcome(&pending, RequestOutcome::Abandoned);
-        debug!(event = "client_disconnected", id = %id.0, "request {}: nobody waits any more", id.0);
+        debug!(event = "client_disconnected", id = %id.0, "request {}: abandoned", id.0);
         self.handle_event(Event::ClientDisconnected { id: id.clone() });
     }
 
@@ -74,12 +74,12 @@
             outcome.label()
         );
         self.record_outcome(&pending, outcome);
-        // The receiver is gone if the client has disconnected in this moment; the answer is dropped
-        // then.
-        let _ = pending.answer.send(answer);
+        // If the client has just disconnected, the receiver no longer exists and the answer is
+        // dropped.
+        let _ = pending.answer_sender.send(answer);
     }
 
-    /// Rejects a request; its client should wait for `retry_after` before it retries.
+    /// Rejects a request. `retry_after` is how long its client should wait before it retries.
     pub(super) fn reject_request(&self, id: &RequestId, retry_after: Option<Duration>) {
         self.answer_request(id, Answer::Rejected(retry_after));
     }
--- a/crates/edge-node/src/node/status.rs
+++ b/crates/edge-node/src/node/status.rs
@@ -1,4 +1,4 @@
-//! The figures that the admin listener asks for, and the count of client connections.
+//! The status that the admin listener reports, and the count of client connections.
 
 use super::pending_requests::PendingRequestStatus;
 use super::Node;
@@ -7,11 +7,11 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A directory with an entry for each descriptor of this process.
+/// The directory with one entry per open file descriptor of this process.
 const DESCRIPTOR_DIRECTORY: &str = "/proc/self/fd";
 
-/// Counts one client connection for as long as it lives, so that a connection whose task is dropped
-/// isn't counted any more either.
+/// Counts one client connection until the guard is dropped. The count is also right if the task of
+/// the connection is dropped before it ends.
 pub(crate) struct ClientConnectionGuard {
     connections: Rc<Cell<usize>>,
 }
@@ -33,12 +33,12 @@
 }
 
 impl Node {
-    /// Counts a client's connection until the guard is dropped.
+    /// Counts a client connection until the returned guard is dropped.
     pub(crate) fn client_connected(&self) -> ClientConnectionGuard {
         ClientConnectionGuard::new(&self.client_connections)
     }
 
-    /// The figures at this moment.
+    /// Returns the current status.
     pub(crate) fn status(&self) -> StatusSnapshot {
         let datagrams = self
             .peers
@@ -60,20 +60,21 @@
         }
     }
 
-    /// Whether the watch on discovery is lost: it was logged, and no list has come since.
+    /// Returns whether the watch on discovery was logged as lost and no list has been applied
+    /// since.
     pub(crate) fn is_watch_lost(&self) -> bool {
         self.watch.is_lost()
     }
 
-    /// The open requests that were received first, at most `limit`.
+    /// Returns the `limit` oldest open requests, or all if there are fewer, the oldest first.
     pub(crate) fn oldest_requests(&self, limit: usize) -> Vec<PendingRequestStatus> {
         self.requests.oldest(limit)
     }
 }
 
-/// Descriptors that this process holds; 0 where the system doesn't say.
+/// Returns the number of open file descriptors of this process; 0 if it can't be determined.
 fn open_descriptors() -> usize {
-    // The directory that is read is open itself, and does not count.
+    // The descriptor of the directory being read is not counted.
     std::fs::read_dir(DESCRIPTOR_DIRECTORY).map_or(0, |entries| entries.count().saturating_sub(1))
 }
 
--- a/crates/edge-node/tests/log.rs
+++ b/crates/edge-node/tests/log.rs
@@ -64,7 +64,7 @@
     let hosts = [servers.start_returning_entry("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let mut node = EdgeNode::start_with_toml("life", &config(&discovery, ""));
-    node.wait_for_log("list 1 applied: the whole list, 1 entries");
+    node.wait_for_log("endpoint list 1 applied: snapshot, 1 entries");
     node.wait_for_log("ready: a list of servers has come");
     assert_eq!(node.client().exchange(&read("quiet-1")).status(), 200);
     // A slow machine may have made the edge node give up its first watch, and log that. Only the
@@ -76,7 +76,7 @@
         .expect("it is open");
     assert!(node.wait_for_log("discovery: ").contains("WARN"));
     discovery.next_watch();
-    node.wait_for_log("discovery: the watch is back");
+    node.wait_for_log("discovery: watch restored");
     node.reload(|text| text.replacen("attempts = 5", "attempts = 0", 1));
     let rejection_line = node.wait_for_log("the old configuration stays");
     assert!(
--- a/crates/edge-node/tests/unit/status.rs
+++ b/crates/edge-node/tests/unit/status.rs
@@ -1,9 +1,9 @@
-//! The count of client connections.
+//! Tests the count of client connections.
 
 use super::*;
 
 #[test]
-fn a_client_connection_counts_until_its_guard_is_dropped() {
+fn client_connection_is_counted_until_guard_is_dropped() {
     let connections = Rc::new(Cell::new(0));
     let first = ClientConnectionGuard::new(&connections);
     let second = ClientConnectionGuard::new(&connections);
