--- a/crates/edge-node/tests/support/client.rs
+++ b/crates/edge-node/tests/support/client.rs
@@ -5,31 +5,31 @@
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, TcpStream};
 
-/// A client with one connection.
+/// A client with one connection to the edge node.
 pub(crate) struct Client {
-    /// The connection.
+    /// The client's side of the connection.
     pub(crate) stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
-    /// A client on a connection that is open.
+    /// Creates a client on an open connection.
     pub(crate) fn new(stream: TcpStream) -> Client {
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
-        let reader = BufReader::new(stream.try_clone().expect("a clone"));
+            .expect("read timeout is set");
+        let reader = BufReader::new(stream.try_clone().expect("socket is cloned"));
         Client { stream, reader }
     }
 
-    /// Sends text as it is.
+    /// Sends a text unchanged.
     pub(crate) fn send(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
-            .expect("the connection is open");
+            .expect("connection is open");
     }
 
-    /// Waits for the next response; `None` if the connection ends first.
+    /// Waits for the next response; returns `None` if the connection ends first.
     pub(crate) fn read_response(&mut self) -> Option<HttpMessage> {
         HttpMessage::read(&mut self.reader)
     }
@@ -37,18 +37,19 @@
     /// Sends a request and waits for its response.
     pub(crate) fn exchange(&mut self, request: &str) -> HttpMessage {
         self.send(request);
-        self.read_response().expect("a whole answer")
+        self.read_response().expect("complete response")
     }
 
-    /// Closes the connection at once. Dropping the client would leave it open for as long as a
-    /// process has a copy of it: one that another test starts at this moment inherits one.
+    /// Closes the connection immediately. Dropping the client is not enough: a process that another
+    /// test starts at the same time may inherit a copy of the socket, which keeps the connection
+    /// open.
     pub(crate) fn close(self) {
         self.stream
             .shutdown(Shutdown::Both)
-            .expect("the connection is open");
+            .expect("connection is open");
     }
 
-    /// Waits until the edge node closes the connection. Fails if anything more arrives on it.
+    /// Waits until the edge node closes the connection. Panics if any further data arrives.
     pub(crate) fn assert_closed(&mut self) {
         let mut rest = Vec::new();
         let read = self.reader.read_to_end(&mut rest);
@@ -60,8 +61,8 @@
     }
 }
 
-/// The text of a request of a class, with the method of that class; `deadline` is a span as the
-/// header has it.
+/// Returns the text of a request of a class, with the method of that class. `deadline` is the value
+/// of the `X-Deadline` header.
 pub(crate) fn request_text(id: &str, class: &str, deadline: &str) -> String {
     let (method, more_headers) = match class {
         "read" => ("GET", ""),
@@ -76,7 +77,8 @@
     )
 }
 
-/// A request without a body, of a class and a plan of the example configuration.
+/// Returns the text of a request without a body, with a class and a plan of the example
+/// configuration.
 pub(crate) fn example_read_request(id: &str, deadline: &str) -> String {
     request_text(id, "balance-read", deadline)
         .replace("POST", "GET")
--- a/crates/edge-node/tests/support/fake_discovery.rs
+++ b/crates/edge-node/tests/support/fake_discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the agent of discovery, and lists in the form in which it sends them.
+//! A fake discovery agent, and endpoint lists in the JSON format of discovery.
 
 use super::http::HttpMessage;
 use super::refusing_address::RefusingAddress;
@@ -9,54 +9,55 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// How the response to a watch begins.
+/// The head of the response to a watch.
 pub(crate) const WATCH_RESPONSE_HEAD: &str =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A watch that the edge node has opened: its request line, and the connection to respond on.
+/// A watch that the edge node has opened: its request line and the connection on which to respond.
 type OpenedWatch = (String, TcpStream);
 
-/// The list with which each watch begins; `None` leaves the whole response to the test.
+/// The list that each new watch is sent first; `None` if the test writes the whole response.
 type InitialList = Arc<Mutex<Option<String>>>;
 
-/// An agent of discovery. The watches that are opened on it go to the test, which writes to them.
+/// A fake discovery agent. It hands each opened watch to the test, which writes the rest of the
+/// response.
 pub(crate) struct FakeDiscovery {
-    /// Where it listens.
+    /// Address on which the agent listens.
     pub(crate) address: SocketAddr,
     watches: Receiver<OpenedWatch>,
     initial_list: InitialList,
 }
 
 impl FakeDiscovery {
-    /// Starts one that has a snapshot of these servers, version 1.
+    /// Starts an agent that has a snapshot of these servers with sequence number 1.
     pub(crate) fn start(entries: &[String]) -> FakeDiscovery {
-        FakeDiscovery::listen_anywhere(Some(endpoint_list(1, true, entries)))
+        FakeDiscovery::listen_on_free_port(Some(endpoint_list(1, true, entries)))
     }
 
-    /// Starts one that sends nothing by itself: the response to a watch, with its head, is for the
-    /// test to write.
+    /// Starts an agent that sends nothing by itself. The test writes the whole response to a watch,
+    /// including its head.
     pub(crate) fn silent() -> FakeDiscovery {
-        FakeDiscovery::listen_anywhere(None)
+        FakeDiscovery::listen_on_free_port(None)
     }
 
-    /// Starts one at an address that has refused connections so far, with this list.
+    /// Starts an agent with this list at an address that has refused connections until now.
     pub(crate) fn start_at(address: RefusingAddress, list: String) -> FakeDiscovery {
         FakeDiscovery::listen(address.listen(), Some(list))
     }
 
-    fn listen_anywhere(initial_list: Option<String>) -> FakeDiscovery {
+    fn listen_on_free_port(initial_list: Option<String>) -> FakeDiscovery {
         FakeDiscovery::listen(
-            TcpListener::bind("127.0.0.1:0").expect("a port"),
+            TcpListener::bind("127.0.0.1:0").expect("free port"),
             initial_list,
         )
     }
 
     fn listen(listener: TcpListener, initial_list: Option<String>) -> FakeDiscovery {
-        let address = listener.local_addr().expect("an address");
-        let (report, watches) = mpsc::channel();
+        let address = listener.local_addr().expect("local address");
+        let (watch_sender, watches) = mpsc::channel();
         let initial_list = Arc::new(Mutex::new(initial_list));
         let served_list = Arc::clone(&initial_list);
-        thread::spawn(move || accept_watches(&listener, &served_list, &report));
+        thread::spawn(move || accept_watches(&listener, &served_list, &watch_sender));
         FakeDiscovery {
             address,
             watches,
@@ -64,72 +65,71 @@
         }
     }
 
-    /// From now on each watch begins with this list.
+    /// Sets the list that each new watch is sent first.
     pub(crate) fn set_list(&self, list: String) {
-        *self.initial_list.lock().expect("no panic") = Some(list);
+        *self.initial_list.lock().expect("mutex is not poisoned") = Some(list);
     }
 
-    /// Waits for the next watch that the edge node opens: its request line, and the connection to
-    /// respond on.
+    /// Waits for the next watch that the edge node opens and returns it.
     pub(crate) fn next_watch(&self) -> OpenedWatch {
         self.watches
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a watch is opened")
+            .expect("edge node opens a watch")
     }
 
-    /// The last watch that the edge node has opened so far; waits for one if there is none.
+    /// Returns the watch that the edge node opened last; waits for one if there is none.
     pub(crate) fn latest_watch(&self) -> OpenedWatch {
         let first = self.next_watch();
         self.watches.try_iter().last().unwrap_or(first)
     }
 
-    /// How many watches have been opened that the test has not taken.
+    /// Takes all watches that the test has not yet taken, and returns their number.
     pub(crate) fn unseen_watches(&self) -> usize {
         self.watches.try_iter().count()
     }
 }
 
-/// Accepts watches one after the other, for ever.
+/// Accepts watches one after another until the process ends.
 fn accept_watches(
     listener: &TcpListener,
     initial_list: &InitialList,
-    report: &Sender<OpenedWatch>,
+    watch_sender: &Sender<OpenedWatch>,
 ) {
     for mut stream in listener.incoming().flatten() {
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let mut reader = BufReader::new(stream.try_clone().expect("socket is cloned"));
         let Some(request) = HttpMessage::read(&mut reader) else {
             continue;
         };
-        if let Some(list) = &*initial_list.lock().expect("no panic") {
+        if let Some(list) = &*initial_list.lock().expect("mutex is not poisoned") {
             // The edge node may have closed the connection.
             let _ =
                 stream.write_all(format!("{WATCH_RESPONSE_HEAD}{}", list_chunk(list)).as_bytes());
         }
-        // The test may have ended.
-        let _ = report.send((request.start_line, stream));
+        // The receiver no longer exists if the test has ended.
+        let _ = watch_sender.send((request.start_line, stream));
     }
 }
 
-/// A line of a watch, as a chunk of its response.
+/// Returns a list on a line of its own, as a chunk of the response to a watch.
 pub(crate) fn list_chunk(list: &str) -> String {
     format!("{:x}\r\n{list}\n\r\n", list.len() + 1)
 }
 
-/// Sends a line on a watch.
+/// Sends a list on a watch.
 pub(crate) fn send_list(watch: &mut TcpStream, list: &str) {
     watch
         .write_all(list_chunk(list).as_bytes())
-        .expect("the watch is open");
+        .expect("watch is open");
 }
 
-/// An entry of a list, in the form of discovery.
+/// Returns an entry of an endpoint list in the JSON format of discovery.
 pub(crate) fn endpoint_entry(name: &str, address: SocketAddr, cell: u32, health: &str) -> String {
     format!(
         r#"{{"host":"{name}","dial":"{address}","site":"a","class":"k","block":{cell},"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
-/// A list, in the form of discovery.
+/// Returns an endpoint list in the JSON format of discovery.
 pub(crate) fn endpoint_list(sequence: u64, is_snapshot: bool, entries: &[String]) -> String {
     format!(
         r#"{{"seq":{sequence},"whole":{is_snapshot},"hosts":[{}]}}"#,
--- a/crates/edge-node/tests/support/fake_server.rs
+++ b/crates/edge-node/tests/support/fake_server.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for servers: each behaves as its test says and reports the requests that arrive.
+//! Fake servers: each follows the behaviors that the test sets, and hands the received requests to
+//! the test.
 
 use super::fake_discovery::endpoint_entry;
 use super::http::HttpMessage;
@@ -9,12 +10,12 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What a server does with a request.
+/// How a server handles a request.
 #[derive(Clone, Debug)]
 pub(crate) enum ServerBehavior {
     /// Sends this response and keeps the connection open.
     Respond(&'static str),
-    /// Sends this, which may be part of a response or nothing, and closes the connection.
+    /// Sends this text, which may be an incomplete response or empty, and closes the connection.
     RespondAndClose(&'static str),
     /// Sends nothing and keeps the connection open.
     NeverRespond,
@@ -23,31 +24,32 @@
 /// Responds with status 200 and a body.
 pub(crate) const RESPONDS_OK: ServerBehavior =
     ServerBehavior::Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks");
-/// Responds with status 500: the request may have been executed.
+/// Responds with status 500, after which the request may have been executed.
 pub(crate) const RESPONDS_ERROR: ServerBehavior =
     ServerBehavior::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
-/// Responds with status 503 and says that the request was not executed.
+/// Responds with status 503 and a header which states that the request was not executed.
 pub(crate) const RESPONDS_OVERLOADED: ServerBehavior =
     ServerBehavior::Respond("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
-/// A whole request that has arrived at a server.
+/// A request that a server has received completely.
 pub(crate) struct ReceivedRequest {
-    /// The name of the server.
+    /// Name of the server.
     pub(crate) server: String,
-    /// The request.
+    /// The request with its headers and body.
     pub(crate) message: HttpMessage,
-    /// The number of its connection at this server, from 0.
+    /// Number of the connection at this server, from 0.
     pub(crate) connection: usize,
-    /// No earlier attempt of the request was still open.
+    /// Whether no earlier attempt of the request was still open.
     pub(crate) is_only_open_attempt: bool,
-    /// The connection on which it arrived.
+    /// The connection on which the request arrived.
     pub(crate) stream: TcpStream,
 }
 
-/// The behaviors for the next requests, one each; the last stays in force.
+/// The behaviors for the next requests, one per request; the last one is used for all further
+/// requests.
 pub(crate) type SharedBehaviors = Arc<Mutex<Vec<ServerBehavior>>>;
 
-/// An attempt to which its server never responds.
+/// An attempt to which the server never responds.
 struct UnansweredAttempt {
     request_id: String,
     stream: TcpStream,
@@ -55,48 +57,48 @@
 
 type UnansweredAttempts = Arc<Mutex<Vec<UnansweredAttempt>>>;
 
-/// A group of servers, whose requests arrive at the test in one queue.
+/// A group of servers whose received requests go to the test through one queue.
 pub(crate) struct FakeServers {
     requests: Receiver<ReceivedRequest>,
-    report: Sender<ReceivedRequest>,
+    request_sender: Sender<ReceivedRequest>,
     unanswered: UnansweredAttempts,
 }
 
 impl FakeServers {
-    /// A group without servers.
+    /// Creates a group without servers.
     pub(crate) fn new() -> FakeServers {
-        let (report, requests) = mpsc::channel();
+        let (request_sender, requests) = mpsc::channel();
         FakeServers {
             requests,
-            report,
+            request_sender,
             unanswered: Arc::default(),
         }
     }
 
-    /// Starts a server with behaviors of its own; returns its address.
+    /// Starts a server with its own behaviors. Returns the server's address.
     pub(crate) fn start(&self, name: &str, behaviors: &[ServerBehavior]) -> SocketAddr {
         self.start_with_shared_behaviors(name, &Arc::new(Mutex::new(behaviors.to_vec())))
     }
 
-    /// Starts a server with behaviors of its own; returns its entry of an endpoint list, by which
-    /// it is ready.
+    /// Starts a server with its own behaviors. Returns an endpoint list entry with which the server
+    /// is ready.
     pub(crate) fn start_returning_entry(&self, name: &str, behaviors: &[ServerBehavior]) -> String {
         endpoint_entry(name, self.start(name, behaviors), 1, "ready")
     }
 
-    /// Starts a server that takes its behaviors from a sequence shared with others; returns its
-    /// address.
+    /// Starts a server that takes its behaviors from a sequence shared with other servers. Returns
+    /// the server's address.
     pub(crate) fn start_with_shared_behaviors(
         &self,
         name: &str,
         behaviors: &SharedBehaviors,
     ) -> SocketAddr {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("free port");
+        let address = listener.local_addr().expect("local address");
         let server = FakeServer {
             name: name.to_owned(),
             behaviors: Arc::clone(behaviors),
-            report: self.report.clone(),
+            request_sender: self.request_sender.clone(),
             unanswered: Arc::clone(&self.unanswered),
         };
         thread::spawn(move || {
@@ -108,42 +110,43 @@
         address
     }
 
-    /// Waits for the next request. Fails if an earlier attempt of it is still open.
+    /// Waits for the next request. Panics if an earlier attempt of the request is still open.
     pub(crate) fn next_request(&self) -> ReceivedRequest {
         let request = self
             .requests
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a request arrives at a server");
+            .expect("request arrives at a server");
         assert!(
             request.is_only_open_attempt,
-            "two attempts of a request are open at once"
+            "two attempts of a request must not be open at once"
         );
         request
     }
 
-    /// All requests that have arrived and that the test has not taken.
+    /// Takes and returns all received requests that the test has not yet taken.
     pub(crate) fn unseen_requests(&self) -> Vec<ReceivedRequest> {
         self.requests.try_iter().collect()
     }
 
-    /// Fails if a request has arrived that the test has not taken.
+    /// Panics if a request has arrived that the test has not yet taken.
     pub(crate) fn assert_no_more_requests(&self) {
-        assert!(self.requests.try_recv().is_err(), "one attempt too many");
+        assert!(self.requests.try_recv().is_err(), "unexpected request");
     }
 }
 
+/// A server of a group. Each of its connections is served by a clone on a thread of its own.
 #[derive(Clone)]
 struct FakeServer {
     name: String,
     behaviors: SharedBehaviors,
-    report: Sender<ReceivedRequest>,
+    request_sender: Sender<ReceivedRequest>,
     unanswered: UnansweredAttempts,
 }
 
 impl FakeServer {
     /// Serves a connection until either side closes it.
     fn serve(&self, connection: usize, mut stream: TcpStream) {
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let mut reader = BufReader::new(stream.try_clone().expect("socket is cloned"));
         while let Some(message) = HttpMessage::read(&mut reader) {
             let behavior = self.next_behavior();
             let is_only_open_attempt = self.register_attempt(&message, &behavior, &stream);
@@ -152,16 +155,16 @@
                 message,
                 connection,
                 is_only_open_attempt,
-                stream: stream.try_clone().expect("a clone"),
+                stream: stream.try_clone().expect("socket is cloned"),
             };
-            // The test may have ended.
-            let _ = self.report.send(request);
+            // The receiver no longer exists if the test has ended.
+            let _ = self.request_sender.send(request);
             respond(&behavior, &mut stream);
         }
     }
 
     fn next_behavior(&self) -> ServerBehavior {
-        let mut behaviors = self.behaviors.lock().expect("no panic");
+        let mut behaviors = self.behaviors.lock().expect("mutex is not poisoned");
         if behaviors.len() > 1 {
             behaviors.remove(0)
         } else {
@@ -169,8 +172,8 @@
         }
     }
 
-    /// Whether no earlier attempt of the request is still open. One that will not be answered is
-    /// kept for the same question about later ones.
+    /// Returns whether no earlier attempt of the request is still open. Records the attempt if the
+    /// server will never respond to it, so that later attempts can be checked against it.
     fn register_attempt(
         &self,
         message: &HttpMessage,
@@ -178,20 +181,21 @@
         stream: &TcpStream,
     ) -> bool {
         let request_id = message.header("x-request-id").to_owned();
-        let mut unanswered = self.unanswered.lock().expect("no panic");
+        let mut unanswered = self.unanswered.lock().expect("mutex is not poisoned");
         let mut earlier = unanswered
             .iter()
             .filter(|attempt| attempt.request_id == request_id);
         let is_only_open_attempt = earlier.all(|attempt| is_closed_now(&attempt.stream));
         if matches!(behavior, ServerBehavior::NeverRespond) {
-            let stream = stream.try_clone().expect("a clone");
+            let stream = stream.try_clone().expect("socket is cloned");
             unanswered.push(UnansweredAttempt { request_id, stream });
         }
         is_only_open_attempt
     }
 }
 
-/// The edge node may have closed the connection, so errors are ignored.
+/// Executes a behavior on a connection. Ignores errors, as the edge node may have closed the
+/// connection.
 fn respond(behavior: &ServerBehavior, stream: &mut TcpStream) {
     match behavior {
         ServerBehavior::Respond(response) => {
@@ -205,20 +209,21 @@
     }
 }
 
-/// Waits for the edge node to close the connection of a request; false if it sends more or keeps it
-/// open.
+/// Waits for the edge node to close the connection of a request. Returns false if it sends further
+/// data or keeps the connection open for [`TEST_TIMEOUT`].
 pub(crate) fn is_closed_in_time(request: &ReceivedRequest) -> bool {
     request
         .stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("read timeout is set");
     matches!(request.stream.peek(&mut [0]), Ok(0) | Err(_))
 }
 
+/// Returns whether the edge node has closed the connection, without waiting.
 fn is_closed_now(stream: &TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("a mode");
+    stream.set_nonblocking(true).expect("mode is set");
     let peeked = stream.peek(&mut [0]);
-    stream.set_nonblocking(false).expect("a mode");
+    stream.set_nonblocking(false).expect("mode is set");
     match peeked {
         Ok(length) => length == 0,
         Err(error) => error.kind() != ErrorKind::WouldBlock,
--- a/crates/edge-node/tests/support/mod.rs
+++ b/crates/edge-node/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! The harness of the tests that run the edge node as a process: stand-ins on loopback for all that
-//! it talks to.
+//! Harness for tests that run the edge node as a process. Fake clients, servers, peers and a fake
+//! discovery agent communicate with it over loopback.
 
-// Each test file compiles the harness for itself and uses a part of it.
+// Each test target compiles the harness separately and uses only a part of it.
 #![allow(dead_code, unused_imports)]
 
 mod client;
@@ -29,5 +29,5 @@
 
 use std::time::Duration;
 
-/// Upper bound of every wait, which only a failing test reaches.
+/// Upper bound of every wait. Only a failing test reaches it.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(60);
--- a/crates/edge-node/tests/support/node.rs
+++ b/crates/edge-node/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! The edge node under test, as a process of its own.
+//! The edge node under test, which runs as a separate process.
 
 use super::client::Client;
 use super::configuration::{write_config_file, PlatformConfig};
@@ -12,17 +12,19 @@
 use std::thread;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-node");
-/// Variables by which the platform overrides configurations.
+/// Environment variables with which the platform overrides configurations.
 const PLATFORM_VARIABLES: [&str; 4] = ["LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY"];
 
-/// The program with these arguments, and without any variable of the platform.
+/// Returns a command that runs the program with these arguments and without the platform's
+/// environment variables.
 pub(crate) fn edge_node_command(arguments: &[&str]) -> Command {
     let mut command = Command::new(PROGRAM);
     command.args(arguments);
-    without_platform_variables(command)
+    remove_platform_variables(command)
 }
 
-/// The program under a limit on its descriptors that the machine enforces.
+/// Returns a command that runs the program with a limit on file descriptors that the operating
+/// system enforces.
 fn command_with_descriptor_limit(descriptors: usize) -> Command {
     let mut command = Command::new("/bin/sh");
     command.args([
@@ -30,18 +32,18 @@
         &format!("ulimit -n {descriptors} && exec \"$0\""),
         PROGRAM,
     ]);
-    without_platform_variables(command)
+    remove_platform_variables(command)
 }
 
-fn without_platform_variables(mut command: Command) -> Command {
+fn remove_platform_variables(mut command: Command) -> Command {
     for name in PLATFORM_VARIABLES {
         command.env_remove(name);
     }
     command
 }
 
-/// Starts the program with a configuration in the form of the platform; it may fail. Returns the
-/// process and the path of the configuration.
+/// Starts the program with a configuration in the JSON format of the platform. The program may exit
+/// with an error. Returns the process and the path of the configuration.
 pub(crate) fn spawn_edge_node(tag: &str, config: &str) -> (Child, PathBuf) {
     spawn_with_config(edge_node_command(&[]), tag, config)
 }
@@ -52,40 +54,41 @@
         .env("LB_CONFIG", &path)
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("edge node starts");
     (child, path)
 }
 
-/// An edge node that runs. Dropping it kills the process and removes its configuration.
+/// A running edge node. Dropping it kills the process and removes its configuration file.
 pub(crate) struct EdgeNode {
     child: Child,
-    /// Where it listens for clients.
+    /// Address on which the edge node listens for clients.
     pub(crate) address: SocketAddr,
-    /// The socket of its only peer, which the test plays.
+    /// Socket with which the test acts as the edge node's only peer.
     pub(crate) peer_socket: UdpSocket,
-    /// The address of its own datagrams.
+    /// Address on which the edge node receives datagrams from peers.
     pub(crate) datagram_address: SocketAddr,
-    config: PathBuf,
-    /// Its log after the first line.
+    /// Path of the configuration file.
+    config_path: PathBuf,
+    /// Lines of the log after the first one.
     log: Receiver<String>,
 }
 
 impl EdgeNode {
-    /// Starts one that knows these servers and follows this discovery.
+    /// Starts an edge node whose configuration contains these servers and this discovery address.
     pub(crate) fn start(tag: &str, discovery: SocketAddr, entries: &[String]) -> EdgeNode {
         EdgeNode::start_with_edited_config(tag, discovery, entries, |config| config)
     }
 
-    /// Starts one that may have this many descriptors, by its configuration and by a limit of the
-    /// machine.
+    /// Starts an edge node whose number of file descriptors is limited both by its configuration
+    /// and by the operating system.
     pub(crate) fn start_with_descriptor_limit(
         tag: &str,
         discovery: SocketAddr,
         entries: &[String],
         descriptors: usize,
     ) -> EdgeNode {
-        let limited = format!(r#""sockets":{descriptors}"#);
-        let edit = |config: String| config.replace(r#""sockets":1024"#, &limited);
+        let limited_sockets = format!(r#""sockets":{descriptors}"#);
+        let edit = |config: String| config.replace(r#""sockets":1024"#, &limited_sockets);
         EdgeNode::run(
             command_with_descriptor_limit(descriptors),
             tag,
@@ -95,7 +98,7 @@
         )
     }
 
-    /// Starts one after an edit of the text of its configuration.
+    /// Starts an edge node with a configuration whose text is changed by `edit`.
     pub(crate) fn start_with_edited_config(
         tag: &str,
         discovery: SocketAddr,
@@ -112,25 +115,26 @@
         entries: &[String],
         edit: impl FnOnce(String) -> String,
     ) -> EdgeNode {
-        let peer_socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
+        let peer_socket = UdpSocket::bind("127.0.0.1:0").expect("free port");
         peer_socket
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
-        // The port is free when its socket is closed here; another process could only take it in
-        // the meantime.
-        let free = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr());
-        let datagram_address = free.expect("an address");
+            .expect("read timeout is set");
+        // The socket is closed here, which frees the port for the edge node. Another process may
+        // bind the port before the edge node does.
+        let free_address = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr());
+        let datagram_address = free_address.expect("local address");
         let config = PlatformConfig {
             discovery,
             node_datagram_address: datagram_address,
-            peer_datagram_address: peer_socket.local_addr().expect("an address"),
+            peer_datagram_address: peer_socket.local_addr().expect("local address"),
             known_list: &endpoint_list(1, true, entries),
         };
-        let (child, config) = spawn_with_config(command, tag, &edit(config.text()));
-        EdgeNode::wait_until_listening(child, config, peer_socket, datagram_address)
+        let (child, config_path) = spawn_with_config(command, tag, &edit(config.text()));
+        EdgeNode::wait_until_listening(child, config_path, peer_socket, datagram_address)
     }
 
-    /// Starts one with a configuration in TOML, named on the command line. It has no peers.
+    /// Starts an edge node with a TOML configuration whose path is given on the command line. The
+    /// edge node has no peers.
     pub(crate) fn start_with_toml(tag: &str, config: &str) -> EdgeNode {
         let path = write_config_file(&format!("{tag}.toml"), config);
         let mut command = edge_node_command(&["serve", "--config"]);
@@ -139,68 +143,71 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn();
-        let peer_socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        let datagram_address = peer_socket.local_addr().expect("an address");
+        let peer_socket = UdpSocket::bind("127.0.0.1:0").expect("free port");
+        let datagram_address = peer_socket.local_addr().expect("local address");
         EdgeNode::wait_until_listening(
-            child.expect("it starts"),
+            child.expect("edge node starts"),
             path,
             peer_socket,
             datagram_address,
         )
     }
 
-    /// Waits until a process says in the first line of its log where it listens.
+    /// Waits for the first line of the log, which has the address on which the process listens.
     fn wait_until_listening(
         mut child: Child,
-        config: PathBuf,
+        config_path: PathBuf,
         peer_socket: UdpSocket,
         datagram_address: SocketAddr,
     ) -> EdgeNode {
-        let mut log = BufReader::new(child.stderr.take().expect("piped"));
+        let mut log = BufReader::new(child.stderr.take().expect("standard error is piped"));
         let mut line = String::new();
-        log.read_line(&mut line).expect("a line");
-        let Some(address) = address_in(&line) else {
-            // A process that goes on running would outlive its test.
+        log.read_line(&mut line).expect("log line");
+        let Some(address) = last_address(&line) else {
+            // Otherwise the process would outlive its test.
             let _ = child.kill();
-            panic!("it listens: {line}")
+            panic!("first log line must contain an address: {line}")
         };
         EdgeNode {
             child,
             address,
             peer_socket,
             datagram_address,
-            config,
-            log: follow_log(log),
+            config_path,
+            log: forward_log(log),
         }
     }
 
-    /// A new client with a connection of its own.
+    /// Connects a new client to the edge node.
     pub(crate) fn client(&self) -> Client {
-        Client::new(TcpStream::connect(self.address).expect("the edge node accepts"))
+        Client::new(TcpStream::connect(self.address).expect("edge node accepts the connection"))
     }
 
-    /// Waits until the edge node logs a line with this text; returns the line.
+    /// Waits until the edge node logs a line that contains this text. Returns the line.
     pub(crate) fn wait_for_log(&self, text: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(TEST_TIMEOUT).expect("it says so");
+            let line = self
+                .log
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("edge node logs the text");
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Waits until the edge node has ended; returns the lines of its log that the test has not
-    /// taken.
+    /// Waits until the edge node has exited. Returns the log lines that the test has not yet taken.
     pub(crate) fn remaining_log(&self) -> Vec<String> {
         self.log.iter().collect()
     }
 
-    /// Sends SIGTERM.
+    /// Sends SIGTERM to the process.
     pub(crate) fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Suspends the process; what arrives meanwhile is there all at once when it is resumed.
+    /// Suspends the process. When it is resumed, all data that arrived in the meantime is available
+    /// at once.
     pub(crate) fn suspend(&self) {
         self.signal("-STOP");
     }
@@ -210,41 +217,41 @@
         self.signal("-CONT");
     }
 
-    /// Edits the text of the configuration, then sends SIGHUP.
+    /// Changes the text of the configuration file with `edit`, then sends SIGHUP.
     pub(crate) fn reload(&self, edit: impl FnOnce(String) -> String) {
         let text = self.config_text();
-        let new = self.config.with_extension("new");
-        std::fs::write(&new, edit(text)).expect("the configuration is written");
-        std::fs::rename(new, &self.config).expect("the configuration is replaced");
+        let new_path = self.config_path.with_extension("new");
+        std::fs::write(&new_path, edit(text)).expect("configuration is written");
+        std::fs::rename(new_path, &self.config_path).expect("configuration is replaced");
         self.signal("-HUP");
     }
 
-    /// The text of the configuration.
+    /// Returns the text of the configuration file.
     pub(crate) fn config_text(&self) -> String {
-        std::fs::read_to_string(&self.config).expect("the configuration is there")
+        std::fs::read_to_string(&self.config_path).expect("configuration is readable")
     }
 
     fn signal(&self, name: &str) {
         let kill = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status();
-        assert!(kill.expect("kill runs").success());
+        assert!(kill.expect("kill command runs").success());
     }
 
-    /// How many descriptors the process has open.
+    /// Returns the number of open file descriptors of the process.
     pub(crate) fn open_descriptors(&self) -> usize {
         let descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.child.id()));
-        descriptors.expect("it runs").count()
+        descriptors.expect("process is running").count()
     }
 
-    /// Waits until the process has ended.
+    /// Waits until the process has exited. Returns its exit status.
     pub(crate) fn wait(&mut self) -> ExitStatus {
-        self.child.wait().expect("it ends")
+        self.child.wait().expect("process exits")
     }
 
-    /// Whether the process still runs.
+    /// Returns whether the process is still running.
     pub(crate) fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("its state is known").is_none()
+        self.child.try_wait().expect("process status").is_none()
     }
 }
 
@@ -252,23 +259,24 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.config);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
 
-/// The last address in a line of the log, which may be text or JSON.
-fn address_in(line: &str) -> Option<SocketAddr> {
-    let words = line.split(|letter: char| !letter.is_ascii_digit() && !".:".contains(letter));
-    words.rev().find_map(|word| word.parse().ok())
+/// Returns the last address in a log line, which may be in text or JSON format.
+fn last_address(line: &str) -> Option<SocketAddr> {
+    let parts =
+        line.split(|character: char| !character.is_ascii_digit() && !".:".contains(character));
+    parts.rev().find_map(|part| part.parse().ok())
 }
 
-/// Reads a log to its end on a thread of its own, whether or not the test takes the lines: a full
-/// pipe would stop the edge node.
-fn follow_log(log: BufReader<ChildStderr>) -> Receiver<String> {
+/// Starts a thread that reads the log to its end, even if the test takes no lines: a full pipe
+/// would block the edge node. Returns the receiver of the lines.
+fn forward_log(log: BufReader<ChildStderr>) -> Receiver<String> {
     let (sender, lines) = mpsc::channel();
     thread::spawn(move || {
         for line in log.lines().map_while(Result::ok) {
-            // The test may have ended.
+            // The receiver no longer exists if the test has ended.
             let _ = sender.send(line);
         }
     });
--- a/crates/edge-node/tests/support/refusing_address.rs
+++ b/crates/edge-node/tests/support/refusing_address.rs
@@ -1,14 +1,15 @@
-//! Addresses at which nobody listens.
+//! Addresses that refuse connections.
 
 use socket2::{Domain, Socket, Type};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
-/// Connections that the operating system accepts before the listener does.
+/// Maximum number of connections that wait to be accepted by the listener.
 const BACKLOG: i32 = 128;
 
-/// An address that refuses connections. It is bound, so that no other process can take it meanwhile.
+/// An address that refuses connections. A socket is bound to it, so no other process can bind it in
+/// the meantime.
 pub(crate) struct RefusingAddress {
-    /// The address.
+    /// The reserved address.
     pub(crate) address: SocketAddr,
     socket: Socket,
 }
@@ -16,19 +17,19 @@
 impl RefusingAddress {
     /// Reserves a free port on loopback.
     pub(crate) fn reserve() -> RefusingAddress {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("socket is created");
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        socket.bind(&any_port.into()).expect("a port");
-        let address = socket.local_addr().expect("an address").as_socket();
+        socket.bind(&any_port.into()).expect("free port");
+        let address = socket.local_addr().expect("local address").as_socket();
         RefusingAddress {
-            address: address.expect("an IP address"),
+            address: address.expect("IP address"),
             socket,
         }
     }
 
-    /// Accepts connections from now on.
+    /// Starts to accept connections. Returns the listener.
     pub(crate) fn listen(self) -> TcpListener {
-        self.socket.listen(BACKLOG).expect("it listens");
+        self.socket.listen(BACKLOG).expect("socket listens");
         TcpListener::from(self.socket)
     }
 }
