--- a/crates/edge-node/tests/configuration/main.rs
+++ b/crates/edge-node/tests/configuration/main.rs
@@ -1,5 +1,5 @@
-//! Configuration files: what is accepted, what is rejected with which diagnostics, and what a
-//! reload does.
+//! Configuration files: which are valid, the diagnostics of invalid ones, and the effect of a
+//! reload.
 
 mod applied_values;
 mod operator_diagnostics;
@@ -11,45 +11,49 @@
 use std::process::Stdio;
 use support::*;
 
-/// What `check` says of a configuration.
-struct Checked {
+/// Result of `edge-node check`.
+struct CheckResult {
     is_valid: bool,
-    /// What it prints, line by line, without the file's name.
+    /// Printed lines that begin with the path of the file, without that path.
     lines: Vec<String>,
 }
 
-/// Runs `check` on a configuration in a file of that name.
-fn check(name: &str, config: &str) -> Checked {
+/// Writes a configuration to a temporary file whose name ends with `name`, and runs `edge-node
+/// check` on it.
+fn check_config(name: &str, config: &str) -> CheckResult {
     let path = write_config_file(name, config);
     let output = edge_node_command(&["check"])
         .arg(&path)
         .stdin(Stdio::null())
         .output()
-        .expect("it runs");
+        .expect("edge-node check runs");
     let _ = std::fs::remove_file(&path);
-    let printed = String::from_utf8([output.stdout, output.stderr].concat()).expect("it is text");
-    let file = format!("{}:", path.display());
-    let lines = printed.lines().filter_map(|line| line.strip_prefix(&file));
+    let printed =
+        String::from_utf8([output.stdout, output.stderr].concat()).expect("output is UTF-8");
+    let prefix = format!("{}:", path.display());
+    let lines = printed
+        .lines()
+        .filter_map(|line| line.strip_prefix(&prefix));
     let lines = lines.map(|line| line.trim_start().to_owned()).collect();
-    Checked {
+    CheckResult {
         is_valid: output.status.success(),
         lines,
     }
 }
 
 #[test]
-fn the_example_is_valid() {
-    let Checked { is_valid, lines } = check("example.toml", &example_config());
+fn example_config_is_valid_with_and_without_known_extension() {
+    let CheckResult { is_valid, lines } = check_config("example.toml", &example_config());
     assert!(is_valid && lines == ["nothing is wrong"], "{lines:?}");
-    // A file name without a known extension leaves the format to its content.
-    assert!(check("example.conf", &example_config()).is_valid);
+    // The format of a file without a known extension is detected by its content.
+    assert!(check_config("example.conf", &example_config()).is_valid);
 }
 
-/// A replacement in a valid configuration that causes one diagnostic.
+/// A replacement in a valid configuration that causes a single diagnostic.
 struct DiagnosticCase {
     original: &'static str,
     replacement: &'static str,
-    /// How the diagnostic begins.
+    /// Beginning of the expected diagnostic.
     diagnostic: &'static str,
 }
 
@@ -66,31 +70,35 @@
         }
     }
 
-    /// Checks the valid configuration after the replacement, in a file of that name.
-    fn check(&self, file_name: &str, valid: &str) -> Checked {
+    /// Checks the configuration `valid` after the replacement, in a file whose name ends with
+    /// `file_name`.
+    fn check(&self, file_name: &str, valid: &str) -> CheckResult {
         let config = valid.replacen(self.original, self.replacement, 1);
-        assert_ne!(config, valid, "{}", self.original);
-        check(file_name, &config)
+        assert_ne!(config, valid, "{} not found", self.original);
+        check_config(file_name, &config)
     }
 }
 
 #[test]
-fn the_page_and_the_program_have_the_same_keys() {
-    let page = std::fs::read_to_string("../../docs/CONFIGURATION.md").expect("the page");
-    let keys = edge_node_command(&["keys"]).output().expect("it runs");
-    let keys = String::from_utf8(keys.stdout).expect("it is text");
-    assert!(keys.lines().count() > 40);
-    for row in keys.lines() {
+fn configuration_page_has_exactly_the_keys_of_the_program() {
+    let page = std::fs::read_to_string("../../docs/CONFIGURATION.md")
+        .expect("docs/CONFIGURATION.md is readable");
+    let keys = edge_node_command(&["keys"])
+        .output()
+        .expect("edge-node keys runs");
+    let table = String::from_utf8(keys.stdout).expect("output is UTF-8");
+    assert!(table.lines().count() > 40);
+    for row in table.lines() {
         assert!(
             page.lines().any(|line| line == row),
             "docs/CONFIGURATION.md lacks: {row}"
         );
     }
-    let rows = page.lines().filter(|line| line.starts_with("| `")).count();
-    // The first two lines are the table's header.
-    let keys = keys.lines().count() - 2;
+    let page_keys = page.lines().filter(|line| line.starts_with("| `")).count();
+    // The first two lines are the header of the table.
+    let program_keys = table.lines().count() - 2;
     assert_eq!(
-        rows, keys,
+        page_keys, program_keys,
         "docs/CONFIGURATION.md has a key that the program lacks"
     );
 }
--- a/crates/edge-node/tests/configuration/operator_diagnostics.rs
+++ b/crates/edge-node/tests/configuration/operator_diagnostics.rs
@@ -1,7 +1,7 @@
-//! What is wrong with operators' files, and on which line.
+//! Diagnostics of operators' TOML, with their lines.
 
 use super::support::*;
-use super::{check, Checked, DiagnosticCase};
+use super::{check_config, CheckResult, DiagnosticCase};
 
 const NAME_AND_ADDRESS_DIAGNOSTICS: &[DiagnosticCase] = &[
     DiagnosticCase::new(
@@ -166,15 +166,15 @@
 ];
 
 #[test]
-fn each_diagnostic_has_its_line_and_key() {
+fn invalid_value_is_reported_with_line_and_key() {
     for (number, case) in EXAMPLE_DIAGNOSTICS.into_iter().flatten().enumerate() {
-        let Checked { is_valid, lines } =
+        let CheckResult { is_valid, lines } =
             case.check(&format!("diagnostic-{number}.toml"), &example_config());
-        let before = example_config()
+        let lines_before = example_config()
             .split(case.original)
             .next()
-            .map_or(0, |before| before.matches('\n').count());
-        let expected = format!("{}: {}", before + 1, case.diagnostic);
+            .map_or(0, |text_before| text_before.matches('\n').count());
+        let expected = format!("{}: {}", lines_before + 1, case.diagnostic);
         let is_reported = lines.iter().any(|line| line.starts_with(&expected));
         assert!(
             !is_valid && is_reported && lines.len() == 1,
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn missing_keys_and_lists_are_reported() {
+fn missing_required_keys_and_lists_are_reported() {
     for (line, expected) in [
         ("name = \"edge-0\"", "name: is missing"),
         ("gateways = 3", "fleet.gateways: is missing"),
@@ -196,20 +196,21 @@
         ("value = 3", "classes[0].value: is missing"),
         ("burst_units = 10", "plans[0].burst_units: is missing"),
     ] {
-        let Checked { is_valid, lines } =
-            check("missing.toml", &example_config().replacen(line, "", 1));
+        let CheckResult { is_valid, lines } =
+            check_config("missing.toml", &example_config().replacen(line, "", 1));
         assert!(
             !is_valid && lines.len() == 1 && lines[0].ends_with(expected),
             "{line}: {lines:?}"
         );
     }
-    let keyed = example_config().replacen("repeat = \"never\"", "repeat = \"idempotency_key\"", 1);
-    let lines = check("keyed.toml", &keyed).lines;
+    let without_scope =
+        example_config().replacen("repeat = \"never\"", "repeat = \"idempotency_key\"", 1);
+    let lines = check_config("keyed.toml", &without_scope).lines;
     assert!(
         lines.len() == 1 && lines[0].contains("classes[1].idempotency_scope: is missing"),
         "{lines:?}"
     );
-    let lines = check("none.toml", "").lines;
+    let lines = check_config("none.toml", "").lines;
     for key in [
         "name",
         "listen",
@@ -224,12 +225,16 @@
             "{key}: {lines:?}"
         );
     }
-    let before = example_config()
+    let before_plans = example_config()
         .split("[[plans]]")
         .next()
-        .expect("the part before")
+        .expect("text before the first plan")
         .to_owned();
-    let lines = check("list.toml", &format!("{before}[plans]\nname = \"p\"\n")).lines;
+    let lines = check_config(
+        "list.toml",
+        &format!("{before_plans}[plans]\nname = \"p\"\n"),
+    )
+    .lines;
     assert!(
         lines
             .iter()
@@ -239,18 +244,18 @@
 }
 
 #[test]
-fn check_reports_all_diagnostics_and_serve_one_line() {
+fn check_prints_all_diagnostics_and_serve_prints_one_line() {
     let config = example_config()
         .replacen("127.0.0.1:8443", "nowhere", 1)
         .replacen("max_attempts = 5", "max_attempts = \"5\"", 1)
         .replacen("units_per_s = 2.5", "units_per_s = -2.5", 1);
-    let Checked { is_valid, lines } = check("several.toml", &config);
+    let CheckResult { is_valid, lines } = check_config("several.toml", &config);
     assert!(!is_valid && lines.len() == 3, "{lines:?}");
     let path = write_config_file("serve-several.toml", &config);
     let output = edge_node_command(&[])
         .env("LB_CONFIG", &path)
         .output()
-        .expect("it runs");
+        .expect("edge node runs");
     let _ = std::fs::remove_file(&path);
     let error = String::from_utf8_lossy(&output.stderr);
     assert_eq!(
--- a/crates/edge-node/tests/configuration/platform_diagnostics.rs
+++ b/crates/edge-node/tests/configuration/platform_diagnostics.rs
@@ -1,10 +1,9 @@
-//! What is wrong with a configuration in the platform's JSON, and on which line.
+//! Diagnostics of the platform's JSON, with their lines.
 
-use super::{check, Checked, DiagnosticCase};
+use super::{check_config, CheckResult, DiagnosticCase};
 
-/// A configuration in the platform's JSON, which operators rarely write and now and then have to
-/// look into.
-pub(super) const PLATFORM: &str = r#"{
+/// A valid configuration in the platform's JSON, with keys that the edge node does not know.
+pub(super) const PLATFORM_CONFIG: &str = r#"{
   "name": "n3", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964", "odd": [{}],
   "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
   "peers": ["127.0.0.1:2", "127.0.0.1:3"], "peer_listen": null,
@@ -18,7 +17,7 @@
       {"name": "p", "rate": 1.0, "storeSize": 1.0, "price": 1.0}],
     "rules": {"coldFrom": 0.2, "coldUs": 1000000, "fallMultiple": 3.0, "overloadForUs": 1000000}}}"#;
 
-/// Each diagnostic begins with its line.
+/// Replacements in [`PLATFORM_CONFIG`]. Each expected diagnostic begins with its line number.
 const PLATFORM_DIAGNOSTICS: &[DiagnosticCase] = &[
     DiagnosticCase::new("127.0.0.1:0", "nowhere", "2: listen: must be an IP address"),
     DiagnosticCase::new(
@@ -79,22 +78,26 @@
 ];
 
 #[test]
-fn diagnostics_of_the_platform_s_json_have_its_own_names() {
+fn diagnostics_of_platform_json_name_its_keys_and_lines() {
     assert!(
-        check("valid.json", PLATFORM).is_valid,
-        "unknown keys are ignored there"
+        check_config("valid.json", PLATFORM_CONFIG).is_valid,
+        "unknown keys must be ignored"
     );
     assert!(
-        check("valid.conf", PLATFORM).is_valid,
-        "its content shows its format"
+        check_config("valid.conf", PLATFORM_CONFIG).is_valid,
+        "format must be detected by content"
     );
     for (number, case) in PLATFORM_DIAGNOSTICS.iter().enumerate() {
-        let Checked { is_valid, lines } = case.check(&format!("platform-{number}.json"), PLATFORM);
+        let CheckResult { is_valid, lines } =
+            case.check(&format!("platform-{number}.json"), PLATFORM_CONFIG);
         let is_reported = lines.len() == 1 && lines[0].starts_with(case.diagnostic);
         assert!(!is_valid && is_reported, "{}: {lines:?}", case.replacement);
     }
-    let several = PLATFORM
+    let several = PLATFORM_CONFIG
         .replace("\"sendCap\": 4, ", "")
         .replace("\"name\": \"n3\"", "\"name\": []");
-    assert_eq!(check("platform-several.json", &several).lines.len(), 2);
+    assert_eq!(
+        check_config("platform-several.json", &several).lines.len(),
+        2
+    );
 }
--- a/crates/edge-node/tests/fixtures.rs
+++ b/crates/edge-node/tests/fixtures.rs
@@ -1,6 +1,6 @@
-//! Configuration files as operators and the platform have them in use: each has to read to the same
-//! values for as long as its format is supported. The files and the values expected here don't
-//! change with the code's names.
+//! Configuration files as operators and the platform use them. Each must be read as the same values
+//! for as long as its format is supported. The files and the expected values do not change when
+//! names in the code change.
 
 use edge_node::config::schema::RestartValues;
 use edge_node::config::{AdminOptions, Config, OperatorOptions, PeerAddresses};
@@ -15,24 +15,26 @@
 use std::path::Path;
 use std::time::Duration;
 
-const PLATFORM: &str = "tests/fixtures/platform-config.json";
-const EXAMPLE: &str = "tests/fixtures/example-config.toml";
-/// The values in each file of the keys that require a restart, by their paths in its format.
-const PLATFORM_VALUES: &str = include_str!("fixtures/platform-restart-values.json");
-const EXAMPLE_VALUES: &str = include_str!("fixtures/example-restart-values.json");
+const PLATFORM_CONFIG_PATH: &str = "tests/fixtures/platform-config.json";
+const EXAMPLE_CONFIG_PATH: &str = "tests/fixtures/example-config.toml";
+/// Expected values, for each file, of the keys that require a restart, by their paths in its
+/// format.
+const PLATFORM_RESTART_VALUES: &str = include_str!("fixtures/platform-restart-values.json");
+const EXAMPLE_RESTART_VALUES: &str = include_str!("fixtures/example-restart-values.json");
 
 const MIB: usize = 1024 * 1024;
 
 fn address(text: &str) -> SocketAddr {
-    text.parse().expect("an address")
+    text.parse().expect("valid address")
 }
 
 fn addresses(texts: &[&str]) -> Vec<SocketAddr> {
     texts.iter().map(|text| address(text)).collect()
 }
 
-/// Takes each field by name, so that a new one can't be forgotten here.
-fn assert_same_resolved_settings(read: ResolvedSettings, expected: ResolvedSettings) {
+/// Asserts that resolved settings are equal. Destructuring names each field, so that a new field can't
+/// be forgotten here.
+fn assert_same_resolved_settings(actual: ResolvedSettings, expected: ResolvedSettings) {
     let ResolvedSettings {
         settings,
         class_names,
@@ -42,7 +44,7 @@
         drain_grace,
         connection_idle_timeout,
         connect_timeout,
-    } = read;
+    } = actual;
     assert_eq!(settings, expected.settings);
     assert_eq!(class_names, expected.class_names);
     assert_eq!(plan_names, expected.plan_names);
@@ -53,38 +55,38 @@
     assert_eq!(connect_timeout, expected.connect_timeout);
 }
 
-fn assert_same_peers(read: Option<PeerAddresses>, expected: PeerAddresses) {
+fn assert_same_peers(actual: Option<PeerAddresses>, expected: PeerAddresses) {
     let PeerAddresses {
         listen,
         addresses,
         broadcast,
-    } = read.expect("addresses of peers");
+    } = actual.expect("configuration has addresses of peers");
     assert_eq!(listen, expected.listen);
     assert_eq!(addresses, expected.addresses);
     assert_eq!(broadcast, expected.broadcast);
 }
 
-/// The default log, and no admin listener.
-fn assert_default_operator_options(read: OperatorOptions) {
+/// Asserts that the log has its default options and that there is no admin listener.
+fn assert_default_operator_options(actual: OperatorOptions) {
     let OperatorOptions {
         log: LogOptions { level, format },
         admin: AdminOptions { listen },
-    } = read;
+    } = actual;
     assert_eq!(level, LogLevel::Info);
     assert!(matches!(format, LogFormat::Text));
     assert_eq!(listen, None);
 }
 
-fn assert_same_restart_values(read: RestartValues, expected: &str) {
-    let read = serde_json::to_value(read).expect("it can be written");
-    let expected: serde_json::Value = serde_json::from_str(expected).expect("it is JSON");
-    assert_eq!(read, expected, "{read:#}");
+fn assert_same_restart_values(actual: RestartValues, expected: &str) {
+    let actual = serde_json::to_value(actual).expect("restart values are serializable");
+    let expected: serde_json::Value = serde_json::from_str(expected).expect("valid JSON");
+    assert_eq!(actual, expected, "{actual:#}");
 }
 
-fn keyed(scope: DeduplicationScope, window: u64) -> Idempotency {
+fn keyed_idempotency(scope: DeduplicationScope, window_us: u64) -> Idempotency {
     Idempotency::Keyed {
         scope,
-        window: Duration::from_micros(window),
+        window: Duration::from_micros(window_us),
     }
 }
 
@@ -100,19 +102,19 @@
             latency_objective: Duration::from_micros(1_100_000),
             late_weight: 0.5,
             priority_weight: 2.5,
-            idempotency: keyed(DeduplicationScope::Cell, 60_000_000),
+            idempotency: keyed_idempotency(DeduplicationScope::Cell, 60_000_000),
         },
         Class {
             latency_objective: Duration::from_micros(1_200_000),
             late_weight: 0.75,
             priority_weight: 2.0,
-            idempotency: keyed(DeduplicationScope::Zone, 61_000_000),
+            idempotency: keyed_idempotency(DeduplicationScope::Zone, 61_000_000),
         },
         Class {
             latency_objective: Duration::from_micros(1_300_000),
             late_weight: 1.0,
             priority_weight: 1.5,
-            idempotency: keyed(DeduplicationScope::AllServers, 62_000_000),
+            idempotency: keyed_idempotency(DeduplicationScope::AllServers, 62_000_000),
         },
         Class {
             latency_objective: Duration::from_micros(1_400_000),
@@ -195,10 +197,10 @@
 
 fn platform_endpoints() -> EndpointList {
     let entry =
-        |name: &str, dial: Option<&str>, zone: &str, cell, health, weight, started_at_ms| {
+        |name: &str, listen: Option<&str>, zone: &str, cell, health, weight, started_at_ms| {
             EndpointEntry {
                 name: name.to_owned(),
-                address: dial.map(address),
+                address: listen.map(address),
                 zone: zone.to_owned(),
                 cell,
                 health,
@@ -238,15 +240,15 @@
 }
 
 #[test]
-fn the_platform_s_settings_read_to_the_same_values() {
-    let text = std::fs::read_to_string(PLATFORM).expect("the fixture");
-    let file: serde_json::Value = serde_json::from_str(&text).expect("it is JSON");
-    let read = settings::parse(&file["settings"].to_string()).expect("valid settings");
-    assert_same_resolved_settings(read, platform_settings());
+fn platform_settings_are_parsed_to_expected_values() {
+    let text = std::fs::read_to_string(PLATFORM_CONFIG_PATH).expect("fixture is readable");
+    let config: serde_json::Value = serde_json::from_str(&text).expect("valid JSON");
+    let actual = settings::parse(&config["settings"].to_string()).expect("valid settings");
+    assert_same_resolved_settings(actual, platform_settings());
 }
 
 #[test]
-fn the_platform_s_configuration_reads_to_the_same_values() {
+fn platform_config_is_read_to_expected_values() {
     let Config {
         path,
         name,
@@ -260,8 +262,8 @@
         settings,
         operator_options,
         restart_values,
-    } = Config::read(Path::new(PLATFORM)).expect("a valid configuration");
-    assert_eq!(path, Path::new(PLATFORM));
+    } = Config::read(Path::new(PLATFORM_CONFIG_PATH)).expect("valid configuration");
+    assert_eq!(path, Path::new(PLATFORM_CONFIG_PATH));
     assert_eq!(name, "n3");
     assert_eq!(listen, address("127.0.0.4:8443"));
     assert_eq!(discovery, address("127.0.1.1:8500"));
@@ -276,7 +278,7 @@
     assert_eq!(initial_endpoints, Some(platform_endpoints()));
     assert_same_resolved_settings(settings, platform_settings());
     assert_default_operator_options(operator_options);
-    assert_same_restart_values(restart_values, PLATFORM_VALUES);
+    assert_same_restart_values(restart_values, PLATFORM_RESTART_VALUES);
 }
 
 fn example_classes() -> Vec<Class> {
@@ -353,9 +355,9 @@
     }
 }
 
-/// It has no seed, so that each reading draws another one.
+/// The seed is not compared: the example has none, so each reading draws a random one.
 #[test]
-fn the_example_reads_to_the_same_values() {
+fn example_config_is_read_to_expected_values() {
     let Config {
         path,
         name,
@@ -369,8 +371,8 @@
         settings,
         operator_options,
         restart_values,
-    } = Config::read(Path::new(EXAMPLE)).expect("a valid configuration");
-    assert_eq!(path, Path::new(EXAMPLE));
+    } = Config::read(Path::new(EXAMPLE_CONFIG_PATH)).expect("valid configuration");
+    assert_eq!(path, Path::new(EXAMPLE_CONFIG_PATH));
     assert_eq!(name, "edge-0");
     assert_eq!(listen, address("127.0.0.1:8443"));
     assert_eq!(discovery, address("127.0.0.1:8500"));
@@ -384,5 +386,5 @@
     assert_eq!(initial_endpoints, None);
     assert_same_resolved_settings(settings, example_settings());
     assert_default_operator_options(operator_options);
-    assert_same_restart_values(restart_values, EXAMPLE_VALUES);
+    assert_same_restart_values(restart_values, EXAMPLE_RESTART_VALUES);
 }
--- a/crates/edge-node/tests/library/config_file.rs
+++ b/crates/edge-node/tests/library/config_file.rs
@@ -1,10 +1,10 @@
-//! Configuration files: their format, and the lines of their items.
+//! Format detection of configuration files, and parsing into items with line numbers.
 
 use edge_node::config::file::{parse, ConfigFormat, ConfigValue};
 use std::path::Path;
 
 #[test]
-fn the_extension_decides_the_format_and_else_the_first_character() {
+fn format_is_detected_by_extension_or_first_character() {
     let detect = |path: &str, text: &str| ConfigFormat::detect(Path::new(path), text);
     assert_eq!(detect("node.toml", "{}"), ConfigFormat::Toml);
     assert_eq!(detect("node.json", "a = 1"), ConfigFormat::PlatformJson);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn both_formats_parse_to_the_same_items_with_their_lines() {
+fn toml_and_json_are_parsed_to_equal_items_with_lines() {
     let toml =
         parse(ConfigFormat::Toml, "a = 1\nb = [1.5,\n true]\nc = \"x\"").expect("valid TOML");
     let json = parse(
@@ -31,17 +31,17 @@
 }
 
 #[test]
-fn json_keeps_duplicate_names_and_null() {
+fn json_parser_keeps_duplicate_names_and_null() {
     let root = parse(ConfigFormat::PlatformJson, "{\"a\": 1, \"a\": null}").expect("valid JSON");
     let ConfigValue::Table(entries) = &root.value else {
-        panic!("no table: {root:?}")
+        panic!("root must be a table: {root:?}")
     };
     assert_eq!(entries.len(), 2);
     assert_eq!(entries[1].1.value, ConfigValue::Null);
 }
 
 #[test]
-fn numbers_keep_their_type() {
+fn toml_numbers_keep_their_type_and_dates_are_unsupported() {
     let root = parse(
         ConfigFormat::Toml,
         "a = 1_000\nb = 0x10\nc = 1e3\nd = 1979-05-27",
--- a/crates/edge-node/tests/library/config_translate.rs
+++ b/crates/edge-node/tests/library/config_translate.rs
@@ -1,16 +1,16 @@
-//! The translation of operators' TOML to the platform's JSON.
+//! Translation of operators' TOML to the platform's JSON.
 
 use edge_node::config::file::{parse, ConfigFormat};
 use edge_node::config::schema::to_platform_json;
 use serde_json::{json, Value};
 
-fn translated(text: &str) -> Value {
+fn translate(text: &str) -> Value {
     to_platform_json(&parse(ConfigFormat::Toml, text).expect("valid TOML"))
 }
 
 #[test]
-fn values_take_the_platform_s_paths_units_and_words() {
-    let json = translated(
+fn values_get_paths_units_and_names_of_platform_json() {
+    let json = translate(
         "[limits]\nmemory_mib = 192\n[fleet]\nround_ms = 2.5\nlist_changes = \"followed\"\nzones = [\"a\", \"b\"]\n",
     );
     assert_eq!(json["limits"]["memory_mb"], json!(192));
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn keys_that_are_left_out_get_their_defaults() {
-    let json = translated("");
+fn absent_keys_get_their_defaults() {
+    let json = translate("");
     assert_eq!(json["limits"]["sockets"], json!(1024));
     assert_eq!(
         json["settings"]["ceilings"]["connectTimeoutUs"],
@@ -32,15 +32,17 @@
     assert_eq!(
         json.get("admin"),
         None,
-        "a key whose default is to be absent stays left out"
+        "a key without a default value must stay absent"
     );
     assert_eq!(json["settings"].get("packages"), None);
 }
 
 #[test]
-fn each_table_of_a_list_keeps_its_place() {
-    let json = translated("[[plans]]\nname = \"basic\"\n[[plans]]\nconcurrency = 3\n");
-    let plans = json["settings"]["packages"].as_array().expect("a list");
+fn list_tables_keep_their_order() {
+    let json = translate("[[plans]]\nname = \"basic\"\n[[plans]]\nconcurrency = 3\n");
+    let plans = json["settings"]["packages"]
+        .as_array()
+        .expect("packages is a list");
     assert_eq!(plans.len(), 2);
     assert_eq!(
         (&plans[0]["name"], &plans[0]["atOnce"]),
--- a/crates/edge-node/tests/library/main.rs
+++ b/crates/edge-node/tests/library/main.rs
@@ -1,5 +1,4 @@
-//! The public parts of the edge node's library that need no socket: formats that it reads, and what
-//! it reads them to.
+//! Tests of the public items of the edge node's library that need no socket, mainly of its parsers.
 
 mod call_terms;
 mod config_file;
--- a/crates/edge-node/tests/unit/config_suggest.rs
+++ b/crates/edge-node/tests/unit/config_suggest.rs
@@ -1,9 +1,9 @@
-//! Suggestions for misspelled keys.
+//! Tests of suggestions for unknown keys.
 
 use super::*;
 
 #[test]
-fn a_misspelled_key_or_table_suggests_the_one_that_is_meant() {
+fn suggests_similar_key_or_table_for_misspelled_path() {
     let cases = [
         ("limits.memory_mb", Some("limits.memory_mib")),
         ("peers.messages", Some("peers.messages_per_s")),
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_key_in_the_wrong_table_suggests_its_own_table() {
+fn suggests_path_with_right_table_for_key_in_wrong_table() {
     assert_eq!(
         nearest_path("fleet.max_attempts"),
         Some("requests.max_attempts")
@@ -25,6 +25,6 @@
 }
 
 #[test]
-fn a_name_that_is_like_no_key_suggests_none() {
+fn suggests_nothing_for_dissimilar_name() {
     assert_eq!(nearest_path("qqq"), None);
 }
