--- a/crates/edge-node/tests/configuration/platform_diagnostics.rs
+++ b/crates/edge-node/tests/configuration/platform_diagnostics.rs
@@ -1,4 +1,5 @@
-//! Diagnostics of the platform's JSON, with their lines.
+//! Diagnostics of the platform's JSON, with their lines. Operators rarely write this format, but
+//! sometimes have to look into it.
 
 use super::{check_config, CheckResult, DiagnosticCase};
 
--- a/crates/edge-node/tests/fixtures.rs
+++ b/crates/edge-node/tests/fixtures.rs
@@ -32,8 +32,8 @@
     texts.iter().map(|text| address(text)).collect()
 }
 
-/// Asserts that resolved settings are equal. Destructuring names each field, so that a new field can't
-/// be forgotten here.
+/// Asserts that resolved settings are equal. Destructuring names each field, so that a new field
+/// can't be forgotten here.
 fn assert_same_resolved_settings(actual: ResolvedSettings, expected: ResolvedSettings) {
     let ResolvedSettings {
         settings,
