--- a/crates/edge-node/src/config/schema/markdown.rs
+++ b/crates/edge-node/src/config/schema/markdown.rs
@@ -1,13 +1,14 @@
-//! The table of all keys, as `edge-node keys` prints it and docs/CONFIGURATION.md has it.
+//! The table of all keys in Markdown, which `edge-node keys` prints and docs/CONFIGURATION.md
+//! contains.
 
 use super::keys::all_keys;
 use super::spec::{DefaultValue, KeySpec, OnReload, ValueType};
 use crate::config::file::ConfigFormat;
 
-const HEADER: &str = "| key | what it is | takes | default | at SIGHUP | platform's JSON |\n\
+const HEADER: &str = "| key | description | type | default | at SIGHUP | platform's JSON |\n\
                       | --- | --- | --- | --- | --- | --- |\n";
 
-/// All keys as a table in Markdown, one row a key.
+/// Returns a Markdown table with one row for each key.
 pub fn markdown_table() -> String {
     let rows = all_keys().map(row);
     std::iter::once(HEADER.to_owned()).chain(rows).collect()
@@ -19,8 +20,8 @@
         description,
         ..
     } = key;
-    let takes = type_text(key.value_type);
-    let default = default_text(key.default);
+    let value_type = type_description(key.value_type);
+    let default = default_description(key.default);
     let on_reload = match key.on_reload {
         OnReload::Applied => "applied",
         OnReload::RequiresRestart | OnReload::Ignored => "at the next start",
@@ -30,36 +31,36 @@
     } else {
         "-".to_owned()
     };
-    format!("| `{toml_path}` | {description} | {takes} | {default} | {on_reload} | {json_path} |\n")
+    format!("| `{toml_path}` | {description} | {value_type} | {default} | {on_reload} | {json_path} |\n")
 }
 
-fn type_text(value_type: ValueType) -> String {
+fn type_description(value_type: ValueType) -> String {
     match value_type {
-        ValueType::Text => "text".to_owned(),
-        ValueType::TextList => "texts".to_owned(),
-        ValueType::Address => "address with port".to_owned(),
-        ValueType::AddressList => "addresses with ports".to_owned(),
-        ValueType::Boolean => "true, false".to_owned(),
-        ValueType::Integer { min, max } => format!("whole number, {min} to {max}"),
+        ValueType::String => "string".to_owned(),
+        ValueType::StringList => "list of strings".to_owned(),
+        ValueType::Address => "IP address with port".to_owned(),
+        ValueType::AddressList => "list of IP addresses with ports".to_owned(),
+        ValueType::Boolean => "`true` or `false`".to_owned(),
+        ValueType::Integer { min, max } => format!("integer, {min} to {max}"),
         ValueType::Number { min, max } => format!("number, {min} to {max}"),
         ValueType::Milliseconds { min, max } => format!("ms, {min} to {max}"),
         ValueType::Choice(choices) => {
-            let words: Vec<String> = choices
+            let names: Vec<String> = choices
                 .iter()
                 .map(|choice| format!("`{}`", choice.toml))
                 .collect();
-            words.join(", ")
+            names.join(", ")
         }
     }
 }
 
-fn default_text(default: DefaultValue) -> String {
+fn default_description(default: DefaultValue) -> String {
     match default {
-        DefaultValue::Required => "needed".to_owned(),
+        DefaultValue::Required => "required".to_owned(),
         DefaultValue::Integer(number) => number.to_string(),
         DefaultValue::Number(number) | DefaultValue::Milliseconds(number) => number.to_string(),
         DefaultValue::Boolean(boolean) => boolean.to_string(),
-        DefaultValue::Choice(word) => format!("`{word}`"),
+        DefaultValue::Choice(name) => format!("`{name}`"),
         DefaultValue::Absent { meaning } => meaning.to_owned(),
     }
 }
--- a/crates/edge-node/src/config/schema/translate.rs
+++ b/crates/edge-node/src/config/schema/translate.rs
@@ -1,4 +1,4 @@
-//! Translates operators' TOML to the platform's JSON, with all defaults.
+//! Translates operators' TOML to the platform's JSON, and inserts the defaults.
 
 use super::keys::all_keys;
 use super::locate::{locate, path_segments};
@@ -8,7 +8,7 @@
 
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// The platform's JSON of an operator's configuration that `validate` found nothing wrong with.
+/// Translates a configuration in operators' TOML, which must be valid, to the platform's JSON.
 pub fn to_platform_json(root: &ConfigItem) -> Value {
     let mut json = Value::Object(Map::new());
     for key in all_keys() {
@@ -25,49 +25,51 @@
     json
 }
 
-/// A value in the platform's units and words; `None` if it is not of the key's type.
+/// Returns a value in the units and names of the platform's JSON; `None` if its type is not that of
+/// the key.
 fn json_value(value_type: ValueType, item: &ConfigItem) -> Option<Value> {
     let value = match (value_type, &item.value) {
-        (ValueType::Choice(choices), ConfigValue::Text(word)) => json!(json_word(choices, word)?),
+        (ValueType::Choice(choices), ConfigValue::String(name)) => json!(json_name(choices, name)?),
         (ValueType::Milliseconds { .. }, _) => json!(to_micros(item.as_number()?)),
         (ValueType::Number { .. }, _) => json!(item.as_number()?),
-        (_, ConfigValue::Text(text)) => json!(text),
+        (_, ConfigValue::String(text)) => json!(text),
         (_, ConfigValue::Integer(number)) => json!(u64::try_from(*number).ok()?),
         (_, ConfigValue::Boolean(boolean)) => json!(boolean),
-        (_, ConfigValue::List(_)) => json!(item.texts()),
+        (_, ConfigValue::List(_)) => json!(item.strings()),
         _ => return None,
     };
     Some(value)
 }
 
-/// The default in the platform's units and words; `None` if the key stays left out.
+/// Returns the default of a key in the units and names of the platform's JSON; `None` if the key
+/// stays absent.
 fn default_value(key: &KeySpec) -> Option<Value> {
     match (key.default, key.value_type) {
         (DefaultValue::Integer(number), _) => Some(json!(number)),
         (DefaultValue::Number(number), _) => Some(json!(number)),
         (DefaultValue::Milliseconds(millis), _) => Some(json!(to_micros(millis))),
         (DefaultValue::Boolean(boolean), _) => Some(json!(boolean)),
-        (DefaultValue::Choice(word), ValueType::Choice(choices)) => {
-            json_word(choices, word).map(|word| json!(word))
+        (DefaultValue::Choice(name), ValueType::Choice(choices)) => {
+            json_name(choices, name).map(|name| json!(name))
         }
         _ => None,
     }
 }
 
-/// The platform's word for one of operators' files.
-fn json_word(choices: &[Choice], word: &str) -> Option<&'static str> {
+/// Returns the name in the platform's JSON of the choice that has this name in operators' TOML.
+fn json_name(choices: &[Choice], name: &str) -> Option<&'static str> {
     let choice = choices
         .iter()
-        .find(|choice| choice.word(ConfigFormat::Toml) == word);
-    choice.map(|choice| choice.word(ConfigFormat::PlatformJson))
+        .find(|choice| choice.name(ConfigFormat::Toml) == name);
+    choice.map(|choice| choice.name(ConfigFormat::PlatformJson))
 }
 
 fn to_micros(millis: f64) -> u64 {
     (millis * MICROS_PER_MILLI).round() as u64
 }
 
-/// Sets the value at a path, whose lists are entered at `indexes`, and creates what is missing on
-/// the way.
+/// Sets the value at a path, and creates missing objects and lists on the way. `indexes` are the
+/// indexes in the lists of the path, from the outermost list.
 fn insert(root: &mut Value, path: &str, indexes: &[usize], value: Value) {
     let mut indexes = indexes.iter();
     let mut target = root;
@@ -85,7 +87,7 @@
     *target = value;
 }
 
-/// The entry of an object, which is created where there is none.
+/// Returns the entry of an object, and creates the object and the entry if they are missing.
 fn entry_mut<'a>(value: &'a mut Value, name: &str) -> &'a mut Value {
     if !value.is_object() {
         *value = Value::Object(Map::new());
@@ -93,7 +95,8 @@
     &mut value[name]
 }
 
-/// The element of a list, which is created or extended so far.
+/// Returns the element of a list, and creates the list or extends it with nulls if it has no such
+/// element.
 fn element_mut(value: &mut Value, index: usize) -> &mut Value {
     let mut elements = match value.take() {
         Value::Array(elements) => elements,
--- a/crates/edge-node/src/config/schema/validate/value.rs
+++ b/crates/edge-node/src/config/schema/validate/value.rs
@@ -1,15 +1,15 @@
-//! Checks one value against its key's type and range.
+//! Checks a value against the type and range of its key.
 
 use super::problem::Problem;
 use crate::config::file::{ConfigFormat, ConfigItem, ConfigValue};
 use crate::config::schema::spec::{Choice, KeySpec, ValueType, MAX_NUMBER};
 use std::net::SocketAddr;
 
-/// The one key whose minimum binds the platform, too: the process can't serve below it. All other
-/// numbers of the platform's JSON are bounded by their types alone.
-const FILE_DESCRIPTORS: &str = "limits.file_descriptors";
+/// The only key whose minimum also applies to the platform's JSON, because the process can't serve
+/// with fewer. Other numbers in the platform's JSON are limited only by their types.
+const FILE_DESCRIPTORS_KEY: &str = "limits.file_descriptors";
 
-/// Checks that a key takes a value.
+/// Checks that a value has the type and range of its key.
 pub(super) fn check_value(
     format: ConfigFormat,
     key: &KeySpec,
@@ -20,14 +20,14 @@
         return Ok(());
     }
     match key.value_type {
-        ValueType::Text => check_text(format, item),
-        ValueType::TextList => check_text_list(item),
+        ValueType::String => check_string(format, item),
+        ValueType::StringList => check_string_list(item),
         ValueType::Address => check_address(item),
         ValueType::AddressList => check_address_list(item),
         ValueType::Boolean => check_boolean(item),
         ValueType::Choice(choices) => check_choice(format, choices, item),
         ValueType::Integer { min, .. } if is_platform => {
-            let min = if key.toml_path == FILE_DESCRIPTORS {
+            let min = if key.toml_path == FILE_DESCRIPTORS_KEY {
                 min
             } else {
                 0
@@ -35,7 +35,7 @@
             check_integer(item, min as f64, u64::MAX as f64)
         }
         ValueType::Integer { min, max } => check_integer(item, min as f64, max as f64),
-        // Whole microseconds.
+        // The platform's JSON has whole microseconds.
         ValueType::Milliseconds { .. } if is_platform => check_integer(item, 0.0, u64::MAX as f64),
         ValueType::Number { .. } if is_platform => check_number(item, 0.0, f64::MAX),
         ValueType::Number { min, max } | ValueType::Milliseconds { min, max } => {
@@ -44,20 +44,20 @@
     }
 }
 
-fn check_text(format: ConfigFormat, item: &ConfigItem) -> Result<(), Problem> {
+fn check_string(format: ConfigFormat, item: &ConfigItem) -> Result<(), Problem> {
     let may_be_empty = format == ConfigFormat::PlatformJson;
     let is_valid = item
-        .as_text()
+        .as_str()
         .is_some_and(|text| may_be_empty || !text.is_empty());
-    ensure(is_valid, Problem::NotText)
+    ensure(is_valid, Problem::NotString)
 }
 
-fn check_text_list(item: &ConfigItem) -> Result<(), Problem> {
-    ensure(is_list_of(item, |_| true), Problem::NotTextList)
+fn check_string_list(item: &ConfigItem) -> Result<(), Problem> {
+    ensure(is_list_of(item, |_| true), Problem::NotStringList)
 }
 
 fn check_address(item: &ConfigItem) -> Result<(), Problem> {
-    ensure(item.as_text().is_some_and(is_address), Problem::NotAddress)
+    ensure(item.as_str().is_some_and(is_address), Problem::NotAddress)
 }
 
 fn check_address_list(item: &ConfigItem) -> Result<(), Problem> {
@@ -76,12 +76,12 @@
     choices: &[Choice],
     item: &ConfigItem,
 ) -> Result<(), Problem> {
-    let words: Vec<&str> = choices.iter().map(|choice| choice.word(format)).collect();
-    let is_known = item.as_text().is_some_and(|text| words.contains(&text));
+    let names: Vec<&str> = choices.iter().map(|choice| choice.name(format)).collect();
+    let is_known = item.as_str().is_some_and(|text| names.contains(&text));
     ensure(
         is_known,
         Problem::NotOneOf {
-            words: words.into_iter().map(str::to_owned).collect(),
+            choices: names.into_iter().map(str::to_owned).collect(),
         },
     )
 }
@@ -98,7 +98,7 @@
     check_range(number, min, max)
 }
 
-/// Checks a number against an inclusive range. NaN is in none.
+/// Checks a number against an inclusive range. NaN is outside every range.
 fn check_range(number: f64, min: f64, max: f64) -> Result<(), Problem> {
     if number >= min && number <= max {
         Ok(())
@@ -117,10 +117,10 @@
     }
 }
 
-/// Whether an item is a list of texts that all pass a check.
+/// Returns whether an item is a list of strings that all pass a check.
 fn is_list_of(item: &ConfigItem, check: impl Fn(&str) -> bool) -> bool {
     match &item.value {
-        ConfigValue::List(items) => items.iter().all(|item| item.as_text().is_some_and(&check)),
+        ConfigValue::List(items) => items.iter().all(|item| item.as_str().is_some_and(&check)),
         _ => false,
     }
 }
