--- a/crates/edge-node/src/peers.rs
+++ b/crates/edge-node/src/peers.rs
@@ -43,7 +43,7 @@
 pub(crate) struct Datagram {
     /// The peer, identified only by its source address.
     pub(crate) from: GatewayId,
-    /// The payload, at most [`MAX_DATAGRAM_BYTES`] long.
+    /// The payload, at most [`MAX_DATAGRAM_BYTES`] bytes long.
     pub(crate) bytes: Vec<u8>,
 }
 
--- a/crates/edge-node/tests/edge/main.rs
+++ b/crates/edge-node/tests/edge/main.rs
@@ -1,5 +1,5 @@
 //! Tests that run the edge node with fake clients, servers, peers and discovery over loopback
-//! sockets. Each test covers one way in which these can fail. None measures performance.
+//! sockets. Each test covers one way in which these can fail. No test asserts on performance.
 
 mod client_disconnect;
 mod descriptors;
--- a/crates/edge-node/tests/support/node.rs
+++ b/crates/edge-node/tests/support/node.rs
@@ -75,6 +75,7 @@
 
 impl EdgeNode {
     /// Starts an edge node whose configuration contains these servers and this discovery address.
+    /// `tag` distinguishes its configuration file from those of other tests.
     pub(crate) fn start(tag: &str, discovery: SocketAddr, entries: &[String]) -> EdgeNode {
         EdgeNode::start_with_edited_config(tag, discovery, entries, |config| config)
     }
