--- a/crates/edge-node/src/bind.rs
+++ b/crates/edge-node/src/bind.rs
@@ -1,4 +1,4 @@
-//! Binding of addresses that an earlier process may still hold.
+//! Retries binding of addresses that the previous process may still hold during a restart.
 
 use anyhow::{Context, Result};
 use std::fmt;
@@ -7,29 +7,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long an address may stay in use. At a restart the earlier process has been asked to end and
-/// holds its addresses a little longer; a new process that gave up would only be restarted.
+/// Maximum time to wait for an address that is in use. During a restart, the previous process holds
+/// its addresses until it has shut down; a new process that gave up would only be restarted.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause between two attempts to bind.
+/// Pause between two calls of `bind_once`.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Binds by `bind_once`, which is retried while the address is in use.
+/// Calls `bind_once` until it succeeds, retrying only while the address is in use.
 ///
-/// Dropping the future between attempts leaves nothing bound.
+/// The future may be dropped during the pause between two calls; nothing is bound then.
 ///
 /// # Errors
-/// The last error of `bind_once`, with `description` as its context: any error other than an
-/// address in use immediately, that one after [`RETRY_TIMEOUT`].
+/// Returns the last error of `bind_once` with `description` as its context. "Address in use" is
+/// returned after [`RETRY_TIMEOUT`], any other error immediately.
 pub(crate) async fn with_retry<T, F: Future<Output = io::Result<T>>>(
     description: impl fmt::Display,
     bind_once: impl Fn() -> F,
 ) -> Result<T> {
-    let started = Instant::now();
+    let started_at = Instant::now();
     loop {
         match bind_once().await {
             Err(error)
                 if error.kind() == io::ErrorKind::AddrInUse
-                    && started.elapsed() < RETRY_TIMEOUT =>
+                    && started_at.elapsed() < RETRY_TIMEOUT =>
             {
                 tokio::time::sleep(RETRY_INTERVAL).await;
             }
--- a/crates/edge-node/src/command.rs
+++ b/crates/edge-node/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line: what it may hold, and which part of the program does it.
+//! The command line: its arguments, and the execution of its subcommands.
 
 use crate::config::schema::markdown_table;
 use crate::config::{Config, ConfigError, CONFIG_VARIABLE};
@@ -10,31 +10,30 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The program's name.
+/// Name of the program in help texts, completions and error messages.
 const PROGRAM: &str = "edge-node";
-/// The exit code for a command line that can't be understood, which is also that of shells and of
-/// clap.
+/// Exit code for an invalid command line; shells and clap use the same code.
 const EXIT_USAGE: u8 = 2;
 
-/// An edge node (a gateway): holds customers to their quotas before a shared fleet of servers.
+/// Edge node (gateway): enforces customer quotas in front of a shared fleet of servers.
 #[derive(Parser)]
 #[command(
     name = PROGRAM,
     version,
     subcommand_required = false,
-    after_help = "Without a command it serves under LB_CONFIG.\n\n\
-        Exit codes: 0 done, or left in good order; 1 a bad configuration or no start; 2 a bad command line.",
-    after_long_help = "Without a command it serves under LB_CONFIG.\n\n\
+    after_help = "Without a command, serves with the configuration that LB_CONFIG names.\n\n\
+        Exit codes: 0 success or graceful shutdown; 1 configuration or startup error; 2 invalid command line.",
+    after_long_help = "Without a command, serves with the configuration that LB_CONFIG names.\n\n\
         Environment:\n  \
-        LB_CONFIG     the configuration, TOML or the platform's JSON\n  \
-        LB_NAME       overrules the configuration's name\n  \
-        LB_LISTEN     overrules listen, where clients connect\n  \
-        LB_DISCOVERY  overrules discovery, where its agent listens\n\n\
-        Signals: SIGHUP reads the configuration again, SIGTERM ends in good order.\n\n\
+        LB_CONFIG     path of the configuration file, TOML or the platform's JSON\n  \
+        LB_NAME       overrides the key `name` of the configuration\n  \
+        LB_LISTEN     overrides the key `listen`, the address that clients connect to\n  \
+        LB_DISCOVERY  overrides the key `discovery`, the address of the discovery agent\n\n\
+        Signals: SIGHUP reloads the configuration, SIGTERM shuts down gracefully.\n\n\
         Exit codes:\n  \
-        0  done, or left in good order\n  \
-        1  a bad configuration, or it could not start\n  \
-        2  a bad command line"
+        0  success or graceful shutdown\n  \
+        1  configuration or startup error\n  \
+        2  invalid command line"
 )]
 struct CommandLine {
     #[command(subcommand)]
@@ -49,33 +48,33 @@
             short,
             long,
             value_name = "FILE",
-            help = "The configuration; without it LB_CONFIG names one"
+            help = "Configuration file; if omitted, the file that LB_CONFIG names"
         )]
         config: Option<PathBuf>,
     },
-    /// Tell all that is wrong with a configuration, and start nothing.
+    /// Report all errors in a configuration file without starting the edge node.
     Check {
-        /// The configuration, TOML or the platform's JSON.
+        /// Configuration file, TOML or the platform's JSON.
         file: PathBuf,
     },
-    /// Print every key of a configuration: unit, range and default.
+    /// Print every configuration key with its unit, range and default.
     Keys,
     /// Print the version.
     Version,
-    /// Print completions for a shell.
+    /// Print a completion script for a shell.
     Completions {
-        /// For which shell.
+        /// Shell that the script is for.
         shell: Shell,
     },
-    /// Print the manual page, in roff.
+    /// Print the manual page in roff format.
     Man,
 }
 
-/// Parses the command line, does what it says, and returns the exit code of the process.
+/// Parses the command line, executes its command, and returns the exit code of the process.
 pub fn run() -> ExitCode {
     let command_line = match CommandLine::try_parse() {
         Ok(command_line) => command_line,
-        // Help and version come as errors, too; `exit` prints them and ends with 0.
+        // Clap returns help and version as errors, too; `exit` prints them and exits with 0.
         Err(error) => error.exit(),
     };
     let result = match command_line.command {
@@ -92,7 +91,7 @@
     }
 }
 
-/// Says on standard error what to give on the command line.
+/// Prints the help to standard error, for a command line without a command.
 fn usage_error() -> ExitCode {
     let help = CommandLine::command().render_help();
     eprint!("{PROGRAM}: no command, and {CONFIG_VARIABLE} is not set\n\n{help}");
@@ -110,23 +109,28 @@
     }
 }
 
-fn serve(file: Option<PathBuf>) -> Result<()> {
-    let config = Config::from_environment(file, |name| std::env::var(name).ok())?;
+fn serve(path: Option<PathBuf>) -> Result<()> {
+    let config = Config::from_environment(path, |name| std::env::var(name).ok())?;
     startup::run(config)
 }
 
-/// Prints all that is wrong with a configuration.
+/// Prints every error in a configuration file to standard error, or one line to standard output if
+/// the file has no error.
 ///
 /// # Errors
-/// Anything is wrong with it, or it can't be read.
-fn check(file: &Path) -> Result<()> {
-    match Config::read(file) {
-        Ok(_) => print(format!("{}: nothing is wrong\n", file.display()).as_bytes()),
+/// Returns an error if the file cannot be read or contains at least one error.
+fn check(path: &Path) -> Result<()> {
+    match Config::read(path) {
+        Ok(_) => print(format!("{}: nothing is wrong\n", path.display()).as_bytes()),
         Err(ConfigError::Invalid(invalid)) => {
             for line in invalid.lines() {
                 eprintln!("{line}");
             }
-            bail!("{}: {} wrong", file.display(), invalid.diagnostics.len())
+            bail!(
+                "{}: errors found: {}",
+                path.display(),
+                invalid.diagnostics.len()
+            )
         }
         Err(error) => Err(error.into()),
     }
@@ -142,16 +146,16 @@
     let mut page = Vec::new();
     clap_mangen::Man::new(CommandLine::command())
         .render(&mut page)
-        .context("manual page")?;
+        .context("cannot render the manual page")?;
     print(&page)
 }
 
-/// Writes to standard output. That its reader closes it early, as `head` does, is no error.
+/// Writes to standard output. A reader that closes the pipe early, such as `head`, is not an error.
 fn print(bytes: &[u8]) -> Result<()> {
     let mut output = std::io::stdout().lock();
     match output.write_all(bytes).and_then(|()| output.flush()) {
         Err(error) if error.kind() != ErrorKind::BrokenPipe => {
-            Err(error).context("standard output")
+            Err(error).context("cannot write to standard output")
         }
         _ => Ok(()),
     }
--- a/crates/edge-node/src/lib.rs
+++ b/crates/edge-node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The edge node (a gateway): sockets, timers, files and signals around the decisions, which are
-//! all in [`gateway_core`]. [`run`] is the whole program; `main` only calls it.
+//! The edge node process, a gateway. This crate owns sockets, timers, files and signals; all
+//! decisions are made by [`gateway_core`]. [`run`] is the entry point that `main` calls.
 //!
-//! The public modules are those that only read a format: configurations, endpoint lists, the log
-//! and the heads of requests. Tests call them directly.
+//! A module is public where integration tests call it directly: configuration files, endpoint
+//! lists, the log, and the parsing of client requests.
 
 mod admin;
 mod bind;
--- a/crates/edge-node/src/log/mod.rs
+++ b/crates/edge-node/src/log/mod.rs
@@ -1,6 +1,5 @@
-//! The log on standard error: a line for each event that an operator may act on, as text for
-//! people, or as JSON with the same message and, beside it, the cause and the ids as fields of
-//! their own.
+//! The log on standard error: one line for each event that an operator may act on. The format is
+//! text for people, or JSON with the same message and the event's cause and ids as separate fields.
 
 mod rate_limit_layer;
 pub mod rate_limiter;
@@ -18,30 +17,30 @@
 use tracing_subscriber::registry::Registry;
 use tracing_subscriber::{reload, Layer};
 
-/// What a configuration says of the log.
+/// Log options of a configuration.
 #[derive(Deserialize, Clone, Copy, Debug, Default)]
 #[serde(default)]
 pub struct LogOptions {
-    /// The least severity that is logged.
+    /// Lowest severity that is logged.
     pub level: LogLevel,
-    /// How lines are written.
+    /// Format of a line.
     pub format: LogFormat,
 }
 
-/// The least severity that is logged.
+/// Lowest severity that is logged; each level includes the levels listed before it.
 #[derive(Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Nothing.
+    /// Logs nothing.
     Off,
-    /// What stops the edge node from doing its work.
+    /// Conditions that keep the edge node from doing its work.
     Error,
-    /// What an operator should look at.
+    /// Conditions that an operator should look into.
     Warn,
-    /// Starts, reloads and shutdowns.
+    /// Startup, configuration reloads and shutdown.
     #[default]
     Info,
-    /// Also each request, attempt and answer.
+    /// Each request, attempt and answer.
     Debug,
 }
 
@@ -63,62 +62,63 @@
     }
 }
 
-/// How lines of the log are written.
+/// Format of the lines of the log.
 #[derive(Deserialize, Clone, Copy, Debug, Default)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
     /// Time, level and message, for people.
     #[default]
     Text,
-    /// A JSON object a line, for programs.
+    /// One JSON object per line, for programs.
     Json,
 }
 
-/// Why the log can't be started or changed.
+/// Error of starting the log or changing its level.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// The process has a log already.
+    /// The process already has a log.
     #[error(transparent)]
     AlreadyStarted(#[from] SetGlobalDefaultError),
-    /// The log is gone, so its level can't be set.
+    /// The log has been dropped, so its level cannot be set.
     #[error(transparent)]
     Stopped(#[from] reload::Error),
 }
 
-/// The running log of this process.
+/// Handle of the process-wide log; changes its level.
 pub struct Log {
     level: reload::Handle<LevelFilter, Registry>,
 }
 
 impl Log {
-    /// Starts the log, which a process does once.
+    /// Starts the log of the process.
     ///
     /// # Errors
-    /// [`LogError::AlreadyStarted`].
+    /// Returns [`LogError::AlreadyStarted`] if the process already has a log.
     pub fn start(options: LogOptions) -> Result<Log, LogError> {
         let (level_filter, level) = reload::Layer::new(LevelFilter::from(options.level));
-        // A line that can't be written is dropped silently: the reader of the log may end, and
-        // reporting that on the same standard error would fail again, and end the edge node.
-        let lines = tracing_subscriber::fmt::layer()
+        // A line that cannot be written is dropped silently. The reader of the log may have exited,
+        // and reporting the failed write on the same standard error would fail, too, and end the
+        // edge node.
+        let layer = tracing_subscriber::fmt::layer()
             .with_writer(io::stderr)
             .with_ansi(false)
             .log_internal_errors(false);
-        let lines = match options.format {
-            LogFormat::Text => lines.event_format(TextFormat).boxed(),
-            LogFormat::Json => lines.json().flatten_event(true).with_target(false).boxed(),
+        let layer = match options.format {
+            LogFormat::Text => layer.event_format(TextFormat).boxed(),
+            LogFormat::Json => layer.json().flatten_event(true).with_target(false).boxed(),
         };
         let subscriber = Registry::default()
             .with(level_filter)
             .with(RateLimitLayer::new())
-            .with(lines);
+            .with(layer);
         tracing::subscriber::set_global_default(subscriber)?;
         Ok(Log { level })
     }
 
-    /// Sets the least severity that is logged.
+    /// Sets the lowest severity that is logged.
     ///
     /// # Errors
-    /// [`LogError::Stopped`].
+    /// Returns [`LogError::Stopped`] if the log has been dropped.
     pub fn set_level(&self, level: LogLevel) -> Result<(), LogError> {
         self.level.modify(|filter| *filter = level.into())?;
         Ok(())
--- a/crates/edge-node/src/log/rate_limit_layer.rs
+++ b/crates/edge-node/src/log/rate_limit_layer.rs
@@ -1,4 +1,4 @@
-//! Suppresses lines that repeat too fast, so that trouble can't flood the log.
+//! Limits the rate of repeated log lines, so that a recurring error cannot flood the log.
 
 use super::rate_limiter::{Decision, RateLimiter};
 use std::sync::{Mutex, PoisonError};
@@ -8,14 +8,14 @@
 use tracing_subscriber::layer::Context;
 use tracing_subscriber::Layer;
 
-/// Lines from one place in the program in each window. Without this limit the log would grow with
-/// the trouble that it reports, and a reader that can't keep up would hold up the edge node.
+/// Maximum number of lines from one callsite in each window. Without this limit the log would grow
+/// with the number of errors, and a reader that cannot keep up would block the edge node.
 const MAX_LINES_PER_WINDOW: u32 = 10;
-/// The window of that limit.
+/// Length of the window that [`MAX_LINES_PER_WINDOW`] applies to.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Limits the lines from each place in the program. Lines at debug level are exempt: an operator
-/// asked for all of them.
+/// Layer that limits the lines from each callsite. Lines at debug level are exempt, because an
+/// operator who sets that level asks for all of them.
 pub(super) struct RateLimitLayer {
     limiter: Mutex<RateLimiter<Identifier>>,
 }
@@ -38,8 +38,8 @@
         if *event.metadata().level() > Level::INFO {
             return true;
         }
-        // The limiter's lock is released before the warning below, which comes through this layer,
-        // too, and would deadlock.
+        // `check` releases the limiter's lock before the warning below is logged. The warning
+        // passes through this layer as well and would deadlock otherwise.
         match self.check(event.metadata().callsite()) {
             Decision::Suppress => false,
             Decision::Pass {
@@ -49,7 +49,7 @@
                 tracing::warn!(
                     event = "lines_suppressed",
                     lines = suppressed_before,
-                    "left out {suppressed_before} lines like the next"
+                    "suppressed {suppressed_before} lines of the same kind as the next line"
                 );
                 true
             }
--- a/crates/edge-node/src/log/rate_limiter.rs
+++ b/crates/edge-node/src/log/rate_limiter.rs
@@ -1,31 +1,31 @@
-//! Limits how many events of each kind pass in a time window. Crates for rate limits tell whether
-//! an event passes, but not how many were suppressed before it, which the log has to report.
+//! Limits the number of events of each kind in a time window. Rate limiting crates tell whether an
+//! event passes, but not how many events were suppressed before it, which the log has to report.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-/// A rate limiter that counts each kind on its own.
+/// Rate limiter with a separate limit for each kind of event. `K` identifies a kind.
 pub struct RateLimiter<K> {
     max_per_window: u32,
-    window: Duration,
+    window_length: Duration,
     windows: HashMap<K, Window>,
 }
 
-/// Whether an event passes.
+/// Result of [`RateLimiter::check`] for one event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It passes.
+    /// The event passes.
     Pass {
-        /// How many of its kind were suppressed in the window before; reported once, with the first
-        /// that passes.
+        /// Number of events of the same kind that were suppressed in the kind's previous window.
+        /// Set on the first event of a window only, 0 on all others.
         suppressed_before: u32,
     },
-    /// It is one too many in this window.
+    /// The event exceeds the limit of its window.
     Suppress,
 }
 
-/// What came of one kind since its window began.
+/// Counts of the events of one kind since its current window began.
 struct Window {
     started_at: Instant,
     passed: u32,
@@ -43,22 +43,22 @@
 }
 
 impl<K: Eq + Hash> RateLimiter<K> {
-    /// Lets `max_per_window` of each kind pass in each window. A kind's window begins with its
-    /// first event after the end of the window before.
-    pub fn new(max_per_window: u32, window: Duration) -> RateLimiter<K> {
+    /// Creates a limiter that passes at most `max_per_window` events of each kind in a window. A
+    /// kind's window begins with its first event after the end of its previous window.
+    pub fn new(max_per_window: u32, window_length: Duration) -> RateLimiter<K> {
         RateLimiter {
             max_per_window,
-            window,
+            window_length,
             windows: HashMap::new(),
         }
     }
 
-    /// Counts an event, and decides whether it passes. A `now` before the window's start counts as
-    /// in the window.
+    /// Counts an event of this kind at `now` and decides whether it passes. A `now` before the
+    /// start of the window counts as within the window.
     pub fn check(&mut self, kind: K, now: Instant) -> Decision {
         let window = self.windows.entry(kind).or_insert_with(|| Window::new(now));
         let mut suppressed_before = 0;
-        if now.saturating_duration_since(window.started_at) >= self.window {
+        if now.saturating_duration_since(window.started_at) >= self.window_length {
             suppressed_before = window.suppressed;
             *window = Window::new(now);
         }
--- a/crates/edge-node/src/log/text_format.rs
+++ b/crates/edge-node/src/log/text_format.rs
@@ -1,4 +1,4 @@
-//! The log's text format: time, level and message of an event in one line.
+//! Text format of the log: the time, level and message of an event on one line.
 
 use std::fmt::{self, Write};
 use tracing::field::{Field, Visit};
@@ -8,11 +8,11 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The name under which tracing records an event's message.
+/// Name of the field in which `tracing` records the message of an event.
 const MESSAGE_FIELD: &str = "message";
 
-/// Formats events for people. The fields are left to programs that read JSON: the message says what
-/// matters.
+/// Formats events for people, without their fields: the message contains what an operator needs,
+/// and programs read the fields from the JSON format.
 pub(super) struct TextFormat;
 
 impl<S, N> FormatEvent<S, N> for TextFormat
@@ -35,8 +35,8 @@
     }
 }
 
-/// Writes a text with its control characters escaped. Messages hold what peers and files sent, and
-/// a line break in it could forge a line of the log.
+/// Writes `text` with its control characters escaped. Messages contain text from peers and files,
+/// in which a line break could forge a line of the log.
 fn write_escaped(writer: &mut Writer<'_>, text: &str) -> fmt::Result {
     for character in text.chars() {
         if character.is_control() {
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// Takes the message of an event, without its fields.
+/// Collects the message of an event and ignores its other fields.
 #[derive(Default)]
 struct MessageVisitor {
     text: String,
@@ -57,7 +57,7 @@
 impl Visit for MessageVisitor {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         if field.name() == MESSAGE_FIELD {
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = write!(self.text, "{value:?}");
         }
     }
--- a/crates/edge-node/src/main.rs
+++ b/crates/edge-node/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `edge-node`.
+//! Entry point of the `edge-node` program; see [`edge_node::run`].
 
 use std::process::ExitCode;
 
--- a/crates/edge-node/src/metrics/gauges.rs
+++ b/crates/edge-node/src/metrics/gauges.rs
@@ -1,4 +1,4 @@
-//! Metrics that are read when they are asked for, and not counted as events happen.
+//! Gauges: metrics that are set from a snapshot of the edge node each time the metrics are read.
 
 use super::register;
 use prometheus_client::metrics::gauge::Gauge;
@@ -6,35 +6,35 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-/// Prometheus' default gauges hold integers.
+/// Gauge with a floating-point value; the default type of a gauge's value is an integer.
 type GaugeF64 = Gauge<f64, AtomicU64>;
 
-/// Values that are read when they are asked for, and not counted as events happen.
+/// Snapshot of the edge node's current values, taken each time an operator asks for them.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StatusSnapshot {
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     pub(crate) open_requests: usize,
-    /// Connections of clients.
+    /// Number of open client connections.
     pub(crate) client_connections: usize,
-    /// Connections to servers.
+    /// Number of open connections to servers.
     pub(crate) server_connections: usize,
-    /// File descriptors that the process holds.
+    /// Number of file descriptors that the process has open.
     pub(crate) open_descriptors: usize,
-    /// Servers that the endpoint list calls ready.
+    /// Number of servers that are ready according to the endpoint list.
     pub(crate) servers_ready: usize,
-    /// Servers and customers that the decision library keeps state of.
+    /// Number of servers and customers for which the decision library keeps state.
     pub(crate) tracked_entries: usize,
     /// Time since the last endpoint list was applied; `None` before the first.
     pub(crate) list_age: Option<Duration>,
-    /// Number of the last endpoint list; 0 before the first.
+    /// Sequence number of the last endpoint list applied; 0 before the first.
     pub(crate) list_sequence: u64,
-    /// Datagrams sent to peers since the start.
+    /// Number of datagrams sent to peers since the start of the process.
     pub(crate) datagrams_sent: u64,
-    /// Datagrams received from peers since the start.
+    /// Number of datagrams received from peers since the start of the process.
     pub(crate) datagrams_received: u64,
 }
 
-/// Metrics that are set from a [`StatusSnapshot`] each time they are read.
+/// Registered gauges, which [`Gauges::set`] sets from a [`StatusSnapshot`].
 pub(super) struct Gauges {
     open_requests: Gauge,
     client_connections: Gauge,
@@ -47,7 +47,7 @@
 }
 
 impl Gauges {
-    /// Registers all of them, in the order of the fields.
+    /// Registers all gauges, in the order of the fields.
     pub(super) fn register(registry: &mut Registry) -> Gauges {
         Gauges {
             open_requests: register(registry, "open_requests", "Requests without a final answer"),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Sets all of them. `uptime` stands for the age of the list before the first one.
+    /// Sets all gauges. Before the first endpoint list, the age of the list is set to `uptime`.
     pub(super) fn set(&self, status: &StatusSnapshot, uptime: Duration) {
         self.open_requests.set(gauge_value(status.open_requests));
         self.client_connections
@@ -95,7 +95,7 @@
     }
 }
 
-/// A count as gauges hold it; one that is too large counts as the largest number.
+/// Converts a count to the value of a gauge; a count out of range becomes `i64::MAX`.
 fn gauge_value(count: impl TryInto<i64>) -> i64 {
     count.try_into().unwrap_or(i64::MAX)
 }
--- a/crates/edge-node/src/metrics/mod.rs
+++ b/crates/edge-node/src/metrics/mod.rs
@@ -1,5 +1,5 @@
-//! The metrics that an operator's monitoring reads. Labels are names from the settings and
-//! outcomes: no customer, server or request is among them, so that the number of series is bounded.
+//! Metrics for the operator's monitoring. Label values are outcomes and names from the settings,
+//! never customers, servers or requests, so that the number of time series is bounded.
 
 mod gauges;
 mod outcome;
@@ -19,28 +19,29 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What the name of each metric begins with.
+/// Prefix of the name of each metric.
 const NAME_PREFIX: &str = "edge_node";
-/// Upper bound of the first latency bucket.
+/// Upper bound of the first latency bucket in seconds.
 const FIRST_LATENCY_BUCKET_SECONDS: f64 = 0.001;
-/// Each latency bucket is this many times as wide as the one before.
+/// Ratio of the upper bounds of two successive latency buckets.
 const LATENCY_BUCKET_FACTOR: f64 = 2.0;
-/// The number of latency buckets.
+/// Number of latency buckets with a finite upper bound.
 const LATENCY_BUCKETS: u16 = 14;
 
 type Labels = Vec<(&'static str, String)>;
 
-/// One counter for each outcome of a request, in the order of [`RequestOutcome::ALL`].
+/// One counter per outcome of a request, in the order of [`RequestOutcome::ALL`].
 type OutcomeCounters = [Counter; RequestOutcome::ALL.len()];
 
-/// All metrics of this process. Series are made at the start, so that no event looks a label up.
+/// All metrics of this process. Every time series is created at startup, so that recording an event
+/// does not look up labels.
 pub(crate) struct Metrics {
     registry: Registry,
-    /// By class and plan.
+    /// Counters of ended requests, indexed by class, then plan.
     requests: Vec<Vec<OutcomeCounters>>,
-    /// By class.
+    /// Histograms of request durations in seconds, indexed by class.
     request_durations: Vec<Histogram>,
-    /// In the order of [`ATTEMPT_OUTCOMES`].
+    /// Counters of ended attempts, in the order of [`ATTEMPT_OUTCOMES`].
     attempts: [Counter; ATTEMPT_OUTCOMES.len()],
     watch_resets: Counter,
     datagrams_sent: Counter,
@@ -49,10 +50,10 @@
 }
 
 impl Metrics {
-    /// Registers all metrics; the settings name the classes and plans.
+    /// Registers all metrics, with a time series for each class and plan of the settings.
     pub(crate) fn new(settings: &ResolvedSettings) -> Metrics {
         let mut registry = Registry::with_prefix(NAME_PREFIX);
-        // The text lists the metrics in the order in which they are registered here.
+        // The encoded text lists the metrics in the order of these registrations.
         Metrics {
             requests: register_requests(&mut registry, settings),
             request_durations: register_request_durations(&mut registry, settings),
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Counts a request that has ended, `duration` after it was complete. Abandoned requests have
-    /// no duration.
+    /// Records that a request has ended, `duration` after it was completely received. The duration
+    /// of an abandoned request is not recorded.
     pub(crate) fn record_request(
         &self,
         class: ClassId,
@@ -97,21 +98,21 @@
         }
     }
 
-    /// Counts an attempt that has ended.
+    /// Records that an attempt has ended.
     pub(crate) fn record_attempt(&self, outcome: AttemptOutcome) {
         increment(&self.attempts, &ATTEMPT_OUTCOMES, outcome);
     }
 
-    /// Counts a watch on discovery that has ended.
+    /// Records that a watch on discovery has ended.
     pub(crate) fn record_watch_reset(&self) {
         self.watch_resets.inc();
     }
 
-    /// All metrics in the text format `OpenMetrics`. `uptime` is the time since the start of the
-    /// process.
+    /// Returns all metrics in the `OpenMetrics` text format. `uptime` is the time since the start
+    /// of the process.
     ///
     /// # Errors
-    /// A value can't be written; no such value is known.
+    /// Returns an error if a value cannot be encoded; no such value is known.
     pub(crate) fn encode(
         &self,
         status: &StatusSnapshot,
@@ -186,15 +187,15 @@
     })
 }
 
-/// Increments the counter that stands where the outcome does.
+/// Increments the counter at the position that `outcome` has in `outcomes`.
 fn increment<T: PartialEq>(counters: &[Counter], outcomes: &[T], outcome: T) {
-    let index = outcomes.iter().position(|known| *known == outcome);
+    let index = outcomes.iter().position(|listed| *listed == outcome);
     if let Some(counter) = index.and_then(|index| counters.get(index)) {
         counter.inc();
     }
 }
 
-/// Raises a counter to a total that is counted elsewhere.
+/// Raises a counter to a total that is counted elsewhere. A counter never decreases.
 fn raise_to(counter: &Counter, total: u64) {
     counter.inc_by(total.saturating_sub(counter.get()));
 }
--- a/crates/edge-node/src/metrics/outcome.rs
+++ b/crates/edge-node/src/metrics/outcome.rs
@@ -1,22 +1,22 @@
-//! Outcomes of requests and attempts, and the words that stand for them in labels.
+//! Outcomes of requests and attempts, and their values of the metric label `outcome`.
 
 use gateway_core::AttemptOutcome;
 
-/// How a client's request ended.
+/// Outcome of a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestOutcome {
-    /// The client got a server's answer.
+    /// The client received a server's answer.
     Served,
-    /// It was rejected, so that its client may safely retry.
+    /// The request was rejected; its client may safely retry.
     Rejected,
-    /// No server could answer it.
+    /// No server could answer the request.
     Failed,
-    /// Its client disconnected, or its deadline passed.
+    /// The client disconnected, or the deadline passed.
     Abandoned,
 }
 
 impl RequestOutcome {
-    /// All of them, in the order of their counters.
+    /// All outcomes, in the order of their counters.
     pub(super) const ALL: [RequestOutcome; 4] = [
         RequestOutcome::Served,
         RequestOutcome::Rejected,
@@ -24,7 +24,7 @@
         RequestOutcome::Abandoned,
     ];
 
-    /// The word that stands for it in labels and in the log.
+    /// Returns the name of this outcome in metric labels and in the log.
     pub(crate) fn label(self) -> &'static str {
         match self {
             RequestOutcome::Served => "served",
@@ -35,7 +35,7 @@
     }
 }
 
-/// All outcomes of attempts, in the order of their counters.
+/// All outcomes of an attempt, in the order of their counters.
 pub(super) const ATTEMPT_OUTCOMES: [AttemptOutcome; 8] = [
     AttemptOutcome::Success,
     AttemptOutcome::ServerError,
@@ -47,7 +47,7 @@
     AttemptOutcome::NotSent,
 ];
 
-/// The word that stands for the outcome of an attempt in labels.
+/// Returns the name of an attempt's outcome in metric labels.
 pub(super) fn attempt_label(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Success => "ok",
