--- a/crates/fleet-lab/src/hybrid/invariant_checker.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_checker.rs
@@ -123,7 +123,7 @@
             return;
         };
         let record = &mut observed.record;
-        record.answered();
+        record.record_answer();
         observed.is_late |= now > record.arrived_at + record.request.timeout + ANSWER_GRACE;
         self.forged_answers += u64::from(answer == ReceivedAnswer::Forged);
     }
--- a/crates/fleet-lab/src/world/invariant_checker/answers.rs
+++ b/crates/fleet-lab/src/world/invariant_checker/answers.rs
@@ -15,7 +15,7 @@
             self.record_violation(now, Invariant::AnsweredTwice, problem);
             return false;
         };
-        if !record.answered() {
+        if !record.record_answer() {
             let problem = format!("request {} was answered after its end", number.0);
             self.record_violation(now, Invariant::AnsweredTwice, problem);
             return false;
--- a/crates/fleet-lab/src/world/request_record.rs
+++ b/crates/fleet-lab/src/world/request_record.rs
@@ -42,7 +42,7 @@
     }
 
     /// Records a final answer, which ends the request; returns whether the request was open.
-    pub fn answered(&mut self) -> bool {
+    pub fn record_answer(&mut self) -> bool {
         let was_open = self.close();
         self.answers_after_end += u32::from(!was_open);
         was_open
--- a/crates/fleet-lab/tests/world/limits.rs
+++ b/crates/fleet-lab/tests/world/limits.rs
@@ -54,9 +54,9 @@
     assert!(record.is_executed() && !record.is_executed_repeatedly());
     record.execution_started();
     assert!(record.is_executed_repeatedly());
-    assert!(record.answered() && !record.is_open() && !record.is_answered_after_end());
-    assert!(!record.answered() && record.is_answered_after_end());
+    assert!(record.record_answer() && !record.is_open() && !record.is_answered_after_end());
+    assert!(!record.record_answer() && record.is_answered_after_end());
     let mut abandoned: RequestRecord<&str, u32> = RequestRecord::new(START, "request");
     assert!(abandoned.close() && !abandoned.close() && !abandoned.is_answered_after_end());
-    assert!(!abandoned.answered() && abandoned.is_answered_after_end());
+    assert!(!abandoned.record_answer() && abandoned.is_answered_after_end());
 }
