--- a/crates/fleet-lab/src/hybrid/datagrams.rs
+++ b/crates/fleet-lab/src/hybrid/datagrams.rs
@@ -33,16 +33,16 @@
 struct NodeAddress {
     /// Where the others send to, and from where they receive.
     socket: UdpSocket,
-    public: SocketAddr,
+    public_address: SocketAddr,
     /// Where a real node itself listens.
-    real: Option<SocketAddr>,
+    real_address: Option<SocketAddr>,
     sent: Cell<SentMessages>,
 }
 
 impl NodeAddress {
     /// The address from which the node itself sends.
     fn source(&self) -> SocketAddr {
-        self.real.unwrap_or(self.public)
+        self.real_address.unwrap_or(self.public_address)
     }
 }
 
@@ -56,15 +56,18 @@
 
 impl Datagrams {
     /// Binds an address for each node; `real` has the address at which a real node itself listens.
-    pub(super) async fn bind(real: &[Option<SocketAddr>], fleet_size: usize) -> Result<Datagrams> {
+    pub(super) async fn bind(
+        real_addresses: &[Option<SocketAddr>],
+        fleet_size: usize,
+    ) -> Result<Datagrams> {
         let mut nodes = Vec::new();
-        for real in real {
+        for real_address in real_addresses {
             let socket = bind_socket().await?;
-            let public = socket.local_addr()?;
+            let public_address = socket.local_addr()?;
             nodes.push(NodeAddress {
                 socket,
-                public,
-                real: *real,
+                public_address,
+                real_address: *real_address,
                 sent: Cell::default(),
             });
         }
@@ -80,7 +83,8 @@
 
     /// The addresses of all nodes for the configuration of a real one, whose own is where it listens.
     pub(super) fn peer_addresses(&self, node: GatewayId) -> Vec<SocketAddr> {
-        let mut addresses: Vec<SocketAddr> = self.nodes.iter().map(|node| node.public).collect();
+        let mut addresses: Vec<SocketAddr> =
+            self.nodes.iter().map(|node| node.public_address).collect();
         let index = node.0 as usize;
         addresses[index] = self.nodes[index].source();
         addresses.resize(self.fleet_size, self.absent_address);
@@ -94,7 +98,7 @@
 
     /// Sends a hollow node's message to another node.
     pub(super) fn send(&self, from: GatewayId, to: GatewayId, bytes: &[u8]) {
-        self.count(from, bytes);
+        self.record_sent(from, bytes);
         let address = self
             .nodes
             .get(to.0 as usize)
@@ -125,17 +129,17 @@
         let sender_index = self.nodes.iter().position(|node| node.source() == source)?;
         let sender = &self.nodes[sender_index];
         let from = GatewayId(sender_index as u32);
-        if sender.real.is_some() {
-            self.count(from, bytes);
+        if sender.real_address.is_some() {
+            self.record_sent(from, bytes);
         }
-        let Some(real) = receiver.real else {
+        let Some(real_address) = receiver.real_address else {
             return Some(PeerDatagram {
                 from,
                 bytes: bytes.to_vec(),
             });
         };
         // The real node knows the sender by its public address.
-        let _ = sender.socket.try_send_to(bytes, real);
+        let _ = sender.socket.try_send_to(bytes, real_address);
         None
     }
 
@@ -143,13 +147,17 @@
     pub(super) async fn count_undeliverable(&self) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         while let Ok((length, source)) = self.absent_socket.recv_from(&mut buffer).await {
-            if let Some(from) = self.nodes.iter().position(|node| node.real == Some(source)) {
-                self.count(GatewayId(from as u32), &buffer[..length]);
+            if let Some(from) = self
+                .nodes
+                .iter()
+                .position(|node| node.real_address == Some(source))
+            {
+                self.record_sent(GatewayId(from as u32), &buffer[..length]);
             }
         }
     }
 
-    fn count(&self, from: GatewayId, bytes: &[u8]) {
+    fn record_sent(&self, from: GatewayId, bytes: &[u8]) {
         let counter = &self.nodes[from.0 as usize].sent;
         let mut sent = counter.get();
         sent.counts.add(bytes.len());
--- a/crates/fleet-lab/src/hybrid/endpoint_registry.rs
+++ b/crates/fleet-lab/src/hybrid/endpoint_registry.rs
@@ -19,7 +19,7 @@
     state: EndpointState,
     started_at: Option<Timestamp>,
     /// The version in which it was changed last.
-    changed_in: u64,
+    changed_in_version: u64,
 }
 
 impl RegisteredServer {
@@ -64,14 +64,14 @@
 
     /// Adds a server that has run for long to the first version of the list.
     pub(super) fn add(&self, name: String, id: ServerId, address: SocketAddr) {
-        let (state, started_at, changed_in) = (EndpointState::Ready, None, 1);
+        let (state, started_at, changed_in_version) = (EndpointState::Ready, None, 1);
         self.servers.borrow_mut().push(RegisteredServer {
             name,
             id,
             address,
             state,
             started_at,
-            changed_in,
+            changed_in_version,
         });
     }
 
@@ -79,7 +79,7 @@
     pub(super) fn update(&self, now: Timestamp, server: usize, state: ListedState) {
         let version = self.version() + 1;
         if let Some(server) = self.servers.borrow_mut().get_mut(server) {
-            server.changed_in = version;
+            server.changed_in_version = version;
             match state {
                 ListedState::Draining => server.state = EndpointState::Draining,
                 ListedState::Gone => server.state = EndpointState::Gone,
@@ -104,7 +104,9 @@
     /// The entries that were changed after a version.
     pub(super) fn changes_since(&self, version: u64) -> Vec<Endpoint> {
         let servers = self.servers.borrow();
-        let changed = servers.iter().filter(|server| server.changed_in > version);
+        let changed = servers
+            .iter()
+            .filter(|server| server.changed_in_version > version);
         changed.map(RegisteredServer::endpoint).collect()
     }
 
@@ -114,7 +116,7 @@
         let is_whole = version == 0;
         let is_listed = |server: &&RegisteredServer| {
             let is_removed = server.state == EndpointState::Gone;
-            server.changed_in > version && !(is_whole && is_removed)
+            server.changed_in_version > version && !(is_whole && is_removed)
         };
         let servers = self.servers.borrow();
         let hosts: Vec<_> = servers
--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -84,7 +84,7 @@
             let endpoints = self.environment.registry.changes_since(received_version);
             received_version = version;
             self.environment.record_update(self.id, &endpoints);
-            self.post(Event::EndpointsUpdated { kind, endpoints });
+            self.handle_event(Event::EndpointsUpdated { kind, endpoints });
             if versions.changed().await.is_err() {
                 return;
             }
@@ -94,7 +94,7 @@
     async fn receive_messages(self: Rc<Self>) {
         loop {
             if let Some(message) = self.environment.datagrams.receive(self.id).await {
-                self.post(Event::PeerMessage {
+                self.handle_event(Event::PeerMessage {
                     from: message.from,
                     bytes: message.bytes,
                 });
@@ -103,7 +103,7 @@
     }
 
     /// Gives the decision library an event, and carries out the resulting actions.
-    fn post(self: &Rc<Self>, event: Event) {
+    fn handle_event(self: &Rc<Self>, event: Event) {
         let now = self.environment.clock.now();
         let mut actions = Vec::new();
         let started = Instant::now();
@@ -133,7 +133,7 @@
                 let node = Rc::clone(self);
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(after).await;
-                    node.post(Event::TimerFired { token });
+                    node.handle_event(Event::TimerFired { token });
                 });
             }
             // The list is watched in any case.
@@ -169,7 +169,7 @@
                 attempts: 0,
             },
         );
-        self.post(request_event(id, request));
+        self.handle_event(request_event(id, request));
         let time_left = give_up_at.duration_since(self.environment.clock.now());
         let answer = tokio::time::timeout(time_left, receiver)
             .await
@@ -177,7 +177,7 @@
             .and_then(Result::ok);
         if answer.is_none() {
             self.open_requests.borrow_mut().remove(id);
-            self.post(Event::ClientDisconnected { id: id.clone() });
+            self.handle_event(Event::ClientDisconnected { id: id.clone() });
         }
         answer
     }
@@ -251,7 +251,7 @@
         }
         let closed = !self.open_requests.borrow().contains_key(&id);
         let reported_load = reply.map(|reply| reply.in_flight as f64);
-        self.post(Event::AttemptFinished {
+        self.handle_event(Event::AttemptFinished {
             id,
             attempt,
             outcome,
--- a/crates/fleet-lab/src/hybrid/invariant_checker.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_checker.rs
@@ -155,7 +155,7 @@
         ]
     }
 
-    fn count(&self, condition: impl Fn(&ObservedRequest) -> bool) -> u64 {
+    fn count_if(&self, condition: impl Fn(&ObservedRequest) -> bool) -> u64 {
         self.requests
             .values()
             .filter(|observed| condition(observed))
@@ -164,8 +164,8 @@
 
     fn check_quotas(&self) -> InvariantResult {
         let peaks: Vec<Excess> = self.quotas.values().filter_map(QuotaUsage::peak).collect();
-        let by_excess = |one: &Excess, other: &Excess| {
-            one.beyond_tolerance().total_cmp(&other.beyond_tolerance())
+        let by_excess = |left: &Excess, right: &Excess| {
+            left.beyond_tolerance().total_cmp(&right.beyond_tolerance())
         };
         let Excess { units, tolerated } =
             peaks.iter().copied().max_by(by_excess).unwrap_or_default();
@@ -182,13 +182,13 @@
     fn check_answers(&self) -> InvariantResult {
         let is_missing = |observed: &ObservedRequest| observed.record.is_open();
         let is_repeated = |observed: &ObservedRequest| observed.record.is_answered_after_end();
-        let missing = self.count(is_missing);
-        let late = self.count(|observed| observed.is_late);
-        let repeated = self.count(is_repeated);
+        let missing = self.count_if(is_missing);
+        let late = self.count_if(|observed| observed.is_late);
+        let repeated = self.count_if(is_repeated);
         InvariantResult {
             invariant: "one final answer each, in time",
             checked: self.requests.len() as u64,
-            violations: self.count(|observed| {
+            violations: self.count_if(|observed| {
                 is_missing(observed) || is_repeated(observed) || observed.is_late
             }),
             details: format!("{missing} without, {late} late, {repeated} with more than one"),
@@ -199,12 +199,14 @@
         let is_non_idempotent =
             |observed: &ObservedRequest| observed.record.request.is_non_idempotent;
         let is_repeated = |observed: &ObservedRequest| observed.record.is_executed_repeatedly();
-        let repeated = self.count(|observed| !is_non_idempotent(observed) && is_repeated(observed));
+        let repeated =
+            self.count_if(|observed| !is_non_idempotent(observed) && is_repeated(observed));
         InvariantResult {
             invariant: "what is unsafe to repeat runs once",
             checked: self
-                .count(|observed| is_non_idempotent(observed) && observed.record.is_executed()),
-            violations: self.count(|observed| is_non_idempotent(observed) && is_repeated(observed)),
+                .count_if(|observed| is_non_idempotent(observed) && observed.record.is_executed()),
+            violations: self
+                .count_if(|observed| is_non_idempotent(observed) && is_repeated(observed)),
             details: format!("{repeated} safe ones ran more than once"),
         }
     }
--- a/crates/fleet-lab/src/hybrid/load.rs
+++ b/crates/fleet-lab/src/hybrid/load.rs
@@ -161,7 +161,7 @@
         tokio::time::sleep_until(started + Duration::from_secs_f64(fault.at * config.seconds))
             .await;
         environment.servers[fault.server].set_mode(fault.mode);
-        if let Some(state) = fault.listed {
+        if let Some(state) = fault.listed_state {
             environment
                 .registry
                 .update(environment.clock.now(), fault.server, state);
--- a/crates/fleet-lab/src/hybrid/nodes.rs
+++ b/crates/fleet-lab/src/hybrid/nodes.rs
@@ -112,10 +112,10 @@
     let listener = bind_listener().await?;
     let discovery = listener.local_addr()?;
     tokio::task::spawn_local(discovery_agent::serve(Rc::clone(environment), id, listener));
-    let forwarding = Rc::clone(environment);
+    let environment = Rc::clone(environment);
     tokio::task::spawn_local(async move {
         loop {
-            forwarding.datagrams.receive(id).await;
+            environment.datagrams.receive(id).await;
         }
     });
     Ok(RealNodeConfig {
--- a/crates/fleet-lab/src/hybrid/plan_quotas.rs
+++ b/crates/fleet-lab/src/hybrid/plan_quotas.rs
@@ -16,11 +16,11 @@
 /// opened.
 const FIRST_SEND_TIME: Duration = Duration::from_millis(250);
 /// As in the decision library: fraction of the messages that a node accepts which may be usage counts of its peers.
-const USAGE_MESSAGE_FRACTION: f64 = 0.7;
+const BROADCAST_INTAKE_FRACTION: f64 = 0.7;
 /// As in the decision library: minimum time between two usage counts, s.
-const MIN_USAGE_INTERVAL_SECONDS: f64 = 0.2;
+const MIN_BROADCAST_INTERVAL_SECONDS: f64 = 0.2;
 /// As in the decision library: from this time between usage counts on, quotas have owners, s.
-const OWNERS_FROM_INTERVAL_SECONDS: f64 = 0.5;
+const MIN_LEASES_BROADCAST_INTERVAL_SECONDS: f64 = 0.5;
 /// Owners of a quota in a large fleet, without the standby owner.
 const OWNERS_PER_QUOTA: f64 = 2.0;
 
@@ -56,8 +56,8 @@
     pub(super) fn of(&self, customer: &Customer) -> CustomerQuota {
         let rate = self.rate(customer.plan);
         let burst = self.burst(customer.plan);
-        let in_transit = rate * FIRST_SEND_TIME.as_micros_f64() / MICROS_PER_SECOND;
-        let lack_of_information = if self.have_owners() {
+        let in_transit_tolerance = rate * FIRST_SEND_TIME.as_micros_f64() / MICROS_PER_SECOND;
+        let sharing_tolerance = if self.has_quota_owners() {
             self.owner_tolerance(burst)
         } else {
             self.usage_count_tolerance(customer, rate, burst)
@@ -67,7 +67,7 @@
             quota: Quota {
                 rate,
                 burst,
-                tolerance: in_transit + lack_of_information,
+                tolerance: in_transit_tolerance + sharing_tolerance,
                 tolerance_per_second: self.size.quota_tolerance * rate,
             },
         }
@@ -85,20 +85,20 @@
     fn usage_count_tolerance(&self, customer: &Customer, rate: f64, burst: f64) -> f64 {
         let other_nodes = f64::from(customer.node_count - 1);
         let interval = self
-            .usage_interval_seconds()
-            .max(MIN_USAGE_INTERVAL_SECONDS);
+            .broadcast_interval_seconds()
+            .max(MIN_BROADCAST_INTERVAL_SECONDS);
         other_nodes * (burst + rate * interval)
     }
 
     /// Time between two usage counts of a node that the rate of accepted messages allows, s.
-    fn usage_interval_seconds(&self) -> f64 {
+    fn broadcast_interval_seconds(&self) -> f64 {
         f64::from(self.size.fleet_size.saturating_sub(1))
-            / (ACCEPTED_MESSAGES_PER_SECOND * USAGE_MESSAGE_FRACTION)
+            / (ACCEPTED_MESSAGES_PER_SECOND * BROADCAST_INTAKE_FRACTION)
     }
 
     /// Whether quotas have owners, because usage counts would be too rare.
-    fn have_owners(&self) -> bool {
-        self.usage_interval_seconds() >= OWNERS_FROM_INTERVAL_SECONDS
+    fn has_quota_owners(&self) -> bool {
+        self.broadcast_interval_seconds() >= MIN_LEASES_BROADCAST_INTERVAL_SECONDS
     }
 }
 
--- a/crates/fleet-lab/src/hybrid/real_node.rs
+++ b/crates/fleet-lab/src/hybrid/real_node.rs
@@ -81,13 +81,16 @@
     ) -> Result<RealNode> {
         let path = config.write(environment, folder)?;
         let process = spawn(program, &path).with_context(|| format!("{}", program.display()))?;
-        let node =
-            tokio::time::timeout(STARTUP_TIMEOUT, RealNode::when_ready(config.id, process)).await;
+        let node = tokio::time::timeout(
+            STARTUP_TIMEOUT,
+            RealNode::wait_until_ready(config.id, process),
+        )
+        .await;
         let node = node.unwrap_or_else(|_| bail!("it is not ready in time"));
         node.with_context(|| node_name(config.id))
     }
 
-    async fn when_ready(id: GatewayId, mut process: Child) -> Result<RealNode> {
+    async fn wait_until_ready(id: GatewayId, mut process: Child) -> Result<RealNode> {
         let pid = process
             .id()
             .and_then(|id| Pid::from_raw(id as i32))
--- a/crates/fleet-lab/src/hybrid/server_faults.rs
+++ b/crates/fleet-lab/src/hybrid/server_faults.rs
@@ -34,7 +34,7 @@
     /// What it does from now on.
     pub(super) mode: ServerMode,
     /// Its new state in the list, if that changes.
-    pub(super) listed: Option<ListedState>,
+    pub(super) listed_state: Option<ListedState>,
 }
 
 impl ServerFault {
@@ -43,13 +43,13 @@
             at,
             server,
             mode,
-            listed: None,
+            listed_state: None,
         }
     }
 
-    fn listed(self, state: ListedState) -> ServerFault {
+    fn with_listed_state(self, state: ListedState) -> ServerFault {
         ServerFault {
-            listed: Some(state),
+            listed_state: Some(state),
             ..self
         }
     }
@@ -76,12 +76,14 @@
             FaultProfile::Mixed => vec![
                 ServerFault::new(0.2, 1, ServerMode::Reject),
                 ServerFault::new(0.3, 1, ServerMode::Serve),
-                ServerFault::new(0.3, 2, ServerMode::Reject).listed(ListedState::Draining),
+                ServerFault::new(0.3, 2, ServerMode::Reject)
+                    .with_listed_state(ListedState::Draining),
                 ServerFault::new(0.4, 3, ServerMode::Hang),
-                ServerFault::new(0.55, 2, ServerMode::Reject).listed(ListedState::Gone),
+                ServerFault::new(0.55, 2, ServerMode::Reject).with_listed_state(ListedState::Gone),
                 ServerFault::new(0.55, 3, ServerMode::Serve),
                 ServerFault::new(0.6, 4, ServerMode::FailHalf),
-                ServerFault::new(0.7, 2, ServerMode::Serve).listed(ListedState::Restarted),
+                ServerFault::new(0.7, 2, ServerMode::Serve)
+                    .with_listed_state(ListedState::Restarted),
                 ServerFault::new(0.75, 4, ServerMode::Serve),
             ],
         }
--- a/crates/fleet-lab/src/hybrid/servers.rs
+++ b/crates/fleet-lab/src/hybrid/servers.rs
@@ -114,11 +114,11 @@
             std::future::pending::<()>().await;
         }
         let work = self.draw_work();
-        let is_unlucky = self.rng.borrow_mut().random::<bool>();
+        let is_selected_to_fail = self.rng.borrow_mut().random::<bool>();
         // The semaphore is never closed; if it were, a request would only run earlier.
         let _slot = self.execution_slots.acquire().await;
         tokio::time::sleep(work).await;
-        let is_error = mode == ServerMode::FailHalf && is_unlucky;
+        let is_error = mode == ServerMode::FailHalf && is_selected_to_fail;
         self.reply(if is_error {
             AttemptStatus::Error
         } else {
