--- a/crates/fleet-lab/src/scaling/cost.rs
+++ b/crates/fleet-lab/src/scaling/cost.rs
@@ -77,7 +77,7 @@
 }
 
 /// Whether this program counts its allocations: only one with the counting allocator does.
-pub(super) fn counts_allocations() -> bool {
+pub(super) fn is_counting_allocations() -> bool {
     let before = INSTRUMENTED_SYSTEM.stats().allocations;
     drop(std::hint::black_box(Box::new(0u64)));
     INSTRUMENTED_SYSTEM.stats().allocations > before
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -23,11 +23,11 @@
 /// requests. Where more requests stay open, each has a customer of its own.
 pub(super) const MIN_ACTIVE_CUSTOMERS: u64 = 64;
 /// Zones of the fleet.
-const ZONES: u32 = 29;
+const ZONE_COUNT: u32 = 29;
 /// Customer numbers have 33 bits at most, by the protocol.
-pub(super) const CUSTOMER_NUMBERS: u64 = 1 << 33;
+pub(super) const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
 /// The two gateways.
-pub(super) const PAIR: [GatewayId; 2] = [GatewayId(0), GatewayId(1)];
+pub(super) const GATEWAY_IDS: [GatewayId; 2] = [GatewayId(0), GatewayId(1)];
 
 /// Settings of a fleet with two classes of requests and one plan, whose quota no customer here uses up.
 pub(super) fn settings(gateway: GatewayId, gateways: u32) -> Settings {
@@ -86,8 +86,8 @@
 pub(super) fn draw_endpoints(rng: &mut ChaCha8Rng, servers: u64) -> Vec<Endpoint> {
     let endpoint = |number: u64| Endpoint {
         server: ServerId(rng.random()),
-        zone: ZoneId((number % u64::from(ZONES)) as u32),
-        cell: CellId(number % u64::from(ZONES)),
+        zone: ZoneId((number % u64::from(ZONE_COUNT)) as u32),
+        cell: CellId(number % u64::from(ZONE_COUNT)),
         state: EndpointState::Ready,
         weight: 1.0,
         started_at: None,
@@ -117,7 +117,7 @@
         .min(sizes.customers);
     let mut customers = Vec::new();
     for _ in 0..count {
-        let id = CustomerId(rng.random_range(0..CUSTOMER_NUMBERS / 2));
+        let id = CustomerId(rng.random_range(0..CUSTOMER_ID_LIMIT / 2));
         let offset = owner_offset(id, sizes)?;
         let first_gateway = GatewayId((owner.0 + sizes.gateways - offset) % sizes.gateways);
         customers.push(Customer { id, first_gateway });
@@ -127,7 +127,7 @@
 
 /// How many gateways after the first of its gateways a customer's quota owner is; 0 where quotas have no owners.
 fn owner_offset(customer: CustomerId, sizes: FleetSizes) -> Result<u32> {
-    let settings = settings(PAIR[0], sizes.gateways);
+    let settings = settings(GATEWAY_IDS[0], sizes.gateways);
     let mut gateway = Gateway::new(1, settings, START).context("a gateway that shows the owner")?;
     let event = Event::RequestReceived {
         id: RequestId("probe".into()),
@@ -136,7 +136,7 @@
         customer,
         units: Units::new(1.0),
         gateways: GatewaySet {
-            first: PAIR[0],
+            first: GATEWAY_IDS[0],
             count: sizes.effective_gateways_per_customer(),
         },
         client_timeout: CLIENT_TIMEOUT,
--- a/crates/fleet-lab/src/scaling/gateway_pair/mod.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair/mod.rs
@@ -5,7 +5,7 @@
 mod preparation;
 
 use super::cost::{measure_event, Cost};
-use super::fleet::{draw_endpoints, Customer, CLIENT_TIMEOUT, PAIR, START};
+use super::fleet::{draw_endpoints, Customer, CLIENT_TIMEOUT, GATEWAY_IDS, START};
 use super::sizes::FleetSizes;
 use anyhow::{bail, Result};
 use gateway_core::{
@@ -60,10 +60,10 @@
     sizes: FleetSizes,
     members: [Member; 2],
     pending: VecDeque<PendingEvent>,
-    last_request: u64,
+    last_request_number: u64,
     costs: MeasuredCosts,
     /// Attempts that the first gateway has sent; each is served.
-    served: u64,
+    served_attempts: u64,
 }
 
 impl GatewayPair {
@@ -75,8 +75,8 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let endpoints = draw_endpoints(&mut rng, sizes.servers);
         let now = START;
-        let first = Member::draw(&mut rng, sizes, now, PAIR[0], PAIR[1])?;
-        let second = Member::draw(&mut rng, sizes, now, PAIR[1], PAIR[0])?;
+        let first = Member::draw(&mut rng, sizes, now, GATEWAY_IDS[0], GATEWAY_IDS[1])?;
+        let second = Member::draw(&mut rng, sizes, now, GATEWAY_IDS[1], GATEWAY_IDS[0])?;
         let mut pair = GatewayPair {
             now,
             endpoints,
@@ -84,9 +84,9 @@
             sizes,
             members: [first, second],
             pending: VecDeque::new(),
-            last_request: 0,
+            last_request_number: 0,
             costs: MeasuredCosts::default(),
-            served: 0,
+            served_attempts: 0,
         };
         pair.prepare()?;
         Ok(pair)
@@ -104,17 +104,17 @@
     /// Enqueues a request of the next customer of a gateway.
     fn enqueue_request(&mut self, member: usize) {
         let customers = &self.members[member].customers;
-        let customer = customers[(self.last_request as usize / 2) % customers.len()];
+        let customer = customers[(self.last_request_number as usize / 2) % customers.len()];
         let event = self.request_event(customer, CLIENT_TIMEOUT);
         self.enqueue(member, event);
     }
 
     fn request_event(&mut self, customer: Customer, client_timeout: Duration) -> Event {
-        self.last_request += 1;
+        self.last_request_number += 1;
         let count = self.sizes.effective_gateways_per_customer();
         Event::RequestReceived {
-            id: RequestId(format!("{:016x}", self.last_request).into()),
-            class: ClassId((self.last_request / 3 % 2) as usize),
+            id: RequestId(format!("{:016x}", self.last_request_number).into()),
+            class: ClassId((self.last_request_number / 3 % 2) as usize),
             plan: PlanId(0),
             customer: customer.id,
             units: Units::new(1.0),
@@ -132,13 +132,13 @@
     /// If it is not served at the first: what was measured would be a rejection.
     pub(super) fn request(&mut self) -> Result<()> {
         let next_request_at = self.now + REQUEST_INTERVAL;
-        let served_before = self.served;
+        let served_before = self.served_attempts;
         for member in 0..self.members.len() {
             self.enqueue_request(member);
         }
         self.deliver();
-        if self.served == served_before {
-            bail!("request {} was not served", self.last_request);
+        if self.served_attempts == served_before {
+            bail!("request {} was not served", self.last_request_number);
         }
         self.advance(next_request_at);
         Ok(())
@@ -150,7 +150,7 @@
             if member == MEASURED && matches!(event, Event::AttemptFinished { .. }) {
                 self.now = self.now + SERVICE_TIME;
             }
-            let costs = self.post(member, event);
+            let costs = self.handle_event(member, event);
             self.costs.add(costs);
         }
     }
@@ -172,7 +172,7 @@
     fn deliver_unmeasured(&mut self) {
         while let Some(PendingEvent { member, event }) = self.pending.pop_front() {
             // Usage counts to all peers are sent when they are due, not with a request.
-            let costs = self.post(member, event);
+            let costs = self.handle_event(member, event);
             self.costs.peer_messages.add(costs.peer_messages);
         }
     }
@@ -180,7 +180,8 @@
     /// Fires a gateway's timer now; returns what that costs.
     pub(super) fn fire_timer(&mut self, member: usize) -> Cost {
         self.members[member].timer_at = Timestamp::MAX;
-        self.post(member, Event::TimerFired { token: 0 }).own
+        self.handle_event(member, Event::TimerFired { token: 0 })
+            .own
     }
 
     /// When the first gateway's timer fires.
@@ -194,7 +195,7 @@
         kind: EndpointUpdate,
         endpoints: Vec<Endpoint>,
     ) -> Cost {
-        self.post(MEASURED, Event::EndpointsUpdated { kind, endpoints })
+        self.handle_event(MEASURED, Event::EndpointsUpdated { kind, endpoints })
             .own
     }
 
@@ -210,7 +211,7 @@
     }
 
     /// Gives a gateway an event and carries out its actions; returns what that costs the first gateway.
-    fn post(&mut self, member: usize, event: Event) -> MeasuredCosts {
+    fn handle_event(&mut self, member: usize, event: Event) -> MeasuredCosts {
         let is_unsolicited =
             matches!(&event, Event::PeerMessage { bytes, .. } if !is_lease_grant(bytes));
         let mut actions = Vec::with_capacity(8);
@@ -230,12 +231,12 @@
 
     fn execute(&mut self, member: usize, action: Action, cost: &mut Cost) {
         let peer = 1 - member;
-        let from = PAIR[member];
+        let from = GATEWAY_IDS[member];
         match action {
             Action::SendAttempt { id, .. } => self.serve(member, id),
             Action::SendToPeer { to, bytes } => {
                 cost.add_message(1, &bytes);
-                if to == PAIR[peer] {
+                if to == GATEWAY_IDS[peer] {
                     self.enqueue(peer, Event::PeerMessage { from, bytes });
                 }
             }
@@ -257,7 +258,7 @@
 
     /// A server answers an attempt.
     fn serve(&mut self, member: usize, id: RequestId) {
-        self.served += u64::from(member == MEASURED);
+        self.served_attempts += u64::from(member == MEASURED);
         let reported_load = Some(f64::from(self.rng.random_range(0..4u8)));
         let (attempt, outcome) = (AttemptNumber(0), AttemptOutcome::Success);
         self.enqueue(
--- a/crates/fleet-lab/src/scaling/gateway_pair/preparation.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair/preparation.rs
@@ -1,7 +1,7 @@
 //! Brings a pair of gateways to the state in which it is measured.
 
 use super::{GatewayPair, PendingEvent, MEASURED};
-use crate::scaling::fleet::{Customer, CONTROL_TICK, CUSTOMER_NUMBERS, MILLISECOND, PAIR};
+use crate::scaling::fleet::{Customer, CONTROL_TICK, CUSTOMER_ID_LIMIT, GATEWAY_IDS, MILLISECOND};
 use anyhow::Result;
 use gateway_core::{CustomerId, EndpointUpdate, Event};
 use std::time::Duration;
@@ -18,7 +18,7 @@
     pub(super) fn prepare(&mut self) -> Result<()> {
         for member in 0..self.members.len() {
             let endpoints = self.endpoints.clone();
-            self.post(
+            self.handle_event(
                 member,
                 Event::EndpointsUpdated {
                     kind: EndpointUpdate::Snapshot,
@@ -26,7 +26,7 @@
                 },
             );
         }
-        self.meet_customers();
+        self.send_requests_of_inactive_customers();
         for _ in 0..self.warm_up_requests() {
             self.request()?;
         }
@@ -36,7 +36,7 @@
             self.fire_timer(member);
         }
         self.deliver_unmeasured();
-        self.open_requests();
+        self.leave_requests_open();
         self.take_costs();
         Ok(())
     }
@@ -48,29 +48,29 @@
     }
 
     /// Sends the first gateway one request of each other customer, with no time to serve it.
-    fn meet_customers(&mut self) {
-        let met = self.members[MEASURED].customers.len() as u64;
-        for number in 0..self.sizes.customers.saturating_sub(met) {
-            let id = CustomerId(CUSTOMER_NUMBERS - 1 - number);
+    fn send_requests_of_inactive_customers(&mut self) {
+        let active_customers = self.members[MEASURED].customers.len() as u64;
+        for number in 0..self.sizes.customers.saturating_sub(active_customers) {
+            let id = CustomerId(CUSTOMER_ID_LIMIT - 1 - number);
             let event = self.request_event(
                 Customer {
                     id,
-                    first_gateway: PAIR[MEASURED],
+                    first_gateway: GATEWAY_IDS[MEASURED],
                 },
                 Duration::ZERO,
             );
-            self.post(MEASURED, event);
+            self.handle_event(MEASURED, event);
         }
     }
 
     /// Leaves as many requests open at the first gateway as there should be, without the one that is measured.
-    fn open_requests(&mut self) {
+    fn leave_requests_open(&mut self) {
         for _ in 1..self.sizes.open_requests {
             self.enqueue_request(MEASURED);
             while let Some(PendingEvent { member, event }) = self.pending.pop_front() {
                 // No server answers meanwhile.
                 if !matches!(event, Event::AttemptFinished { .. }) {
-                    self.post(member, event);
+                    self.handle_event(member, event);
                 }
             }
         }
--- a/crates/fleet-lab/src/scaling/measure/figures.rs
+++ b/crates/fleet-lab/src/scaling/measure/figures.rs
@@ -1,6 +1,6 @@
 //! The figures that measurements yield.
 
-use crate::scaling::cost::{counts_allocations, Cost};
+use crate::scaling::cost::{is_counting_allocations, Cost};
 use crate::scaling::report::Figure;
 
 /// A total divided by a number of units.
@@ -20,7 +20,7 @@
             value: per_unit(cost.visited, count),
         },
     ];
-    if counts_allocations() {
+    if is_counting_allocations() {
         figures.push(Figure {
             name: "allocations",
             value: per_unit(cost.allocations, count),
--- a/crates/fleet-lab/src/scaling/measure/memory.rs
+++ b/crates/fleet-lab/src/scaling/measure/memory.rs
@@ -1,7 +1,7 @@
 //! How much memory a gateway uses.
 
 use super::figures::memory_figures;
-use crate::scaling::cost::{counts_allocations, live_bytes};
+use crate::scaling::cost::{is_counting_allocations, live_bytes};
 use crate::scaling::fleet::{draw_endpoints, settings};
 use crate::scaling::report::Figure;
 use crate::scaling::sizes::FleetSizes;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// When gateways whose memory is measured start.
-const FIRST_TICK: Timestamp = Timestamp::from_micros(500_000);
+const START: Timestamp = Timestamp::from_micros(500_000);
 
 /// A gateway with nothing but its settings, and its memory.
 struct FreshGateway {
@@ -25,11 +25,11 @@
 
 fn fresh_gateway(seed: u64, gateways: u32) -> Result<FreshGateway> {
     ensure!(
-        counts_allocations(),
+        is_counting_allocations(),
         "this program does not count its allocations"
     );
     let before = live_bytes();
-    let gateway = Gateway::new(seed, settings(GatewayId(0), gateways), FIRST_TICK)?;
+    let gateway = Gateway::new(seed, settings(GatewayId(0), gateways), START)?;
     let bytes = live_bytes().saturating_sub(before);
     Ok(FreshGateway { gateway, bytes })
 }
@@ -46,7 +46,7 @@
         kind,
         endpoints: endpoints.clone(),
     };
-    gateway.handle(FIRST_TICK, event, &mut actions);
+    gateway.handle(START, event, &mut actions);
     actions.clear();
     actions.shrink_to_fit();
     Ok(memory_figures(
@@ -72,7 +72,7 @@
             },
             client_timeout: Duration::ZERO,
         };
-        gateway.handle(FIRST_TICK, event, &mut Vec::new());
+        gateway.handle(START, event, &mut Vec::new());
     }
     Ok(memory_figures(
         live_bytes().saturating_sub(before),
--- a/crates/fleet-lab/src/scaling/mod.rs
+++ b/crates/fleet-lab/src/scaling/mod.rs
@@ -67,12 +67,12 @@
 }
 
 fn write_files(args: &Args, report: &Report) -> anyhow::Result<()> {
-    if let Some(file) = &args.json {
+    if let Some(path) = &args.json {
         let text = serde_json::to_string_pretty(report)?;
-        std::fs::write(file, text + "\n").with_context(|| format!("{}", file.display()))?;
+        std::fs::write(path, text + "\n").with_context(|| format!("{}", path.display()))?;
     }
-    if let Some(file) = &args.plot {
-        plot::draw(report, file).with_context(|| format!("{}", file.display()))?;
+    if let Some(path) = &args.plot {
+        plot::draw(report, path).with_context(|| format!("{}", path.display()))?;
     }
     Ok(())
 }
--- a/crates/fleet-lab/src/scaling/plot.rs
+++ b/crates/fleet-lab/src/scaling/plot.rs
@@ -71,14 +71,14 @@
 ///
 /// # Errors
 /// If no curve has a processor time, or the file can't be written.
-pub(super) fn draw(report: &Report, file: &Path) -> Result<()> {
+pub(super) fn draw(report: &Report, path: &Path) -> Result<()> {
     let curves: Vec<TimeCurve> = report.curves.iter().filter_map(TimeCurve::new).collect();
     if curves.is_empty() {
         return Err(anyhow!("no curve with a processor time to draw"));
     }
     let rows = curves.len().div_ceil(COLUMNS);
     let size = (PANEL_WIDTH * COLUMNS as u32, PANEL_HEIGHT * rows as u32);
-    let root = SVGBackend::new(file, size).into_drawing_area();
+    let root = SVGBackend::new(path, size).into_drawing_area();
     root.fill(&WHITE).map_err(drawing_error)?;
     for (panel, curve) in root.split_evenly((rows, COLUMNS)).iter().zip(&curves) {
         draw_panel(panel, curve)?;
