--- a/crates/fleet-lab/tests/hybrid/invariant_checker.rs
+++ b/crates/fleet-lab/tests/hybrid/invariant_checker.rs
@@ -37,7 +37,13 @@
     )
 }
 
-fn send(checker: &mut SocketInvariantChecker, now: Timestamp, id: &str, node: u32, units: f64) {
+fn record_sent_request(
+    checker: &mut SocketInvariantChecker,
+    now: Timestamp,
+    id: &str,
+    node: u32,
+    units: f64,
+) {
     let request = SentRequest {
         node: GatewayId(node),
         customer: CUSTOMER,
@@ -59,11 +65,11 @@
 }
 
 #[test]
-fn a_quota_holds_over_all_nodes_together_up_to_its_tolerance() {
+fn quota_applies_to_sum_over_nodes_plus_tolerance() {
     let mut checker = new_checker();
     for (number, node) in [0, 1, 0, 1, 0].into_iter().enumerate() {
         let id = number.to_string();
-        send(&mut checker, START, &id, node, 5.0);
+        record_sent_request(&mut checker, START, &id, node, 5.0);
         checker.attempt_arrived(START, &id, SERVER);
         // A further attempt of the same request consumes nothing.
         checker.attempt_arrived(START, &id, SERVER);
@@ -75,14 +81,14 @@
         "the burst and the tolerance"
     );
     let refilled = START + Duration::from_millis(100);
-    send(&mut checker, refilled, "filled", 1, 1.0);
+    record_sent_request(&mut checker, refilled, "filled", 1, 1.0);
     checker.attempt_arrived(refilled, "filled", SERVER);
     assert_eq!(
         violations(&checker, "quotas"),
         0,
         "what has been refilled meanwhile"
     );
-    send(&mut checker, refilled, "over", 0, 0.5);
+    record_sent_request(&mut checker, refilled, "over", 0, 0.5);
     assert_eq!(
         violations(&checker, "quotas"),
         0,
@@ -93,28 +99,28 @@
 }
 
 #[test]
-fn an_unused_quota_accumulates_no_more_than_its_burst() {
+fn unused_quota_accumulates_up_to_its_burst() {
     let mut checker = new_checker();
     let later = START + Duration::from_secs(3_600);
-    send(&mut checker, later, "all", 0, 25.0);
+    record_sent_request(&mut checker, later, "all", 0, 25.0);
     checker.attempt_arrived(later, "all", SERVER);
     assert_eq!(violations(&checker, "quotas"), 0);
-    send(&mut checker, later, "more", 0, 0.1);
+    record_sent_request(&mut checker, later, "more", 0, 0.1);
     checker.attempt_arrived(later, "more", SERVER);
     assert_eq!(violations(&checker, "quotas"), 1);
 }
 
 #[test]
-fn each_request_has_one_answer_in_time() {
+fn missing_repeated_and_late_answers_are_violations() {
     let mut checker = new_checker();
-    let last = START + TIMEOUT + ANSWER_GRACE;
+    let last_timely = START + TIMEOUT + ANSWER_GRACE;
     for (id, answers) in [
-        ("one", &[last][..]),
+        ("one", &[last_timely][..]),
         ("none", &[]),
         ("two", &[START + MICROSECOND, START + 2 * MICROSECOND]),
-        ("late", &[last + MICROSECOND]),
+        ("late", &[last_timely + MICROSECOND]),
     ] {
-        send(&mut checker, START, id, 0, 1.0);
+        record_sent_request(&mut checker, START, id, 0, 1.0);
         for at in answers {
             checker.answered(*at, id, FAILED);
         }
@@ -129,9 +135,9 @@
 }
 
 #[test]
-fn a_non_idempotent_request_may_run_once() {
+fn second_execution_of_non_idempotent_request_is_violation() {
     let mut checker = new_checker();
-    send(&mut checker, START, "pay", 0, 1.0);
+    record_sent_request(&mut checker, START, "pay", 0, 1.0);
     checker.execution_started("pay");
     assert_eq!(violations(&checker, "unsafe"), 0);
     checker.execution_started("pay");
@@ -139,7 +145,7 @@
 }
 
 #[test]
-fn no_attempt_may_be_sent_to_a_draining_server_after_the_grace_period() {
+fn attempt_to_draining_server_after_grace_is_violation() {
     let mut checker = new_checker();
     checker.endpoint_received(
         START + 1_000 * MICROSECOND,
@@ -159,7 +165,7 @@
         ("unaware", 1, 9_000),
         ("after", 0, 1_001),
     ] {
-        send(&mut checker, START, id, node, 1.0);
+        record_sent_request(&mut checker, START, id, node, 1.0);
         let arrived_at = START + at * MICROSECOND + DRAIN_GRACE + SOCKET_TOLERANCE;
         checker.attempt_arrived(arrived_at, id, SERVER);
     }
@@ -176,7 +182,7 @@
         SERVER,
         EndpointState::Ready,
     );
-    send(&mut checker, START, "back", 0, 1.0);
+    record_sent_request(&mut checker, START, "back", 0, 1.0);
     checker.attempt_arrived(Timestamp::from_micros(u64::MAX / 2), "back", SERVER);
     assert_eq!(violations(&checker, "leaves"), 1, "it is ready again");
 }
@@ -185,7 +191,7 @@
 fn unknown_requests_and_forged_answers_are_violations() {
     let mut checker = new_checker();
     assert_eq!(checker.attempt_arrived(START, "unknown", SERVER), None);
-    send(&mut checker, START, "read", 0, 2.0);
+    record_sent_request(&mut checker, START, "read", 0, 2.0);
     assert_eq!(checker.attempt_arrived(START, "read", SERVER), Some(2.0));
     assert_eq!(violations(&checker, "only what clients sent"), 1);
     checker.answered(START, "read", ReceivedAnswer::Forged);
--- a/crates/fleet-lab/tests/hybrid/report.rs
+++ b/crates/fleet-lab/tests/hybrid/report.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn figures_that_differ_by_more_than_the_factor_and_chance_do_not_agree() {
+fn figures_further_apart_than_factor_and_chance_are_problems() {
     let problems = |real: &NodeTotals, hollow: &NodeTotals| {
         Report::new(real, hollow, 2.0, Vec::new()).problems()
     };
--- a/crates/fleet-lab/tests/hybrid/runs.rs
+++ b/crates/fleet-lab/tests/hybrid/runs.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 
 /// The edge node's program, as it was last built for release.
-fn program() -> PathBuf {
+fn edge_node_program() -> PathBuf {
     let test = std::env::current_exe().expect("this test's own path");
     let target = test.ancestors().nth(3).expect("a target folder");
     let program = target.join("release/edge-node");
@@ -16,8 +16,8 @@
     program
 }
 
-fn run_command(arguments: &[&str]) -> Output {
-    let program = program();
+fn run_hybrid(arguments: &[&str]) -> Output {
+    let program = edge_node_program();
     let program = program.to_str().expect("a plain path");
     let mut command = Command::new(env!("CARGO_BIN_EXE_fleet-lab"));
     command
@@ -28,9 +28,9 @@
 }
 
 /// Makes a short run. Returns its figures, with which its exit status has to agree.
-fn run(arguments: &[&str]) -> serde_json::Value {
-    let file = tempfile::NamedTempFile::new().expect("a file");
-    let path = file.path().to_str().expect("a plain path");
+fn run_briefly(arguments: &[&str]) -> serde_json::Value {
+    let report_file = tempfile::NamedTempFile::new().expect("a file");
+    let path = report_file.path().to_str().expect("a plain path");
     let size = [
         "--real",
         "2",
@@ -43,22 +43,22 @@
         "--json",
         path,
     ];
-    let output = run_command(&[&size[..], arguments].concat());
+    let output = run_hybrid(&[&size[..], arguments].concat());
     let stderr = String::from_utf8_lossy(&output.stderr);
     let text = std::fs::read_to_string(path).expect("figures");
     let report: serde_json::Value =
         serde_json::from_str(&text).unwrap_or_else(|_| panic!("no figures: {stderr}"));
-    let differs = report["rows"]
+    let has_difference = report["rows"]
         .as_array()
         .expect("rows")
         .iter()
         .any(|row| row["agrees"] == false);
-    let is_violated = invariants(&report)
+    let has_violation = invariants(&report)
         .iter()
         .any(|invariant| invariant["broken"] != 0);
     assert_eq!(
         output.status.code(),
-        Some(i32::from(differs || is_violated)),
+        Some(i32::from(has_difference || has_violation)),
         "{stderr}"
     );
     report
@@ -96,8 +96,8 @@
 }
 
 #[test]
-fn real_and_hollow_nodes_keep_the_invariants_together_and_agree() {
-    let report = run(&["--seed", "7"]);
+fn real_and_hollow_nodes_satisfy_invariants_and_agree() {
+    let report = run_briefly(&["--seed", "7"]);
     assert_no_violation(&report);
     assert_counts_agree(&report);
     assert!(
@@ -109,22 +109,22 @@
 }
 
 #[test]
-fn quota_owners_of_a_large_fleet_are_nodes_of_either_kind() {
-    let report = run(&["--seed", "8", "--fleet-size", "40"]);
+fn large_fleet_with_quota_owners_of_both_kinds_satisfies_invariants() {
+    let report = run_briefly(&["--seed", "8", "--fleet-size", "40"]);
     assert_no_violation(&report);
     assert_counts_agree(&report);
 }
 
 #[test]
-fn an_unresponsive_server_leaves_no_request_without_an_answer() {
-    let report = run(&["--seed", "9", "--trouble", "mute"]);
+fn unresponsive_server_leaves_no_request_unanswered() {
+    let report = run_briefly(&["--seed", "9", "--trouble", "mute"]);
     assert_no_violation(&report);
-    let is_on_idempotency = |result: &&serde_json::Value| {
+    let is_idempotency_result = |result: &&serde_json::Value| {
         result["rule"]
             .as_str()
             .is_some_and(|name| name.contains("runs once"))
     };
-    let idempotency = invariants(&report).iter().find(is_on_idempotency);
+    let idempotency = invariants(&report).iter().find(is_idempotency_result);
     let repeated = idempotency
         .and_then(|result| result["seen"].as_str())
         .expect("what ran again");
@@ -134,15 +134,15 @@
         .iter()
         .find(|row| row["what"] == "failed share");
     let failed = failed.expect("a share that failed");
-    let some_failed = failed["real"]["value"] != 0.0 || failed["hollow"]["value"] != 0.0;
+    let has_failures = failed["real"]["value"] != 0.0 || failed["hollow"]["value"] != 0.0;
     assert!(
-        some_failed || !repeated.starts_with("0 "),
+        has_failures || !repeated.starts_with("0 "),
         "the unresponsive server got requests: {report}"
     );
 }
 
 #[test]
-fn invalid_arguments_end_with_status_2() {
+fn invalid_arguments_exit_with_status_2() {
     for arguments in [
         &["--real", "0"][..],
         &["--real", "5"],
@@ -161,7 +161,7 @@
         &["--doubt=NaN"],
         &["--quota-tolerance", "-0.1"],
     ] {
-        let output = run_command(arguments);
+        let output = run_hybrid(arguments);
         let stderr = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{arguments:?}: {stderr}");
         assert!(output.stdout.is_empty(), "{arguments:?}");
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_program_that_does_not_serve_fails_the_run() {
+fn program_that_does_not_listen_fails_run() {
     let other = env!("CARGO_BIN_EXE_fleet-lab");
     let output = Command::new(other)
         .args(["hybrid", "--program", other, "--seconds", "1"])
--- a/crates/fleet-lab/tests/scaling.rs
+++ b/crates/fleet-lab/tests/scaling.rs
@@ -6,11 +6,11 @@
 use std::process::{Command, Output};
 
 /// Arguments that are written as one line.
-fn words(line: &str) -> Vec<&str> {
+fn split_arguments(line: &str) -> Vec<&str> {
     line.split_whitespace().collect()
 }
 
-fn lab(args: &[&str]) -> Output {
+fn run_scaling(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
         .arg("scaling")
         .args(args)
@@ -19,25 +19,25 @@
 }
 
 /// A file of this test alone.
-fn file(name: &str) -> PathBuf {
+fn output_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
 /// Runs the lab and reads what it wrote.
-fn report(name: &str, args: &str) -> Report {
-    let file = file(name);
-    let json = file.to_str().expect("a plain path");
-    let run = lab(&[&words(args)[..], &["--json", json]].concat());
+fn run_and_read_report(name: &str, args: &str) -> Report {
+    let path = output_path(name);
+    let json = path.to_str().expect("a plain path");
+    let run = run_scaling(&[&split_arguments(args)[..], &["--json", json]].concat());
     assert!(
         run.status.success(),
         "{}",
         String::from_utf8_lossy(&run.stderr)
     );
-    let text = std::fs::read_to_string(&file).expect("the file is written");
+    let text = std::fs::read_to_string(&path).expect("the file is written");
     serde_json::from_str(&text).expect("it reads back")
 }
 
-fn curve<'a>(report: &'a Report, name: &str, dimension: Dimension) -> &'a CostCurve {
+fn find_curve<'a>(report: &'a Report, name: &str, dimension: Dimension) -> &'a CostCurve {
     let is_named = |curve: &&CostCurve| curve.name == name && curve.dimension == dimension;
     report
         .curves
@@ -56,12 +56,12 @@
 }
 
 #[test]
-fn a_request_in_a_large_fleet_costs_at_most_one_lease_request_and_one_grant_at_any_size() {
+fn request_in_large_fleet_sends_at_most_one_lease_request_and_one_grant() {
     let measurements = "--only request --only datagram --repeats 2 --most 1000";
     let sizes = "--over servers --over gateways --customers 100 --spread 12";
-    let report = report("large.json", &format!("{measurements} {sizes}"));
+    let report = run_and_read_report("large.json", &format!("{measurements} {sizes}"));
     for (name, min_bytes) in [("request", 19.0), ("datagram", 7.0)] {
-        let curve = curve(&report, name, Dimension::Servers);
+        let curve = find_curve(&report, name, Dimension::Servers);
         assert_eq!(curve.points.len(), 4, "14, 60, 200 and 1,000 servers");
         for point in &curve.points {
             let messages = point.figures["messages"];
@@ -93,16 +93,16 @@
         );
     }
     // Small fleets have no leases; their usage counts are broadcast when they are due.
-    let curve = curve(&report, "request", Dimension::Gateways);
+    let curve = find_curve(&report, "request", Dimension::Gateways);
     for point in &curve.points {
         let lease_requests = point.figures["messages"].median;
-        let fits = if point.size < 60 {
+        let is_expected = if point.size < 60 {
             lease_requests == 0.0
         } else {
             lease_requests > 0.0 && lease_requests <= 1.0
         };
         assert!(
-            fits,
+            is_expected,
             "{} gateways: {lease_requests} lease requests a request",
             point.size
         );
@@ -112,17 +112,17 @@
 /// The gateway visits the servers that it uses or gets health reports of, seven in so large a fleet, not all that are
 /// listed.
 #[test]
-fn a_request_and_a_changed_entry_visit_no_more_servers_if_more_are_listed() {
+fn visited_servers_stay_bounded_as_list_grows() {
     let measurements = "--only request --only datagram --only entry --only tick --over servers";
     let sizes = "--gateways 4200 --repeats 1 --most 5000 --customers 100 --spread 12";
-    let report = report("visited.json", &format!("{measurements} {sizes}"));
+    let report = run_and_read_report("visited.json", &format!("{measurements} {sizes}"));
     for (name, bound) in [
         ("request", 100.0),
         ("datagram", 50.0),
         ("entry", 2.0),
         ("tick", 200.0),
     ] {
-        let points = &curve(&report, name, Dimension::Servers).points;
+        let points = &find_curve(&report, name, Dimension::Servers).points;
         let visited = |size| {
             points
                 .iter()
@@ -142,9 +142,9 @@
 }
 
 #[test]
-fn memory_grows_linearly_and_its_statistics_can_be_read_back() {
+fn memory_report_reads_back_with_bounded_bytes_each() {
     let args = "--only memory-customers --only memory-servers --repeats 3 --most 1000";
-    let report = report("memory.json", args);
+    let report = run_and_read_report("memory.json", args);
     assert_eq!((report.seed, report.repeats), (1, 3));
     assert_eq!(report.curves.len(), 2);
     for curve in &report.curves {
@@ -162,9 +162,9 @@
 }
 
 #[test]
-fn a_list_as_text_grows_linearly() {
-    let report = report("feed.json", "--only feed --repeats 1 --most 1000");
-    for point in &curve(&report, "feed", Dimension::Servers).points {
+fn json_list_length_is_proportional_to_server_count() {
+    let report = run_and_read_report("feed.json", "--only feed --repeats 1 --most 1000");
+    for point in &find_curve(&report, "feed", Dimension::Servers).points {
         let (list, entry) = (
             point.figures["list_bytes"].median,
             point.figures["entry_bytes"].median,
@@ -180,20 +180,22 @@
 }
 
 #[test]
-fn a_plot_is_an_svg_with_a_panel_for_each_curve() {
-    let file = file("plot.svg");
-    let path = file.to_str().expect("a plain path");
-    let run = lab(&[
-        &words("--only entry --only list --repeats 1 --most 200")[..],
-        &["--plot", path],
-    ]
-    .concat());
+fn plot_is_svg_with_panel_for_each_curve() {
+    let path = output_path("plot.svg");
+    let plot = path.to_str().expect("a plain path");
+    let run = run_scaling(
+        &[
+            &split_arguments("--only entry --only list --repeats 1 --most 200")[..],
+            &["--plot", plot],
+        ]
+        .concat(),
+    );
     assert!(
         run.status.success(),
         "{}",
         String::from_utf8_lossy(&run.stderr)
     );
-    let svg = std::fs::read_to_string(file).expect("the file is written");
+    let svg = std::fs::read_to_string(path).expect("the file is written");
     assert!(svg.starts_with("<svg") && svg.trim_end().ends_with("</svg>"));
     for panel in ["entry over servers", "list over servers"] {
         assert!(svg.contains(panel), "{panel}");
@@ -201,19 +203,22 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_counts() {
+fn same_seed_yields_same_counts() {
     let args = "--only request --repeats 1 --most 60 --seed 7 --customers 100";
     let counted = |report: Report| -> Vec<_> {
         let points = report.curves.into_iter().flat_map(|curve| curve.points);
         let figures = points.flat_map(|point| point.figures);
         figures.filter(|(name, _)| name != "time_us").collect()
     };
-    let (one, two) = (report("one.json", args), report("two.json", args));
-    assert_eq!(counted(one), counted(two));
+    let (first, second) = (
+        run_and_read_report("first.json", args),
+        run_and_read_report("second.json", args),
+    );
+    assert_eq!(counted(first), counted(second));
 }
 
 #[test]
-fn invalid_arguments_end_with_status_2_and_one_line() {
+fn invalid_arguments_exit_with_status_2_and_one_line() {
     let invalid: [&[&str]; 11] = [
         &["--only", "colour"],
         &["--repeats", "0"],
@@ -228,7 +233,7 @@
         &["--only", "list", "--over", "customers"],
     ];
     for args in invalid {
-        let run = lab(args);
+        let run = run_scaling(args);
         let stderr = String::from_utf8_lossy(&run.stderr);
         assert_eq!(run.status.code(), Some(2), "{args:?}: {stderr}");
         assert!(
@@ -240,14 +245,16 @@
 }
 
 #[test]
-fn a_plot_without_any_processor_time_fails_with_status_1() {
-    let file = file("none.svg");
-    let path = file.to_str().expect("a plain path");
-    let run = lab(&[
-        &words("--only memory-gateways --repeats 1 --most 60")[..],
-        &["--plot", path],
-    ]
-    .concat());
+fn plot_without_processor_time_exits_with_status_1() {
+    let path = output_path("none.svg");
+    let plot = path.to_str().expect("a plain path");
+    let run = run_scaling(
+        &[
+            &split_arguments("--only memory-gateways --repeats 1 --most 60")[..],
+            &["--plot", plot],
+        ]
+        .concat(),
+    );
     assert_eq!(
         run.status.code(),
         Some(1),
