--- a/crates/edge-node/src/admin.rs
+++ b/crates/edge-node/src/admin.rs
@@ -1,5 +1,5 @@
-//! The admin listener, for operators and their monitoring. It runs only where a configuration names
-//! its address, and nothing that comes on it touches the requests of clients.
+//! The admin listener: HTTP endpoints for operators and their monitoring. It runs only if the
+//! configuration sets its address, and its traffic does not affect client requests.
 
 use crate::clients::Phase;
 use crate::metrics::Metrics;
@@ -19,40 +19,43 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Maximum number of concurrent connections; further ones are closed immediately. Whoever finds the
-/// port could otherwise use up descriptors and memory.
+/// Maximum number of concurrent connections; any further connection is closed immediately. Without
+/// this limit, anyone who can reach the port could exhaust descriptors and memory.
 const MAX_CONNECTIONS: usize = 8;
-/// A connection carries one request and ends within this time, whatever arrives on it.
+/// Maximum lifetime of a connection, which carries a single request.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Maximum number of bytes of a request that are buffered, which is the minimum that hyper accepts.
+/// Size limit of a connection's read buffer in bytes; the smallest limit that hyper accepts.
 const MAX_BUFFERED_BYTES: usize = 8192;
-/// Pause after a connection that could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Maximum number of open requests shown by `/debug/state`.
+/// Maximum number of open requests listed by `/debug/state`.
 const MAX_SHOWN_REQUESTS: usize = 100;
 
+// Values of the `Content-Type` header.
 const TEXT: &str = "text/plain; charset=utf-8";
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 const JSON: &str = "application/json";
 
 type AdminResponse = Response<Full<Bytes>>;
 
-/// What the admin listener reports on.
-pub(crate) struct Admin {
-    /// Name of this edge node.
+/// Builds the responses of the admin listener.
+pub(crate) struct AdminService {
+    /// Name of this edge node, shown by `/debug/state`.
     name: String,
-    /// Asked for its status on each request.
+    /// Source of the figures in `/metrics` and `/debug/state`, read anew for each request.
     node: Rc<Node>,
     metrics: Rc<Metrics>,
+    /// Life-cycle phase that `/readyz` and `/debug/state` report.
     phase: watch::Receiver<Phase>,
-    started: Instant,
+    /// Start of the uptime that `/metrics` and `/debug/state` report.
+    started_at: Instant,
 }
 
-/// Answers operators until the process ends.
+/// Serves the admin endpoints until this future is dropped, which also aborts the tasks of the
+/// connections.
 ///
-/// The connections' tasks belong to this future's `JoinSet`: dropping the future aborts them. Each
-/// ends by itself within [`CONNECTION_TIMEOUT`].
-pub(crate) async fn serve(listener: TcpListener, admin: Admin) {
+/// Each connection's task ends within [`CONNECTION_TIMEOUT`].
+pub(crate) async fn serve(listener: TcpListener, admin: AdminService) {
     let admin = Rc::new(admin);
     let mut connections = JoinSet::new();
     loop {
@@ -67,7 +70,7 @@
     }
 }
 
-async fn serve_connection(stream: TcpStream, admin: Rc<Admin>) {
+async fn serve_connection(stream: TcpStream, admin: Rc<AdminService>) {
     let service = service_fn(move |request| {
         let response = admin.respond(&request);
         async move { Ok::<_, Infallible>(response) }
@@ -78,35 +81,35 @@
     http.max_buf_size(MAX_BUFFERED_BYTES);
     http.keep_alive(false);
     let connection = http.serve_connection(TokioIo::new(stream), service);
-    // A connection that fails or times out concerns nobody but its client.
+    // A failed or timed-out connection affects only the operator's client, so it is not logged.
     let _ = tokio::time::timeout(CONNECTION_TIMEOUT, connection).await;
 }
 
-impl Admin {
-    /// What reports on this node; the process counts as started now.
+impl AdminService {
+    /// Creates the service for a node. The uptime that it reports is counted from this call.
     pub(crate) fn new(
         name: String,
         node: Rc<Node>,
         metrics: Rc<Metrics>,
         phase: watch::Receiver<Phase>,
-    ) -> Admin {
-        Admin {
+    ) -> AdminService {
+        AdminService {
             name,
             node,
             metrics,
             phase,
-            started: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
     fn respond(&self, request: &Request<Incoming>) -> AdminResponse {
         if request.method() != Method::GET {
-            return method_not_allowed();
+            return method_not_allowed_response();
         }
         match request.uri().path() {
             "/healthz" => response(StatusCode::OK, TEXT, "ok\n"),
-            "/readyz" => self.readiness(),
-            "/metrics" => self.metrics(),
+            "/readyz" => self.readiness_response(),
+            "/metrics" => self.metrics_response(),
             "/debug/state" => response(StatusCode::OK, JSON, self.debug_state().to_string()),
             _ => response(
                 StatusCode::NOT_FOUND,
@@ -120,7 +123,7 @@
         *self.phase.borrow()
     }
 
-    fn readiness(&self) -> AdminResponse {
+    fn readiness_response(&self) -> AdminResponse {
         match self.phase() {
             Phase::Serving => response(StatusCode::OK, TEXT, "serving\n"),
             phase => response(
@@ -131,10 +134,10 @@
         }
     }
 
-    fn metrics(&self) -> AdminResponse {
+    fn metrics_response(&self) -> AdminResponse {
         match self
             .metrics
-            .encode(&self.node.status(), self.started.elapsed())
+            .encode(&self.node.status(), self.started_at.elapsed())
         {
             Ok(text) => response(StatusCode::OK, OPEN_METRICS, text),
             Err(_) => response(
@@ -151,7 +154,7 @@
             "name": self.name,
             "version": env!("CARGO_PKG_VERSION"),
             "phase": self.phase().as_str(),
-            "up_s": self.started.elapsed().as_secs(),
+            "up_s": self.started_at.elapsed().as_secs(),
             "open_requests": status.open_requests,
             "oldest_requests": self.oldest_requests(),
             "connections": {"clients": status.client_connections, "servers": status.server_connections},
@@ -168,14 +171,14 @@
 
     fn oldest_requests(&self) -> Vec<serde_json::Value> {
         let oldest = self.node.oldest_requests(MAX_SHOWN_REQUESTS);
-        let shown = oldest.into_iter().map(|request| {
+        let entries = oldest.into_iter().map(|request| {
             json!({
                 "id": &*request.id.0,
                 "age_ms": whole_millis(request.age),
                 "attempts": request.attempts,
             })
         });
-        shown.collect()
+        entries.collect()
     }
 }
 
@@ -196,7 +199,7 @@
     response
 }
 
-fn method_not_allowed() -> AdminResponse {
+fn method_not_allowed_response() -> AdminResponse {
     let mut response = response(StatusCode::METHOD_NOT_ALLOWED, TEXT, "only GET\n");
     response
         .headers_mut()
--- a/crates/edge-node/src/reload.rs
+++ b/crates/edge-node/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reload on SIGHUP: the configuration is read again and applied completely or not at all.
+//! Configuration reload on SIGHUP. A configuration file with an error is not applied at all.
 
 use crate::config::schema::RestartValues;
 use crate::config::Config;
@@ -10,22 +10,22 @@
 use tokio::sync::watch;
 use tracing::{error, info};
 
-/// What a reload reads and changes. Only discovery's address and the log level change while the
-/// process runs; of other keys that differ, the names are logged.
+/// Reloads the configuration on SIGHUP. Only the address of discovery and the log level can change
+/// while the process runs; the names of other keys whose values differ are logged.
 pub(crate) struct Reload {
-    /// The configuration file.
+    /// Path of the configuration file.
     pub(crate) path: PathBuf,
-    /// The values that the process was started with.
-    pub(crate) started_with: RestartValues,
-    /// Receives the address of discovery.
-    pub(crate) discovery: watch::Sender<SocketAddr>,
-    /// Receives the log level.
+    /// Values, at the start of the process, of the keys that only a restart applies.
+    pub(crate) startup_values: RestartValues,
+    /// Passes the address of discovery to the task that watches it.
+    pub(crate) discovery_address: watch::Sender<SocketAddr>,
+    /// Log whose level a reload sets.
     pub(crate) log: Log,
 }
 
 impl Reload {
-    /// Reloads on each SIGHUP, until the process ends. It waits only between reloads: none is cut
-    /// short.
+    /// Reloads the configuration on each SIGHUP, until the process ends. The future awaits only the
+    /// next signal, so dropping it never interrupts a reload.
     pub(crate) async fn run(self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             match self.read_and_set_log_level() {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Reads the file and changes the log level, which is the last step that may fail.
+    /// Reads the file and sets the log level. These are the only steps of a reload that can fail.
     fn read_and_set_log_level(&self) -> Result<Config> {
         let config = Config::read(&self.path)?;
         self.log.set_level(config.operator.log.level)?;
@@ -44,25 +44,25 @@
 
     fn apply(&self, config: &Config) {
         let address = config.discovery;
-        // Also sent if the address is the same: discovery may have restarted and count its lists
-        // anew.
-        self.discovery.send_replace(address);
+        // An unchanged address is sent, too: discovery may have restarted and begun to number its
+        // lists from the start.
+        self.discovery_address.send_replace(address);
         let level = config.operator.log.level;
         let waits = self
-            .started_with
+            .startup_values
             .changed_keys(&config.restart_values)
             .join(", ");
-        let waiting = if waits.is_empty() {
+        let waits_prefix = if waits.is_empty() {
             ""
         } else {
-            "; waiting for a restart: "
+            "; restart required for: "
         };
         info!(
             event = "config_reloaded",
             discovery = %address,
             log_level = %level,
             waits,
-            "reloaded: log level {level}, discovery at {address}{waiting}{waits}"
+            "configuration reloaded: log level {level}, discovery at {address}{waits_prefix}{waits}"
         );
     }
 }
@@ -71,6 +71,6 @@
     error!(
         event = "config_rejected",
         cause = %format_args!("{error:#}"),
-        "the old configuration stays: {error:#}"
+        "configuration rejected, the current one stays in effect: {error:#}"
     );
 }
--- a/crates/edge-node/src/shutdown.rs
+++ b/crates/edge-node/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown after SIGTERM: fail the readiness probe, serve requests that still arrive,
-//! then close.
+//! Graceful shutdown after SIGTERM: the readiness probe fails first while requests are still
+//! served, then connections are closed.
 
 use crate::clients::Phase;
 use crate::node::Node;
@@ -9,24 +9,24 @@
 use tokio::task::JoinHandle;
 use tracing::{info, warn};
 
-/// Time after SIGTERM during which new connections still arrive and are accepted.
+/// Time after SIGTERM during which new connections are still accepted.
 const DRAIN_PERIOD: Duration = Duration::from_millis(600);
 
-/// A shutdown, and what it needs.
+/// Graceful shutdown, with the state and the task that it acts on.
 pub(crate) struct Shutdown {
-    /// The node, whose open requests are logged.
+    /// Node whose number of open requests is logged.
     pub(crate) node: Rc<Node>,
-    /// Notifies clients' connections and the admin listener of the phase.
+    /// Passes the phase to the task that serves clients and to the admin listener.
     pub(crate) phase: watch::Sender<Phase>,
-    /// The task that serves clients.
+    /// Task that serves clients; it ends when all client connections are closed.
     pub(crate) clients: JoinHandle<()>,
-    /// No request that was accepted lasts longer than this.
+    /// Longest deadline of any class: no accepted request stays open for longer.
     pub(crate) longest_deadline: Duration,
 }
 
 impl Shutdown {
-    /// Runs the shutdown to its end. All other tasks are dropped when the process's `LocalSet` is,
-    /// after that.
+    /// Runs the shutdown to its end. The other tasks still run then; dropping the `LocalSet` of the
+    /// process ends them.
     pub(crate) async fn run(self) {
         self.start_draining();
         tokio::time::sleep(DRAIN_PERIOD).await;
@@ -34,39 +34,39 @@
         self.wait_for_clients().await;
     }
 
-    /// From here on the readiness probe fails and each answer closes its connection; new requests
-    /// are served.
+    /// Enters the phase in which the readiness probe fails and each response closes its connection,
+    /// while new requests are still served.
     fn start_draining(&self) {
         let open = self.node.open_requests();
         info!(
             event = "shutdown_started",
             cause = "SIGTERM",
             open,
-            "leaving on SIGTERM: {open} requests open"
+            "shutting down on SIGTERM: {open} requests open"
         );
         self.phase.send_replace(Phase::Draining);
     }
 
-    /// No new connection is accepted any more, and idle ones are closed.
+    /// Enters the phase in which no connection is accepted and idle connections are closed.
     fn stop_accepting(&self) {
         self.phase.send_replace(Phase::Closing);
     }
 
-    /// Waits until each client has its answer. A client that never reads its answer would delay the
-    /// exit without end, so the wait ends when the last deadline has passed.
+    /// Waits until every client has received its answer, at most for the longest deadline: a client
+    /// that never reads its answer must not delay the exit forever.
     async fn wait_for_clients(self) {
         let ended = tokio::time::timeout(self.longest_deadline, self.clients).await;
         if ended.is_ok() {
             info!(
                 event = "shutdown_complete",
-                "left: every client has its answer"
+                "shutdown complete: every client has its answer"
             );
             return;
         }
         let open = self.node.open_requests();
         warn!(
             event = "shutdown_complete",
-            open, "left: {open} requests open, past every deadline"
+            open, "shutdown complete: {open} requests still open after the longest deadline"
         );
     }
 }
--- a/crates/edge-node/src/startup/first_list.rs
+++ b/crates/edge-node/src/startup/first_list.rs
@@ -1,48 +1,49 @@
-//! The wait for the first endpoint list, before clients are served.
+//! The wait for the first endpoint list from discovery, before clients are served.
 
 use crate::node::Node;
 use gateway_core::reconnect;
 use tokio::sync::oneshot;
 use tracing::{info, warn};
 
-/// How the wait for the first endpoint list ended.
+/// Outcome of the wait for the first endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum FirstList {
-    /// A list was received and applied.
+pub(super) enum FirstListOutcome {
+    /// An endpoint list was received and applied.
     Received,
-    /// Discovery was silent until the deadline.
+    /// No endpoint list was received from discovery before the deadline.
     DeadlinePassed,
 }
 
-/// Waits for the first endpoint list, while clients wait in the backlog. The node is held to what
-/// discovery has from its first moment on, and the list in the configuration may be outdated; if
-/// discovery stays silent, that list is used.
+/// Waits for the first endpoint list from discovery, while client connections wait in the
+/// listener's backlog. From the first request on, the node must follow discovery, and the list in
+/// the configuration may be outdated. That list is used only if discovery sends none before the
+/// deadline.
 pub(super) async fn wait_for_first_list(
     node: &Node,
     first_list: oneshot::Receiver<()>,
-) -> FirstList {
+) -> FirstListOutcome {
     let deadline = reconnect::first_list_timeout(node.settings.drain_grace);
     match tokio::time::timeout(deadline, first_list).await {
-        Ok(_) => FirstList::Received,
-        Err(_) => FirstList::DeadlinePassed,
+        Ok(_) => FirstListOutcome::Received,
+        Err(_) => FirstListOutcome::DeadlinePassed,
     }
 }
 
-/// Logs that clients are served from now on.
-pub(super) fn log_ready(first_list: FirstList) {
-    match first_list {
-        FirstList::Received => {
+/// Logs that the edge node has begun to serve clients.
+pub(super) fn log_ready(outcome: FirstListOutcome) {
+    match outcome {
+        FirstListOutcome::Received => {
             info!(
                 event = "ready",
-                cause = "a list has come",
-                "ready: a list of servers has come"
+                cause = "endpoint list received",
+                "ready: endpoint list received from discovery"
             );
         }
-        FirstList::DeadlinePassed => {
+        FirstListOutcome::DeadlinePassed => {
             warn!(
                 event = "ready",
-                cause = "discovery is silent",
-                "ready on an old list: discovery is silent"
+                cause = "no endpoint list received in time",
+                "ready without an endpoint list from discovery: none received in time"
             );
         }
     }
--- a/crates/edge-node/src/startup/mod.rs
+++ b/crates/edge-node/src/startup/mod.rs
@@ -1,13 +1,13 @@
-//! Start-up: binds the sockets, builds the node, starts its tasks and serves until SIGTERM.
+//! Startup: binds the sockets, creates the node, spawns its tasks and serves until SIGTERM.
 //!
-//! All tasks run on one thread, in one `LocalSet`. Those that are not said to end earlier run until
-//! [`run`] returns and drops the set.
+//! All tasks run on one thread, in one `LocalSet`. Unless a comment says that a task ends earlier,
+//! it runs until [`run`] returns and drops the set.
 
 mod first_list;
 mod resource_limits;
 mod sockets;
 
-use crate::admin::{self, Admin};
+use crate::admin::{self, AdminService};
 use crate::clients::{self, Phase};
 use crate::config::Config;
 use crate::discovery;
@@ -29,14 +29,15 @@
 use tokio::task::{spawn_local, LocalSet};
 use tracing::info;
 
-/// The version that the log names at the start.
+/// Version of the program, logged at startup.
 const VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// Serves under a configuration until SIGTERM.
+/// Serves with a configuration until SIGTERM.
 ///
 /// # Errors
-/// An address can't be bound, a signal can't be handled, or the settings contradict each other.
-/// Once clients are served, it does not fail any more.
+/// Returns an error if the log or the async runtime cannot be started, an address cannot be bound,
+/// a signal handler cannot be installed, or the settings contradict each other. No error is
+/// returned once clients are served.
 pub(crate) fn run(config: Config) -> Result<()> {
     let log = Log::start(config.operator.log)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -45,7 +46,7 @@
     LocalSet::new().block_on(&runtime, serve(config, log))
 }
 
-/// Starts everything in order, serves until SIGTERM, and shuts down.
+/// Starts all parts of the edge node in order, serves until SIGTERM, and shuts down.
 async fn serve(mut config: Config, log: Log) -> Result<()> {
     let mut signals = Signals::install()?;
     let sockets = Sockets::bind(&mut config).await?;
@@ -61,30 +62,40 @@
     })?;
     log_listening(&config.name, &sockets.clients)?;
 
-    let (phase, phase_seen) = watch::channel(Phase::Starting);
+    let (phase, phase_receiver) = watch::channel(Phase::Starting);
     if let (Some(listener), Some(metrics)) = (sockets.admin, metrics) {
-        let admin = Admin::new(config.name, Rc::clone(&node), metrics, phase_seen.clone());
+        let admin = AdminService::new(
+            config.name,
+            Rc::clone(&node),
+            metrics,
+            phase_receiver.clone(),
+        );
         start_admin(listener, admin)?;
     }
-    let (discovery, discovery_seen) = watch::channel(config.discovery);
+    let (discovery_address, address_receiver) = watch::channel(config.discovery);
     let reload = Reload {
         path: config.path,
-        started_with: config.restart_values,
-        discovery,
+        startup_values: config.restart_values,
+        discovery_address,
         log,
     };
     spawn_local(reload.run(signals.hangup));
-    let first_list = start_discovery(&node, discovery_seen, config.initial_endpoints);
+    let first_list = start_discovery(&node, address_receiver, config.initial_endpoints);
     start_background_tasks(&node);
 
-    let first_list = wait_for_first_list(&node, first_list).await;
+    let first_list_outcome = wait_for_first_list(&node, first_list).await;
     phase.send_replace(Phase::Serving);
     let max_clients = limits.connections_per_side;
-    // The task ends by itself once the phase is `Closing` and each client has its answer; the
-    // shutdown waits for that.
-    let clients = clients::serve(sockets.clients, Rc::clone(&node), max_clients, phase_seen);
+    // This task ends once the phase is `Closing` and every client connection is closed; the
+    // shutdown waits for it.
+    let clients = clients::serve(
+        sockets.clients,
+        Rc::clone(&node),
+        max_clients,
+        phase_receiver,
+    );
     let clients = spawn_local(clients);
-    log_ready(first_list);
+    log_ready(first_list_outcome);
 
     signals.terminate.recv().await;
     let shutdown = Shutdown {
@@ -97,18 +108,19 @@
     Ok(())
 }
 
-/// The signals that the process handles.
+/// Streams of the signals that the process handles.
 struct Signals {
     terminate: Signal,
     hangup: Signal,
 }
 
 impl Signals {
-    /// Takes the signals over before anything else is done: a SIGHUP without a handler ends the
-    /// process.
+    /// Installs the signal handlers. [`serve`] calls this before anything else, because a SIGHUP
+    /// without a handler would end the process.
     fn install() -> Result<Signals> {
-        let terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
-        let hangup = signal(SignalKind::hangup()).context("SIGHUP")?;
+        let terminate =
+            signal(SignalKind::terminate()).context("cannot install the SIGTERM handler")?;
+        let hangup = signal(SignalKind::hangup()).context("cannot install the SIGHUP handler")?;
         Ok(Signals { terminate, hangup })
     }
 }
@@ -119,14 +131,15 @@
     Ok(())
 }
 
-fn start_admin(listener: TcpListener, admin: Admin) -> Result<()> {
+fn start_admin(listener: TcpListener, admin: AdminService) -> Result<()> {
     let address = listener.local_addr().context("admin.listen")?;
     info!(event = "admin_listening", %address, "admin listener on {address}");
     spawn_local(admin::serve(listener, admin));
     Ok(())
 }
 
-/// Starts to watch discovery; the receiver is notified when the first list has been applied.
+/// Spawns the task that watches discovery. The returned receiver is notified when the first
+/// endpoint list has been applied. The node uses `known`, if given, until then.
 fn start_discovery(
     node: &Rc<Node>,
     address: watch::Receiver<SocketAddr>,
@@ -142,7 +155,7 @@
     first_list
 }
 
-/// Starts the tasks that receive from peers and close idle connections to servers.
+/// Spawns the tasks that receive messages from peers and that close idle connections to servers.
 fn start_background_tasks(node: &Rc<Node>) {
     spawn_local(node::receive_peer_messages(Rc::clone(node)));
     spawn_local(evict_idle_connections(Rc::clone(node)));
--- a/crates/edge-node/src/startup/resource_limits.rs
+++ b/crates/edge-node/src/startup/resource_limits.rs
@@ -1,31 +1,32 @@
-//! What clients and servers may take of the descriptors and the memory that the process may use.
+//! Division of the process's file descriptors and memory among client connections, connections to
+//! servers and large bodies.
 
 use crate::config::Config;
 use crate::upstream::{BodyBudget, Upstream};
 use gateway_core::settings::ResolvedSettings;
 use std::time::Duration;
 
-/// Descriptors reserved for all but clients and servers: the listener, discovery, peers, and the
-/// runtime's own.
+/// Number of file descriptors reserved for everything except client and server connections: the
+/// listener, discovery, peers and the async runtime.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Clients and servers share the other descriptors in equal parts.
+/// Clients and servers: the two sides that share the other descriptors equally.
 const CONNECTION_SIDES: usize = 2;
-/// The memory divided by this is for large bodies: each is held twice for a moment, and once more
-/// while it is written.
+/// Large bodies together may take the memory limit divided by this, because each body is briefly
+/// held twice, and once more while it is written.
 const LARGE_BODY_MEMORY_DIVISOR: usize = 8;
 
-/// What connections and requests may take of the process.
+/// Limits on the resources of the process that connections and requests may take.
 pub(super) struct ResourceLimits {
-    /// Connections of clients, and as many to servers.
+    /// Maximum number of client connections, and also of connections to servers.
     pub(super) connections_per_side: usize,
-    /// Bytes that all large bodies together may hold.
+    /// Maximum size of all large bodies together, in bytes.
     large_body_bytes: usize,
-    /// No request has a longer deadline.
+    /// Longest deadline of any class.
     pub(super) longest_deadline: Duration,
 }
 
 impl ResourceLimits {
-    /// The limits under a configuration.
+    /// Computes the limits from a configuration.
     pub(super) fn of(config: &Config) -> ResourceLimits {
         ResourceLimits {
             connections_per_side: (config.max_file_descriptors - RESERVED_DESCRIPTORS)
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The connections to servers within these limits; none is open yet.
+    /// Creates the pool of connections to servers, which is empty, under these limits.
     pub(super) fn upstream(&self, settings: &ResolvedSettings) -> Upstream {
         Upstream::new(
             BodyBudget::new(self.large_body_bytes),
--- a/crates/edge-node/src/startup/sockets.rs
+++ b/crates/edge-node/src/startup/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets that the edge node listens on.
+//! The sockets that the edge node binds at startup.
 
 use crate::bind;
 use crate::config::{Config, PeerAddresses};
@@ -8,21 +8,21 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-/// The sockets that are bound at the start, in the order of their fields.
+/// Sockets that are bound at startup, in the order of the fields.
 pub(super) struct Sockets {
-    /// Where clients connect.
+    /// Listener for client connections.
     pub(super) clients: TcpListener,
-    /// The socket to other edge nodes, where some are configured.
+    /// Socket for datagrams from and to peers; `None` if the configuration names no peers.
     pub(super) peers: Option<Peers>,
-    /// Where operators connect, if that is configured.
+    /// Listener for operators; `None` if the configuration sets no admin address.
     pub(super) admin: Option<TcpListener>,
 }
 
 impl Sockets {
-    /// Binds all sockets; takes the peers' addresses out of the configuration.
+    /// Binds all sockets. Takes the peers' addresses out of `config`, leaving `None` there.
     ///
     /// # Errors
-    /// An address can't be bound.
+    /// Returns an error if an address cannot be bound.
     pub(super) async fn bind(config: &mut Config) -> Result<Sockets> {
         let gateway_id = config.settings.settings.gateway_id;
         Ok(Sockets {
--- a/crates/edge-node/tests/admin.rs
+++ b/crates/edge-node/tests/admin.rs
@@ -261,7 +261,7 @@
     client.send(&read_request("open"));
     while servers.next_request().message.header("x-request-id") != "open" {}
     node.terminate();
-    node.wait_for_log("leaving on SIGTERM");
+    node.wait_for_log("shutting down on SIGTERM");
     let (status, phase) = get(address, "/readyz");
     assert!(
         status == 503 && ["leaving\n", "closing\n"].contains(&phase.as_str()),
--- a/crates/edge-node/tests/configuration/applied_values.rs
+++ b/crates/edge-node/tests/configuration/applied_values.rs
@@ -108,14 +108,14 @@
     let to_new = |text: String| text.replace(&old.address.to_string(), &new.address.to_string());
     // An error elsewhere in the file leaves discovery where it is, too.
     node.reload(|text| to_new(text).replacen("max_attempts = 5", "max_attempts = 0", 1));
-    node.wait_for_log("the old configuration stays");
+    node.wait_for_log("configuration rejected, the current one stays in effect");
     node.reload(|text| {
         text.replacen("max_attempts = 0", "max_attempts = 4", 1)
             .replacen("units_per_s = 2.5", "units_per_s = 3.5", 1)
     });
     let reload_line = node.wait_for_log("reloaded");
     let waits = format!(
-        "discovery at {}; waiting for a restart: plans[].units_per_s, requests.max_attempts",
+        "discovery at {}; restart required for: plans[].units_per_s, requests.max_attempts",
         new.address
     );
     assert!(reload_line.ends_with(&waits), "{reload_line}");
--- a/crates/edge-node/tests/edge/endpoints.rs
+++ b/crates/edge-node/tests/edge/endpoints.rs
@@ -84,7 +84,7 @@
     node.reload(|text| text.replacen('{', "", 1));
     // Waits for each reload: a signal that is handled late would read the next file, and change the
     // address twice.
-    node.wait_for_log("the old configuration stays");
+    node.wait_for_log("configuration rejected, the current one stays in effect");
     assert_eq!(requests.next_server(), "s-1");
     node.reload(|text| format!("{{{text}"));
     node.wait_for_log("reloaded");
--- a/crates/edge-node/tests/log.rs
+++ b/crates/edge-node/tests/log.rs
@@ -65,7 +65,7 @@
     let discovery = FakeDiscovery::start(&hosts);
     let mut node = EdgeNode::start_with_toml("life", &config(&discovery, ""));
     node.wait_for_log("list 1 applied: the whole list, 1 entries");
-    node.wait_for_log("ready: a list of servers has come");
+    node.wait_for_log("ready: endpoint list received from discovery");
     assert_eq!(node.client().exchange(&read("quiet-1")).status(), 200);
     // A slow machine may have made the edge node give up its first watch, and log that. Only the
     // loss of a watch that has been open for a second is logged again.
@@ -78,20 +78,21 @@
     discovery.next_watch();
     node.wait_for_log("discovery: the watch is back");
     node.reload(|text| text.replacen("attempts = 5", "attempts = 0", 1));
-    let rejection_line = node.wait_for_log("the old configuration stays");
+    let rejection_line =
+        node.wait_for_log("configuration rejected, the current one stays in effect");
     assert!(
         rejection_line.contains("ERROR") && rejection_line.contains("requests.max_attempts"),
         "{rejection_line}"
     );
     node.reload(|text| text.replacen("attempts = 0", "attempts = 5", 1));
     let address = format!(
-        "reloaded: log level info, discovery at {}",
+        "configuration reloaded: log level info, discovery at {}",
         discovery.address
     );
     node.wait_for_log(&address);
     node.terminate();
-    node.wait_for_log("leaving on SIGTERM: 0 requests open");
-    node.wait_for_log("left: every client has its answer");
+    node.wait_for_log("shutting down on SIGTERM: 0 requests open");
+    node.wait_for_log("shutdown complete: every client has its answer");
     assert!(node.wait().success());
     assert!(!node
         .remaining_log()
