--- a/crates/edge-node/src/reload.rs
+++ b/crates/edge-node/src/reload.rs
@@ -38,7 +38,7 @@
     /// Reads the file and sets the log level. These are the only steps of a reload that can fail.
     fn read_and_set_log_level(&self) -> Result<Config> {
         let config = Config::read(&self.path)?;
-        self.log.set_level(config.operator.log.level)?;
+        self.log.set_level(config.operator_options.log.level)?;
         Ok(config)
     }
 
@@ -47,7 +47,7 @@
         // An unchanged address is sent, too: discovery may have restarted and begun to number its
         // lists from the start.
         self.discovery_address.send_replace(address);
-        let level = config.operator.log.level;
+        let level = config.operator_options.log.level;
         let waits = self
             .startup_values
             .changed_keys(&config.restart_values)
--- a/crates/edge-node/src/startup/mod.rs
+++ b/crates/edge-node/src/startup/mod.rs
@@ -39,7 +39,7 @@
 /// a signal handler cannot be installed, or the settings contradict each other. No error is
 /// returned once clients are served.
 pub(crate) fn run(config: Config) -> Result<()> {
-    let log = Log::start(config.operator.log)?;
+    let log = Log::start(config.operator_options.log)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
