--- a/crates/fleet-lab/src/simulate/engine/attempts.rs
+++ b/crates/fleet-lab/src/simulate/engine/attempts.rs
@@ -38,7 +38,7 @@
 
     fn is_partitioned(&self, gateway: GatewayId, server: usize) -> bool {
         let server_zone = self.servers[server].endpoint.zone;
-        self.experiment.faults.partitions.separate(
+        self.experiment.faults.partitions.is_partitioned(
             self.now,
             self.gateway(gateway).zone,
             server_zone,
@@ -54,7 +54,7 @@
         timeout: Option<Duration>,
     ) {
         let request = RequestNumber::parse(id).unwrap_or(RequestNumber::UNKNOWN);
-        let Some(server) = self.listed_server(gateway, to) else {
+        let Some(server) = self.known_server_index(gateway, to) else {
             return;
         };
         if !self.check_sent_attempt(gateway, request, server) {
@@ -70,14 +70,14 @@
             gateway,
             expires_at,
             work: draw_duration(&mut self.rng, &self.experiment.machine.work),
-            start_known: self.discovery.knows_latest_start(gateway, to),
+            is_start_known: self.discovery.knows_latest_start(gateway, to),
         };
         self.schedule_result(expires_at, AttemptKey::of(&job), AttemptOutcome::TimedOut);
-        self.transmit(server, job);
+        self.transmit_attempt(server, job);
     }
 
     /// Lets an attempt arrive at its server, or end when its gateway can't connect because of a partition.
-    fn transmit(&mut self, server: usize, job: Job) {
+    fn transmit_attempt(&mut self, server: usize, job: Job) {
         if self.is_partitioned(job.gateway, server) {
             let at = self.now + self.experiment.resolved.connect_timeout;
             self.schedule_result(at, AttemptKey::of(&job), AttemptOutcome::Unreachable);
@@ -91,7 +91,7 @@
     }
 
     /// The index of a server. One that the gateway does not know is a violation.
-    fn listed_server(&mut self, gateway: GatewayId, id: ServerId) -> Option<usize> {
+    fn known_server_index(&mut self, gateway: GatewayId, id: ServerId) -> Option<usize> {
         let index = self.server_indices.get(&id).copied();
         if index.is_some() && self.discovery.knows_server(gateway, id) {
             return index;
@@ -144,12 +144,16 @@
 
     fn on_server_event(&mut self, server: usize, event: ServerEvent) {
         match event {
-            ServerEvent::Started { run, done_at, job } => {
+            ServerEvent::Started {
+                execution,
+                done_at,
+                job,
+            } => {
                 self.checker.execution_started(self.now, job.request);
-                self.schedule(done_at, SimulationEvent::RunDue { server, run });
+                self.schedule(done_at, SimulationEvent::ExecutionDue { server, execution });
             }
-            ServerEvent::Delayed { run, done_at } => {
-                self.schedule(done_at, SimulationEvent::RunDue { server, run });
+            ServerEvent::Delayed { execution, done_at } => {
+                self.schedule(done_at, SimulationEvent::ExecutionDue { server, execution });
             }
             ServerEvent::Finished {
                 job,
@@ -202,7 +206,7 @@
                 .answered(self.now, request, FinalAnswer::Served);
         }
         self.remove_if_finished(request);
-        if self.is_current(finished.run) {
+        if self.is_current_run(finished.run) {
             let event = Event::AttemptFinished {
                 id: request.id(),
                 attempt: number,
@@ -210,7 +214,7 @@
                 closed: finished.is_answered,
                 reported_load,
             };
-            self.post(finished.run.gateway, event);
+            self.deliver_event(finished.run.gateway, event);
         }
     }
 }
--- a/crates/fleet-lab/src/simulate/engine/decision_module.rs
+++ b/crates/fleet-lab/src/simulate/engine/decision_module.rs
@@ -15,7 +15,7 @@
 }
 
 /// A new decision library, or why its settings are invalid.
-pub type NewModule = Result<Box<dyn DecisionModule>, SettingsError>;
+pub type ModuleResult = Result<Box<dyn DecisionModule>, SettingsError>;
 
 /// Makes the decision library of a gateway from a seed, its settings and the time of its start.
-pub(super) type ModuleFactory<'a> = dyn FnMut(u64, Settings, Timestamp) -> NewModule + 'a;
+pub(super) type ModuleFactory<'a> = dyn FnMut(u64, Settings, Timestamp) -> ModuleResult + 'a;
--- a/crates/fleet-lab/src/simulate/engine/gateways.rs
+++ b/crates/fleet-lab/src/simulate/engine/gateways.rs
@@ -35,13 +35,13 @@
         let gateway = &mut self.gateways[id.0 as usize];
         gateway.module = Some(module);
         gateway.incarnation += 1;
-        self.post(id, self.discovery.last_snapshot(id));
+        self.deliver_event(id, self.discovery.last_snapshot(id));
         self.schedule_poll(id);
         Ok(())
     }
 
     /// Gives a gateway an event, and carries out the resulting actions. No action causes another event immediately.
-    pub(super) fn post(&mut self, id: GatewayId, event: Event) {
+    pub(super) fn deliver_event(&mut self, id: GatewayId, event: Event) {
         let mut actions = std::mem::take(&mut self.action_buffer);
         if let Some(module) = &mut self.gateways[id.0 as usize].module {
             let started = Instant::now();
@@ -49,12 +49,12 @@
             self.decision_time += started.elapsed();
         }
         for action in actions.drain(..) {
-            self.execute(id, action);
+            self.execute_action(id, action);
         }
         self.action_buffer = actions;
     }
 
-    fn execute(&mut self, gateway: GatewayId, action: Action) {
+    fn execute_action(&mut self, gateway: GatewayId, action: Action) {
         let now = self.now;
         match action {
             Action::SendAttempt {
@@ -141,7 +141,7 @@
         };
         let sender_zone = self.gateway(from).zone;
         let partitions = &self.experiment.faults.partitions;
-        let is_partitioned = partitions.separate(self.now, sender_zone, receiver.zone);
+        let is_partitioned = partitions.is_partitioned(self.now, sender_zone, receiver.zone);
         if let Some(at) = self.datagrams.send(self.now, is_partitioned) {
             self.schedule(at, SimulationEvent::Datagram { from, to, bytes });
         }
@@ -150,21 +150,21 @@
     /// A message arrives at a gateway, which may drop it.
     pub(super) fn on_datagram(&mut self, from: GatewayId, to: GatewayId, bytes: Vec<u8>) {
         if self.gateway(to).is_up() && self.datagrams.accept(self.now, to, bytes.len()) {
-            self.post(to, Event::PeerMessage { from, bytes });
+            self.deliver_event(to, Event::PeerMessage { from, bytes });
         }
     }
 
     /// A timer fires, unless its gateway was killed meanwhile.
     pub(super) fn on_timer(&mut self, run: GatewayRun, token: u64) {
-        if self.is_current(run) {
-            self.post(run.gateway, Event::TimerFired { token });
+        if self.is_current_run(run) {
+            self.deliver_event(run.gateway, Event::TimerFired { token });
         }
     }
 
     /// A gateway's call to discovery fails, unless the gateway was killed meanwhile.
     pub(super) fn on_discovery_failure(&mut self, run: GatewayRun) {
-        if self.is_current(run) {
-            self.post(run.gateway, Event::WatchFailed);
+        if self.is_current_run(run) {
+            self.deliver_event(run.gateway, Event::WatchFailed);
         }
     }
 
@@ -180,7 +180,7 @@
             .partitions
             .isolated_until(self.now, gateway.zone);
         match self.discovery.poll(self.now, id, isolated_until, kind) {
-            PollResult::Update(event) => self.post(id, event),
+            PollResult::Update(event) => self.deliver_event(id, event),
             PollResult::CallFailed => {
                 let run = self.current_run(id);
                 self.schedule(
--- a/crates/fleet-lab/src/simulate/engine/mod.rs
+++ b/crates/fleet-lab/src/simulate/engine/mod.rs
@@ -9,7 +9,7 @@
 mod setup;
 mod state;
 
-pub use decision_module::{DecisionModule, NewModule};
+pub use decision_module::{DecisionModule, ModuleResult};
 
 use super::experiment::Experiment;
 use super::report::Report;
@@ -70,7 +70,7 @@
 /// Settings that a gateway refuses.
 pub fn simulate(
     experiment: &Experiment,
-    mut new_module: impl FnMut(u64, Settings, Timestamp) -> NewModule,
+    mut new_module: impl FnMut(u64, Settings, Timestamp) -> ModuleResult,
     progress: &mut dyn FnMut(Timestamp),
     log: &mut dyn FnMut(&str),
 ) -> Result<SimulationResult, Failure> {
@@ -120,7 +120,7 @@
     }
 
     /// Whether a gateway has been neither killed nor restarted since.
-    fn is_current(&self, run: GatewayRun) -> bool {
+    fn is_current_run(&self, run: GatewayRun) -> bool {
         self.gateway(run.gateway).incarnation == run.incarnation
     }
 
@@ -146,9 +146,9 @@
                     server.arrive(now, job, events);
                 });
             }
-            SimulationEvent::RunDue { server, run } => {
+            SimulationEvent::ExecutionDue { server, execution } => {
                 self.with_server(server, |server, now, events| {
-                    server.complete(now, run, events);
+                    server.complete(now, execution, events);
                 });
             }
             SimulationEvent::AttemptCancelled {
--- a/crates/fleet-lab/src/simulate/engine/queue.rs
+++ b/crates/fleet-lab/src/simulate/engine/queue.rs
@@ -73,7 +73,7 @@
     /// An attempt arrives at a server.
     AttemptArrives { server: usize, job: Job },
     /// A running request is due at a server.
-    RunDue { server: usize, run: u64 },
+    ExecutionDue { server: usize, execution: u64 },
     /// A server learns that a gateway no longer waits for an attempt.
     AttemptCancelled { server: usize, attempt: AttemptKey },
     /// A gateway learns how an attempt ended.
--- a/crates/fleet-lab/src/simulate/engine/requests.rs
+++ b/crates/fleet-lab/src/simulate/engine/requests.rs
@@ -55,7 +55,7 @@
             attempts,
         };
         self.open_requests.insert(number, open);
-        self.post(gateway, event);
+        self.deliver_event(gateway, event);
     }
 
     /// The gateway for a request; `None` if the front end picks one that is down, which it has not noticed yet.
@@ -136,8 +136,8 @@
         open.is_answered = true;
         let run = open.run;
         self.remove_if_finished(number);
-        if self.is_current(run) {
-            self.post(run.gateway, Event::ClientDisconnected { id: number.id() });
+        if self.is_current_run(run) {
+            self.deliver_event(run.gateway, Event::ClientDisconnected { id: number.id() });
         }
     }
 
--- a/crates/fleet-lab/src/simulate/experiment.rs
+++ b/crates/fleet-lab/src/simulate/experiment.rs
@@ -64,7 +64,7 @@
         validate_range("servers", server_count, MAX_SERVERS)?;
         validate_range("seconds", self.seconds, MAX_SECONDS)?;
         if !(self.load > 0.0 && self.load <= MAX_LOAD) {
-            return invalid(format!(
+            return invalid_arguments(format!(
                 "load must be above 0 and at most {MAX_LOAD}, not {}",
                 self.load
             ));
@@ -118,7 +118,7 @@
         let servers: Vec<Endpoint> = (0..server_count)
             .map(|number| endpoints.draw(number, None))
             .collect();
-        let machine = machine(&resolved.settings);
+        let machine = machine_for(&resolved.settings);
         Ok(Experiment {
             seed: config.seed,
             duration: config.duration(),
@@ -138,7 +138,7 @@
     }
 }
 
-fn invalid<T>(problem: impl Into<String>) -> Result<T, Failure> {
+fn invalid_arguments<T>(problem: impl Into<String>) -> Result<T, Failure> {
     Err(Failure::InvalidArguments(problem.into()))
 }
 
@@ -149,7 +149,7 @@
 
 fn validate_range(name: &str, value: u32, max: u32) -> Result<(), Failure> {
     if !(1..=max).contains(&value) {
-        return invalid(format!("{name} must be from 1 to {max}, not {value}"));
+        return invalid_arguments(format!("{name} must be from 1 to {max}, not {value}"));
     }
     Ok(())
 }
@@ -158,24 +158,24 @@
 fn parse_settings(text: &str, gateways: u32) -> Result<ResolvedSettings, Failure> {
     let mut json: serde_json::Value = match serde_json::from_str(text) {
         Ok(json) => json,
-        Err(error) => return invalid(format!("settings: {error}")),
+        Err(error) => return invalid_arguments(format!("settings: {error}")),
     };
     if !json.is_object() {
-        return invalid("settings: not a JSON object");
+        return invalid_arguments("settings: not a JSON object");
     }
     json["balancers"] = gateways.into();
     json["me"] = 0.into();
     let resolved = match settings::parse(&json.to_string()) {
         Ok(resolved) => resolved,
-        Err(error) => return invalid(format!("settings: {error}")),
+        Err(error) => return invalid_arguments(format!("settings: {error}")),
     };
     if let Err(error) = resolved.settings.validate() {
-        return invalid(format!("settings: {error}"));
+        return invalid_arguments(format!("settings: {error}"));
     }
     let mut classes = resolved.settings.classes.iter();
     let is_too_short = classes.any(|class| class.latency_objective < MIN_LATENCY_OBJECTIVE);
     if resolved.longest_deadline.is_zero() || is_too_short {
-        return invalid(
+        return invalid_arguments(
             "settings: each class needs an aim of 1 ms or more, and one of them a deadline",
         );
     }
@@ -186,14 +186,14 @@
     let mut faults = BTreeSet::new();
     for name in names {
         if !faults.insert(Fault::parse(name)?) {
-            return invalid(format!("fault {name} is named twice"));
+            return invalid_arguments(format!("fault {name} is named twice"));
         }
     }
     if faults.len() > 1 && faults.contains(&Fault::Calm) {
-        return invalid("calm goes with no other fault");
+        return invalid_arguments("calm goes with no other fault");
     }
-    if faults.contains(&Fault::Cut) && zones < 2 {
-        return invalid("a cut needs settings with two zones or more");
+    if faults.contains(&Fault::Partition) && zones < 2 {
+        return invalid_arguments("a cut needs settings with two zones or more");
     }
     Ok(faults)
 }
@@ -254,7 +254,7 @@
 }
 
 /// The kind of the servers, by the shortest latency objective.
-fn machine(settings: &Settings) -> Machine {
+fn machine_for(settings: &Settings) -> Machine {
     let objectives = settings.classes.iter().map(|class| class.latency_objective);
     let shortest = objectives.min().unwrap_or(MICROSECOND);
     let mean_work_us = shortest.as_micros_f64() * MEAN_WORK_RATIO;
--- a/crates/fleet-lab/src/simulate/fault.rs
+++ b/crates/fleet-lab/src/simulate/fault.rs
@@ -14,17 +14,17 @@
     /// One of eight servers is six times slower.
     Slow,
     /// Half of the servers are replaced one after the other by cold ones.
-    Drain,
+    RollingReplacement,
     /// Seven of ten gateways are killed concurrently and restart.
-    Kill,
+    GatewayKill,
     /// A zone is partitioned from the others, and more messages are lost everywhere.
-    Cut,
+    Partition,
     /// Discovery has an outage, and one of eight servers drains in that time.
-    Silent,
+    DiscoveryOutage,
     /// One more server is started, cold.
-    Cold,
+    ColdStart,
     /// One of eight servers crashes and comes back cold.
-    Restart,
+    ServerRestart,
 }
 
 /// Names on the command line.
@@ -33,12 +33,12 @@
     ("burst", Fault::Burst),
     ("hang", Fault::Hang),
     ("slow", Fault::Slow),
-    ("drain", Fault::Drain),
-    ("kill", Fault::Kill),
-    ("cut", Fault::Cut),
-    ("silent", Fault::Silent),
-    ("cold", Fault::Cold),
-    ("restart", Fault::Restart),
+    ("drain", Fault::RollingReplacement),
+    ("kill", Fault::GatewayKill),
+    ("cut", Fault::Partition),
+    ("silent", Fault::DiscoveryOutage),
+    ("cold", Fault::ColdStart),
+    ("restart", Fault::ServerRestart),
 ];
 
 impl Fault {
--- a/crates/fleet-lab/src/simulate/fault_schedule.rs
+++ b/crates/fleet-lab/src/simulate/fault_schedule.rs
@@ -1,6 +1,6 @@
 //! The schedule of all faults of a simulation.
 
-use crate::world::datagrams::{Partitions, Temporary};
+use crate::world::datagrams::{Partitions, TemporaryValue};
 use crate::world::TimeSpan;
 use gateway_core::{Endpoint, GatewayId, ServerId, Timestamp};
 
@@ -54,9 +54,9 @@
     /// When discovery answers nothing.
     pub discovery_outages: Vec<TimeSpan>,
     /// When all customers ask for a multiple.
-    pub surges: Vec<Temporary>,
+    pub surges: Vec<TemporaryValue>,
     /// When two customers add a fraction to all traffic.
-    pub flood: Option<Temporary>,
+    pub flood: Option<TemporaryValue>,
     /// When a fraction of all messages is lost.
-    pub message_loss: Option<Temporary>,
+    pub message_loss: Option<TemporaryValue>,
 }
--- a/crates/fleet-lab/src/simulate/fault_scheduler.rs
+++ b/crates/fleet-lab/src/simulate/fault_scheduler.rs
@@ -11,7 +11,7 @@
 };
 use crate::time::draw_timestamp;
 use crate::time::duration_from_seconds;
-use crate::world::datagrams::{Partition, Temporary};
+use crate::world::datagrams::{Partition, TemporaryValue};
 use crate::world::{Rng, TimeSpan, START};
 use gateway_core::DurationExt;
 use gateway_core::{Endpoint, GatewayId, ServerId, Timestamp, ZoneId};
@@ -78,51 +78,51 @@
                 Fault::Burst => self.schedule_burst(),
                 Fault::Hang => self.schedule_hang(),
                 Fault::Slow => self.schedule_slowness(),
-                Fault::Drain => self.schedule_replacement(),
-                Fault::Kill => self.schedule_gateway_kills(),
-                Fault::Cut => self.schedule_partition(),
-                Fault::Silent => self.schedule_discovery_outage(),
-                Fault::Cold => self.schedule_cold_start(),
-                Fault::Restart => self.schedule_server_restarts(),
+                Fault::RollingReplacement => self.schedule_rolling_replacement(),
+                Fault::GatewayKill => self.schedule_gateway_kills(),
+                Fault::Partition => self.schedule_partition(),
+                Fault::DiscoveryOutage => self.schedule_discovery_outage(),
+                Fault::ColdStart => self.schedule_cold_start(),
+                Fault::ServerRestart => self.schedule_server_restarts(),
             }
         }
         self.schedule
     }
 
     fn schedule_burst(&mut self) {
-        self.schedule.surges.push(Temporary {
-            span: self.span(SURGE),
+        self.schedule.surges.push(TemporaryValue {
+            span: self.fault_span(SURGE),
             value: SURGE_RATIO,
         });
-        self.schedule.flood = Some(Temporary {
-            span: self.span(FLOOD),
+        self.schedule.flood = Some(TemporaryValue {
+            span: self.fault_span(FLOOD),
             value: FLOOD_FRACTION,
         });
     }
 
     fn schedule_hang(&mut self) {
-        let hang = self.span(HANG);
+        let hang = self.fault_span(HANG);
         for endpoint in self.take_servers(AFFECTED_ONE_OF) {
             let action = FaultAction::HangServer {
                 server: endpoint.server,
                 until: hang.end,
             };
-            self.add(hang.start, action);
+            self.add_action(hang.start, action);
         }
     }
 
     fn schedule_slowness(&mut self) {
-        let slowness = self.span(SLOWNESS);
+        let slowness = self.fault_span(SLOWNESS);
         for endpoint in self.take_servers(AFFECTED_ONE_OF) {
             let server = endpoint.server;
-            self.add(
+            self.add_action(
                 slowness.start,
                 FaultAction::SlowServer {
                     server,
                     factor: SLOWDOWN_RATIO,
                 },
             );
-            self.add(
+            self.add_action(
                 slowness.end,
                 FaultAction::SlowServer {
                     server,
@@ -132,14 +132,14 @@
         }
     }
 
-    fn schedule_replacement(&mut self) {
+    fn schedule_rolling_replacement(&mut self) {
         for endpoint in self.take_servers(REPLACED_ONE_OF) {
             let at = draw_timestamp(
                 self.rng,
-                self.at(FIRST_REPLACEMENT_FRACTION)..self.at(LAST_REPLACEMENT_FRACTION),
+                self.time_at(FIRST_REPLACEMENT_FRACTION)..self.time_at(LAST_REPLACEMENT_FRACTION),
             );
             let replacement = (self.new_endpoint)(endpoint.zone.0, Some(at));
-            self.add(at, FaultAction::StartServer(replacement));
+            self.add_action(at, FaultAction::StartServer(replacement));
             self.add_drain(at, endpoint.server);
         }
     }
@@ -148,27 +148,27 @@
         let mut gateways: Vec<u32> = (0..self.gateways).collect();
         gateways.shuffle(self.rng);
         gateways.truncate(self.gateways as usize * KILLED_OF_TEN / 10);
-        let killed_at = self.at(KILL_FRACTION);
+        let killed_at = self.time_at(KILL_FRACTION);
         for gateway in gateways.into_iter().map(GatewayId) {
             let restarted_at =
                 killed_at + duration_from_seconds(self.rng.random_range(GATEWAY_DOWN_SECONDS));
-            self.add(killed_at, FaultAction::KillGateway(gateway));
-            self.add(restarted_at, FaultAction::RestartGateway(gateway));
+            self.add_action(killed_at, FaultAction::KillGateway(gateway));
+            self.add_action(restarted_at, FaultAction::RestartGateway(gateway));
         }
     }
 
     fn schedule_partition(&mut self) {
-        let span = self.span(PARTITION);
+        let span = self.fault_span(PARTITION);
         let zone = ZoneId(self.rng.random_range(0..self.zones));
         self.schedule.partitions.0.push(Partition { zone, span });
-        self.schedule.message_loss = Some(Temporary {
+        self.schedule.message_loss = Some(TemporaryValue {
             span,
             value: PARTITION_LOSS_FRACTION,
         });
     }
 
     fn schedule_discovery_outage(&mut self) {
-        let outage = self.span(DISCOVERY_OUTAGE);
+        let outage = self.fault_span(DISCOVERY_OUTAGE);
         self.schedule.discovery_outages.push(outage);
         let drained_at = outage.start + OUTAGE_TO_DRAIN;
         for endpoint in self.take_servers(AFFECTED_ONE_OF) {
@@ -177,32 +177,32 @@
     }
 
     fn schedule_cold_start(&mut self) {
-        let at = self.at(COLD_START_FRACTION);
+        let at = self.time_at(COLD_START_FRACTION);
         let endpoint = (self.new_endpoint)(0, Some(at));
-        self.add(at, FaultAction::StartServer(endpoint));
+        self.add_action(at, FaultAction::StartServer(endpoint));
     }
 
     fn schedule_server_restarts(&mut self) {
-        let stopped_at = self.at(SERVER_STOP_FRACTION);
+        let stopped_at = self.time_at(SERVER_STOP_FRACTION);
         for endpoint in self.take_servers(AFFECTED_ONE_OF) {
-            self.add(stopped_at, FaultAction::StopServer(endpoint.server));
+            self.add_action(stopped_at, FaultAction::StopServer(endpoint.server));
             let restarted_at =
                 stopped_at + duration_from_seconds(self.rng.random_range(SERVER_DOWN_SECONDS));
-            self.add(restarted_at, FaultAction::RestartServer(endpoint.server));
+            self.add_action(restarted_at, FaultAction::RestartServer(endpoint.server));
         }
     }
 
     /// The time at which this fraction of the simulation has passed.
-    fn at(&self, fraction: f64) -> Timestamp {
+    fn time_at(&self, fraction: f64) -> Timestamp {
         START + Duration::from_micros_f64(self.duration.as_micros_f64() * fraction)
     }
 
     /// When a fault happens. It is shortened if it would last too long.
-    fn span(&self, window: FaultWindow) -> TimeSpan {
-        let start = self.at(window.start_fraction);
+    fn fault_span(&self, window: FaultWindow) -> TimeSpan {
+        let start = self.time_at(window.start_fraction);
         TimeSpan {
             start,
-            end: (start + window.duration).min(self.at(LATEST_END_FRACTION)),
+            end: (start + window.duration).min(self.time_at(LATEST_END_FRACTION)),
         }
     }
 
@@ -214,12 +214,12 @@
             .collect()
     }
 
-    fn add(&mut self, at: Timestamp, action: FaultAction) {
+    fn add_action(&mut self, at: Timestamp, action: FaultAction) {
         self.schedule.actions.push(ScheduledAction { at, action });
     }
 
     fn add_drain(&mut self, at: Timestamp, server: ServerId) {
-        self.add(at, FaultAction::DrainServer(server));
-        self.add(at + DRAIN_TO_STOP, FaultAction::StopServer(server));
+        self.add_action(at, FaultAction::DrainServer(server));
+        self.add_action(at + DRAIN_TO_STOP, FaultAction::StopServer(server));
     }
 }
--- a/crates/fleet-lab/src/simulate/host.rs
+++ b/crates/fleet-lab/src/simulate/host.rs
@@ -85,7 +85,7 @@
 }
 
 /// Shows the simulated time on standard error if that is a terminal.
-pub(super) fn progress(duration: Duration) -> impl FnMut(Timestamp) {
+pub(super) fn progress_display(duration: Duration) -> impl FnMut(Timestamp) {
     let is_terminal = stderr().is_terminal();
     move |now| {
         if is_terminal {
--- a/crates/fleet-lab/src/simulate/mod.rs
+++ b/crates/fleet-lab/src/simulate/mod.rs
@@ -12,7 +12,7 @@
 mod report;
 mod table;
 
-pub use engine::{simulate, DecisionModule, NewModule, SimulationResult};
+pub use engine::{simulate, DecisionModule, ModuleResult, SimulationResult};
 pub use experiment::{Experiment, ExperimentConfig};
 pub use fault_schedule::{FaultAction, FaultSchedule, ScheduledAction};
 pub use report::{ClassPlanCounts, ColdServer, MessageRates, Report};
@@ -115,8 +115,8 @@
 
 fn run_experiment(experiment: &Experiment, show_logs: bool) -> Result<SimulationResult, Failure> {
     let new_module =
-        |seed, settings, now| -> NewModule { Ok(Box::new(Gateway::new(seed, settings, now)?)) };
-    let mut progress = host::progress(experiment.duration);
+        |seed, settings, now| -> ModuleResult { Ok(Box::new(Gateway::new(seed, settings, now)?)) };
+    let mut progress = host::progress_display(experiment.duration);
     let mut log = |line: &str| {
         if show_logs {
             eprintln!("{line}");
--- a/crates/fleet-lab/src/simulate/report.rs
+++ b/crates/fleet-lab/src/simulate/report.rs
@@ -72,7 +72,7 @@
     pub server: u64,
     /// Whether it was overloaded until it crashed.
     #[serde(rename = "fell")]
-    pub crashed: bool,
+    pub has_crashed: bool,
     /// Its highest load.
     #[serde(flatten)]
     pub load: ColdStartLoad,
@@ -83,7 +83,7 @@
         let load = server.highest_cold_load()?;
         Some(ColdServer {
             server: server.endpoint.server.0,
-            crashed: server.has_crashed(),
+            has_crashed: server.has_crashed(),
             load,
         })
     }
--- a/crates/fleet-lab/src/simulate/table.rs
+++ b/crates/fleet-lab/src/simulate/table.rs
@@ -101,7 +101,7 @@
         let mut servers: Vec<&ColdServer> = self.cold_servers.iter().collect();
         servers.sort_by(|a, b| b.load.fraction().total_cmp(&a.load.fraction()));
         if !servers.is_empty() {
-            let crashed = servers.iter().filter(|server| server.crashed).count();
+            let crashed = servers.iter().filter(|server| server.has_crashed).count();
             writeln!(
                 f,
                 "cold servers             {}, of which {crashed} fell; the hardest driven:",
@@ -110,7 +110,7 @@
         }
         for ColdServer {
             server,
-            crashed,
+            has_crashed,
             load,
         } in servers.into_iter().take(MAX_COLD_SERVERS)
         {
@@ -121,7 +121,7 @@
                 load.budget,
                 load.age.as_seconds(),
                 100.0 * load.start_known_fraction,
-                if *crashed { "; it fell" } else { "" }
+                if *has_crashed { "; it fell" } else { "" }
             )?;
         }
         Ok(())
--- a/crates/fleet-lab/src/world/clients.rs
+++ b/crates/fleet-lab/src/world/clients.rs
@@ -3,7 +3,7 @@
 
 use super::client_request::{ClientError, ClientRequest, ClientRetry};
 use super::customers::{draw_customers, Customer};
-use super::datagrams::Temporary;
+use super::datagrams::TemporaryValue;
 use super::request_size::draw_units;
 use super::{time_to_next_event, Rng, TimeSpan};
 use crate::time::{draw_duration, MICROSECOND};
@@ -32,7 +32,7 @@
     idempotent: Vec<bool>,
     max_request_units: f64,
     max_deadline: Duration,
-    surges: Vec<Temporary>,
+    surges: Vec<TemporaryValue>,
     flood: Option<TimeSpan>,
     rng: Rng,
 }
@@ -45,9 +45,9 @@
     /// Maximum time that a client waits in all.
     pub max_deadline: Duration,
     /// Spans in which all customers ask for a multiple.
-    pub surges: Vec<Temporary>,
+    pub surges: Vec<TemporaryValue>,
     /// A span in which two customers add a fraction to all traffic.
-    pub flood: Option<Temporary>,
+    pub flood: Option<TemporaryValue>,
 }
 
 impl Clients {
--- a/crates/fleet-lab/src/world/cold_start.rs
+++ b/crates/fleet-lab/src/world/cold_start.rs
@@ -40,7 +40,7 @@
     /// Its work as a multiple of the mean.
     pub(super) work: f64,
     /// Whether its gateway knew of the server's latest start.
-    pub(super) start_known: bool,
+    pub(super) is_start_known: bool,
 }
 
 /// What a server has to bear while it is cold.
@@ -85,11 +85,7 @@
     }
 
     /// Counts a call while the server is cold; returns whether it is overloaded by it.
-    pub(super) fn is_overloaded_by(
-        &mut self,
-        call: ColdCall,
-        started_at: Option<Timestamp>,
-    ) -> bool {
+    pub(super) fn record_call(&mut self, call: ColdCall, started_at: Option<Timestamp>) -> bool {
         let now = call.at;
         let warm_up_fraction = self.warm_up_fraction(now, started_at);
         if warm_up_fraction >= 1.0 {
@@ -114,7 +110,7 @@
 
     fn load(&self, warm_up_fraction: f64, age: Duration) -> ColdStartLoad {
         let calls: f64 = self.calls.iter().map(|call| call.work).sum();
-        let with_start_known = self.calls.iter().filter(|call| call.start_known);
+        let with_start_known = self.calls.iter().filter(|call| call.is_start_known);
         let start_known_calls: f64 = with_start_known.map(|call| call.work).sum();
         let window = self.rules.overload_window.as_seconds();
         let allowed = self.rules.overload_multiple * self.warm_capacity * warm_up_fraction * window;
--- a/crates/fleet-lab/src/world/customers.rs
+++ b/crates/fleet-lab/src/world/customers.rs
@@ -15,7 +15,7 @@
 /// Customer ids have 33 bits, by the protocol.
 const CUSTOMER_IDS: Range<u64> = 1..1 << 33;
 /// A customer uses one gateway out of this number of the fleet's, within [`MIN_GATEWAY_LIMIT`] and [`MAX_GATEWAY_LIMIT`].
-const FLEET_PER_CUSTOMER_GATEWAY: u32 = 20;
+const FLEET_GATEWAYS_PER_CUSTOMER_GATEWAY: u32 = 20;
 /// Minimum of the limit on a customer's gateways.
 const MIN_GATEWAY_LIMIT: u32 = 4;
 /// Maximum of the limit on a customer's gateways.
@@ -170,7 +170,7 @@
 
 /// Maximum number of a customer's gateways in a fleet.
 fn max_gateways_per_customer(fleet_size: u32) -> u32 {
-    let limit =
-        (fleet_size / FLEET_PER_CUSTOMER_GATEWAY).clamp(MIN_GATEWAY_LIMIT, MAX_GATEWAY_LIMIT);
+    let limit = (fleet_size / FLEET_GATEWAYS_PER_CUSTOMER_GATEWAY)
+        .clamp(MIN_GATEWAY_LIMIT, MAX_GATEWAY_LIMIT);
     fleet_size.min(limit)
 }
--- a/crates/fleet-lab/src/world/datagrams.rs
+++ b/crates/fleet-lab/src/world/datagrams.rs
@@ -23,9 +23,9 @@
 
 impl Partitions {
     /// Whether no message passes between two zones.
-    pub fn separate(&self, now: Timestamp, one: ZoneId, other: ZoneId) -> bool {
+    pub fn is_partitioned(&self, now: Timestamp, zone: ZoneId, other_zone: ZoneId) -> bool {
         let separates = |partition: &Partition| {
-            let is_between = (partition.zone == one) != (partition.zone == other);
+            let is_between = (partition.zone == zone) != (partition.zone == other_zone);
             is_between && partition.span.contains(now)
         };
         self.0.iter().any(separates)
@@ -45,7 +45,7 @@
 
 /// A value that applies for a while: a ratio or a fraction, as the field that holds it says.
 #[derive(Clone, Copy, Debug)]
-pub struct Temporary {
+pub struct TemporaryValue {
     /// When.
     pub span: TimeSpan,
     /// The value.
@@ -60,7 +60,7 @@
     /// Fraction of messages lost at any time.
     pub loss: f64,
     /// Fraction of messages lost within some span, if that is more.
-    pub temporary_loss: Option<Temporary>,
+    pub temporary_loss: Option<TemporaryValue>,
     /// Messages a second that a gateway accepts; further ones are dropped.
     pub accepted_per_second: f64,
 }
--- a/crates/fleet-lab/src/world/demand_pattern.rs
+++ b/crates/fleet-lab/src/world/demand_pattern.rs
@@ -12,11 +12,11 @@
 /// Mean of what a customer with short bursts uses of its quota within it.
 const MEAN_BURSTY_RATIO: f64 = 0.5;
 /// Customers are drawn by a random number from 0 to 1: below this one, they steadily use nearly their quota.
-const NEAR_QUOTA_BELOW: f64 = 0.17;
+const NEAR_QUOTA_CUMULATIVE_PROBABILITY: f64 = 0.17;
 /// Those from there to below this number have long phases beyond their quota.
-const SUSTAINED_BELOW: f64 = 0.26;
+const SUSTAINED_CUMULATIVE_PROBABILITY: f64 = 0.26;
 /// Those from there to below this number have short bursts; all others steadily use a part of their quota.
-const BURSTY_BELOW: f64 = 0.42;
+const BURSTY_CUMULATIVE_PROBABILITY: f64 = 0.42;
 
 /// How a customer uses its quota. Ratios are those of what it asks for to its quota.
 #[derive(Clone, Copy, Debug)]
@@ -42,11 +42,11 @@
     /// Draws the pattern of a customer.
     pub(super) fn draw(rng: &mut Rng) -> DemandPattern {
         let chance = rng.random::<f64>();
-        if chance < NEAR_QUOTA_BELOW {
+        if chance < NEAR_QUOTA_CUMULATIVE_PROBABILITY {
             DemandPattern::Steady(rng.random_range(0.85..1.0))
-        } else if chance < SUSTAINED_BELOW {
+        } else if chance < SUSTAINED_CUMULATIVE_PROBABILITY {
             DemandPattern::Sustained(rng.random_range(1.5..4.0))
-        } else if chance < BURSTY_BELOW {
+        } else if chance < BURSTY_CUMULATIVE_PROBABILITY {
             DemandPattern::Bursty(rng.random_range(2.0..7.6))
         } else {
             DemandPattern::Steady(rng.random_range(0.1..0.6))
--- a/crates/fleet-lab/src/world/discovery.rs
+++ b/crates/fleet-lab/src/world/discovery.rs
@@ -41,7 +41,7 @@
 
 /// The list, its history, and how much of that each gateway has received.
 pub struct Discovery {
-    log: Vec<Endpoint>,
+    endpoint_log: Vec<Endpoint>,
     histories: BTreeMap<ServerId, ServerHistory>,
     /// By gateway: how many entries of the log it has received.
     received: Vec<usize>,
@@ -56,7 +56,7 @@
     /// A discovery service whose first list all gateways have received.
     pub fn new(
         rng: Rng,
-        first: Vec<Endpoint>,
+        initial_endpoints: Vec<Endpoint>,
         gateways: usize,
         delay: Range<Duration>,
         outages: Vec<TimeSpan>,
@@ -71,10 +71,10 @@
             )
         };
         Discovery {
-            histories: first.iter().enumerate().map(history).collect(),
-            received: vec![first.len(); gateways],
+            histories: initial_endpoints.iter().enumerate().map(history).collect(),
+            received: vec![initial_endpoints.len(); gateways],
             draining: vec![DrainingServers::default(); gateways],
-            log: first,
+            endpoint_log: initial_endpoints,
             delay,
             outages,
             rng,
@@ -83,7 +83,7 @@
 
     /// Changes the list. Each gateway should be polled after the delay that [`Discovery::draw_delay`] returns.
     pub fn publish(&mut self, endpoint: Endpoint) {
-        let position = self.log.len();
+        let position = self.endpoint_log.len();
         let history = ServerHistory {
             first_listed: position,
             last_ready: position,
@@ -92,7 +92,7 @@
         if endpoint.state == EndpointState::Ready {
             history.last_ready = position;
         }
-        self.log.push(endpoint);
+        self.endpoint_log.push(endpoint);
     }
 
     /// Draws the delay after which one gateway receives a change.
@@ -124,7 +124,7 @@
     /// The whole list as a gateway last had it, for its restart.
     pub fn last_snapshot(&self, gateway: GatewayId) -> Event {
         let mut known = BTreeMap::new();
-        for endpoint in &self.log[..self.received[gateway.0 as usize]] {
+        for endpoint in &self.endpoint_log[..self.received[gateway.0 as usize]] {
             known.insert(endpoint.server, *endpoint);
         }
         known.retain(|_, endpoint| endpoint.state != EndpointState::Gone);
@@ -170,8 +170,8 @@
     /// Takes what a gateway has not received yet, and notes which servers it now knows to be draining.
     fn deliver(&mut self, now: Timestamp, gateway: GatewayId) -> Vec<Endpoint> {
         let received = &mut self.received[gateway.0 as usize];
-        let endpoints = self.log[*received..].to_vec();
-        *received = self.log.len();
+        let endpoints = self.endpoint_log[*received..].to_vec();
+        *received = self.endpoint_log.len();
         let draining = &mut self.draining[gateway.0 as usize];
         for endpoint in &endpoints {
             draining.state_received(now, endpoint.server, endpoint.state);
--- a/crates/fleet-lab/src/world/server_events.rs
+++ b/crates/fleet-lab/src/world/server_events.rs
@@ -19,7 +19,7 @@
     /// Its work on a warm core.
     pub work: Duration,
     /// Whether its gateway knew of the server's latest start.
-    pub start_known: bool,
+    pub is_start_known: bool,
 }
 
 /// What happens at a server.
@@ -28,7 +28,7 @@
     /// A request begins to run.
     Started {
         /// For [`Server::complete`](super::servers::Server::complete).
-        run: u64,
+        execution: u64,
         /// When it is done, unless the server hangs meanwhile.
         done_at: Timestamp,
         /// The attempt.
@@ -37,7 +37,7 @@
     /// A running request takes longer.
     Delayed {
         /// For [`Server::complete`](super::servers::Server::complete).
-        run: u64,
+        execution: u64,
         /// When it is done.
         done_at: Timestamp,
     },
--- a/crates/fleet-lab/src/world/servers.rs
+++ b/crates/fleet-lab/src/world/servers.rs
@@ -27,7 +27,7 @@
     process: ProcessState,
     running: BTreeMap<u64, Job>,
     queue: VecDeque<Job>,
-    last_run: u64,
+    last_execution: u64,
     /// The last span in which it answers nothing.
     hang: Option<TimeSpan>,
     /// Factor by which all work takes longer.
@@ -47,7 +47,7 @@
             process: ProcessState::Up,
             running: BTreeMap::new(),
             queue: VecDeque::new(),
-            last_run: 0,
+            last_execution: 0,
             hang: None,
             slowdown: 1.0,
             load_report,
@@ -131,7 +131,7 @@
                 outcome: AttemptOutcome::Unreachable,
                 reported_load: None,
             });
-        } else if self.is_overloaded_by(now, &job) {
+        } else if self.record_cold_call(now, &job) {
             self.queue.push_back(job);
             self.end_process(ProcessState::Crashed, events);
             events.push(ServerEvent::Crashed(self.cold_start.highest_load()));
@@ -149,14 +149,13 @@
     }
 
     /// Counts an attempt while the server is cold; returns whether the server is overloaded by it.
-    fn is_overloaded_by(&mut self, now: Timestamp, job: &Job) -> bool {
+    fn record_cold_call(&mut self, now: Timestamp, job: &Job) -> bool {
         let call = ColdCall {
             at: now,
             work: job.work.as_micros_f64() / self.machine.mean_work_us(),
-            start_known: job.start_known,
+            is_start_known: job.is_start_known,
         };
-        self.cold_start
-            .is_overloaded_by(call, self.endpoint.started_at)
+        self.cold_start.record_call(call, self.endpoint.started_at)
     }
 
     /// Starts queued requests while there are idle cores.
@@ -170,10 +169,10 @@
             }
             let duration = self.execution_time(now, &job);
             let starts_at = self.hang.map_or(now, |hang| hang.end.max(now));
-            self.last_run += 1;
-            self.running.insert(self.last_run, job);
+            self.last_execution += 1;
+            self.running.insert(self.last_execution, job);
             events.push(ServerEvent::Started {
-                run: self.last_run,
+                execution: self.last_execution,
                 done_at: starts_at + duration,
                 job,
             });
@@ -189,17 +188,17 @@
     }
 
     /// A running request is due: it is done now, or later if the server hangs.
-    pub fn complete(&mut self, now: Timestamp, run: u64, events: &mut Vec<ServerEvent>) {
+    pub fn complete(&mut self, now: Timestamp, execution: u64, events: &mut Vec<ServerEvent>) {
         if let Some(hang) = self.hang.filter(|hang| hang.contains(now)) {
-            if self.running.contains_key(&run) {
+            if self.running.contains_key(&execution) {
                 events.push(ServerEvent::Delayed {
-                    run,
+                    execution,
                     done_at: hang.end + now.duration_since(hang.start),
                 });
             }
             return;
         }
-        let Some(job) = self.running.remove(&run) else {
+        let Some(job) = self.running.remove(&execution) else {
             return;
         };
         let reported_load = self.reported_load(now);
--- a/crates/fleet-lab/tests/simulate.rs
+++ b/crates/fleet-lab/tests/simulate.rs
@@ -5,7 +5,9 @@
 mod defective_module;
 
 use defective_module::{Defect, DefectiveModule};
-use fleet_lab::simulate::{simulate, ColdServer, Experiment, ExperimentConfig, NewModule, Report};
+use fleet_lab::simulate::{
+    simulate, ColdServer, Experiment, ExperimentConfig, ModuleResult, Report,
+};
 use fleet_lab::world::invariant::Invariant;
 use fleet_lab::Failure;
 use gateway_core::{Gateway, Settings};
@@ -24,9 +26,9 @@
     }
 }
 
-fn run(config: &ExperimentConfig, defect: Defect) -> Report {
+fn run_simulation(config: &ExperimentConfig, defect: Defect) -> Report {
     let experiment = Experiment::new(config).expect("a sound experiment");
-    let new_module = |seed, settings: Settings, now| -> NewModule {
+    let new_module = |seed, settings: Settings, now| -> ModuleResult {
         let gateway = Gateway::new(seed, settings.clone(), now)?;
         Ok(Box::new(DefectiveModule::new(gateway, settings, defect)))
     };
@@ -45,12 +47,12 @@
 // ---- Simulations ----
 
 #[test]
-fn the_same_seed_gives_the_same_bytes_and_another_gives_others() {
+fn same_seed_gives_identical_report_and_other_seed_a_different_report() {
     let all = [
         "burst", "hang", "slow", "drain", "kill", "cut", "silent", "cold", "restart",
     ];
     let text = |seed| {
-        let report = run(
+        let report = run_simulation(
             &ExperimentConfig {
                 seed,
                 ..config(&all)
@@ -65,8 +67,8 @@
 }
 
 #[test]
-fn a_small_fleet_without_faults_violates_no_invariant_and_serves() {
-    let report = run(&config(&["calm"]), Defect::None);
+fn small_fleet_without_faults_serves_and_violates_no_invariant() {
+    let report = run_simulation(&config(&["calm"]), Defect::None);
     assert!(report.violations.is_empty(), "{report}");
     let all = report.all;
     assert_eq!(
@@ -86,7 +88,7 @@
 }
 
 #[test]
-fn each_invariant_that_is_violated_on_purpose_is_caught_by_its_name() {
+fn checker_reports_each_defect_under_the_violated_invariant() {
     let cases = [
         (Defect::SendToDrained, "drain", Invariant::Drain),
         (Defect::ExceedQuotas, "burst", Invariant::HardLimit),
@@ -97,8 +99,8 @@
         (Defect::SendLate, "burst", Invariant::SentAfterEnd),
     ];
     for (defect, fault, invariant) in cases {
-        let sound = run(&config(&[fault]), Defect::None);
-        let defective = run(&config(&[fault]), defect);
+        let sound = run_simulation(&config(&[fault]), Defect::None);
+        let defective = run_simulation(&config(&[fault]), defect);
         assert_eq!(
             violation_count(&sound, invariant),
             0,
@@ -116,15 +118,15 @@
         }
         if defect == Defect::OverloadColdServer {
             let is_overloaded =
-                |cold: &ColdServer| cold.crashed && cold.load.calls > cold.load.budget;
+                |cold: &ColdServer| cold.has_crashed && cold.load.calls > cold.load.budget;
             assert!(defective.cold_servers.iter().any(is_overloaded));
         }
     }
 }
 
 #[test]
-fn killed_gateways_lose_their_requests_and_restart() {
-    let report = run(&config(&["kill"]), Defect::None);
+fn killed_gateways_lose_their_requests_and_serve_again_after_restart() {
+    let report = run_simulation(&config(&["kill"]), Defect::None);
     assert!(report.violations.is_empty(), "{report}");
     assert!(
         report.all.gateway_killed > 0 && report.all.unreachable > 0,
@@ -141,13 +143,13 @@
 }
 
 #[test]
-fn a_drain_that_no_gateway_knows_of_cannot_be_violated() {
+fn attempt_at_draining_server_is_no_violation_while_drain_is_unknown() {
     // During the outage no gateway knows that servers drain: none of these attempts is a violation.
-    let report = run(&config(&["silent"]), Defect::None);
+    let report = run_simulation(&config(&["silent"]), Defect::None);
     assert!(report.violations.is_empty(), "{report}");
     assert!(
         violation_count(
-            &run(&config(&["silent"]), Defect::SendToDrained),
+            &run_simulation(&config(&["silent"]), Defect::SendToDrained),
             Invariant::Drain
         ) > 0
     );
@@ -156,7 +158,7 @@
 // ---- Arguments ----
 
 #[test]
-fn invalid_experiments_are_refused_in_one_line() {
+fn rejects_invalid_experiment_with_one_line() {
     let one_zone =
         include_str!("../src/simulate/settings.json").replace(r#""a", "b", "c""#, r#""a""#);
     let cases: [(ExperimentConfig, &str); 9] = [
@@ -218,7 +220,7 @@
 }
 
 #[test]
-fn the_command_ends_with_status_2_and_one_line_on_invalid_arguments() {
+fn command_exits_with_status_2_and_one_line_on_invalid_arguments() {
     for invalid in [
         ["--trouble", "storm"],
         ["--fault", "storm"],
@@ -242,7 +244,7 @@
 }
 
 #[test]
-fn the_command_writes_a_report_and_a_plot_and_both_are_reproducible() {
+fn command_writes_reproducible_report_and_plot() {
     let folder = std::env::temp_dir().join(format!("fleet-lab-simulate-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let run_command = |name: &str| {
--- a/crates/fleet-lab/tests/simulate/defective_module.rs
+++ b/crates/fleet-lab/tests/simulate/defective_module.rs
@@ -37,22 +37,22 @@
 
 /// The decision library, with some of its actions replaced.
 pub(crate) struct DefectiveModule {
-    inner: Gateway,
+    gateway: Gateway,
     settings: Settings,
     defect: Defect,
-    known: BTreeMap<ServerId, KnownEndpoint>,
+    known_endpoints: BTreeMap<ServerId, KnownEndpoint>,
     classes: BTreeMap<RequestId, ClassId>,
     /// Requests that were sent although the module rejected them: it does not know them any more.
     sent_after_rejection: BTreeSet<RequestId>,
 }
 
 impl DefectiveModule {
-    pub(crate) fn new(inner: Gateway, settings: Settings, defect: Defect) -> DefectiveModule {
+    pub(crate) fn new(gateway: Gateway, settings: Settings, defect: Defect) -> DefectiveModule {
         DefectiveModule {
-            inner,
+            gateway,
             settings,
             defect,
-            known: BTreeMap::new(),
+            known_endpoints: BTreeMap::new(),
             classes: BTreeMap::new(),
             sent_after_rejection: BTreeSet::new(),
         }
@@ -66,7 +66,7 @@
                         endpoint: *endpoint,
                         received_at: now,
                     };
-                    self.known.insert(endpoint.server, known);
+                    self.known_endpoints.insert(endpoint.server, known);
                 }
             }
             Event::RequestReceived { id, class, .. } => {
@@ -76,27 +76,27 @@
         }
     }
 
-    fn in_state(&self, state: EndpointState) -> impl Iterator<Item = &KnownEndpoint> {
-        self.known
+    fn endpoints_in_state(&self, state: EndpointState) -> impl Iterator<Item = &KnownEndpoint> {
+        self.known_endpoints
             .values()
             .filter(move |known| known.endpoint.state == state)
     }
 
     fn ready_servers(&self) -> impl Iterator<Item = ServerId> + '_ {
-        self.in_state(EndpointState::Ready)
+        self.endpoints_in_state(EndpointState::Ready)
             .map(|known| known.endpoint.server)
     }
 
     /// The server of an attempt in place of the module's choice.
-    fn misrouted(&self, now: Timestamp) -> Option<ServerId> {
+    fn misrouted_server(&self, now: Timestamp) -> Option<ServerId> {
         let known = match self.defect {
             Defect::SendToDrained => {
-                let mut draining = self.in_state(EndpointState::Draining);
+                let mut draining = self.endpoints_in_state(EndpointState::Draining);
                 draining.find(|known| known.received_at + Duration::from_millis(600) < now)
             }
             Defect::OverloadColdServer => {
                 let newest = self
-                    .in_state(EndpointState::Ready)
+                    .endpoints_in_state(EndpointState::Ready)
                     .max_by_key(|known| known.endpoint.started_at);
                 newest.filter(|known| known.endpoint.started_at.is_some())
             }
@@ -120,7 +120,7 @@
                     timeout,
                 },
             ) => {
-                let server = self.misrouted(now).unwrap_or(server);
+                let server = self.misrouted_server(now).unwrap_or(server);
                 actions_out.push(Action::SendAttempt {
                     id,
                     server,
@@ -202,7 +202,7 @@
             }
         }
         let mut actions = Vec::new();
-        self.inner.handle(now, event, &mut actions);
+        self.gateway.handle(now, event, &mut actions);
         for action in actions {
             self.replace_action(now, action, actions_out);
         }
--- a/crates/fleet-lab/tests/world/clients.rs
+++ b/crates/fleet-lab/tests/world/clients.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn clients_ask_for_about_the_demand_through_their_own_gateways_at_uneven_rates() {
+fn clients_send_expected_demand_to_own_gateways_at_uneven_rates() {
     const GATEWAYS: u32 = 6;
     let demand = 400.0;
     let mut clients = clients(demand);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn clients_retry_once_as_advised_and_only_if_that_is_harmless() {
+fn retries_once_after_advised_delay_and_only_if_repetition_is_harmless() {
     let mut clients = clients(50.0);
     let mut request = clients.new_request(START, 0);
     request.disconnect_at = None;
--- a/crates/fleet-lab/tests/world/datagrams.rs
+++ b/crates/fleet-lab/tests/world/datagrams.rs
@@ -8,7 +8,7 @@
 use gateway_core::{GatewayId, ZoneId};
 
 #[test]
-fn a_gateway_accepts_messages_up_to_its_rate_and_none_pass_a_partition() {
+fn accepts_messages_up_to_rate_and_blocks_them_across_partition() {
     let conditions = NetworkConditions {
         delay: 10 * MICROSECOND..20 * MICROSECOND,
         loss: 0.5,
@@ -44,15 +44,15 @@
         zone: ZoneId(1),
         span,
     }]);
-    let separate = |one, other, at| partitions.separate(at, ZoneId(one), ZoneId(other));
+    let is_partitioned = |one, other, at| partitions.is_partitioned(at, ZoneId(one), ZoneId(other));
     assert!(
-        separate(1, 0, START)
-            && separate(2, 1, START)
-            && !separate(1, 1, START)
-            && !separate(0, 2, START)
+        is_partitioned(1, 0, START)
+            && is_partitioned(2, 1, START)
+            && !is_partitioned(1, 1, START)
+            && !is_partitioned(0, 2, START)
     );
     assert!(
-        !separate(1, 0, START + SECOND)
+        !is_partitioned(1, 0, START + SECOND)
             && partitions.isolated_until(START, ZoneId(1)) == Some(START + SECOND)
     );
 }
--- a/crates/fleet-lab/tests/world/discovery.rs
+++ b/crates/fleet-lab/tests/world/discovery.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_gateway_receives_all_missed_changes_after_an_outage_of_discovery() {
+fn gateway_receives_all_missed_changes_after_discovery_outage() {
     let outage = TimeSpan {
         start: START + SECOND,
         end: START + 9 * SECOND,
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_gateway_knows_of_a_drain_from_the_first_notification_until_the_server_is_ready_again() {
+fn drain_is_known_from_first_notification_until_server_is_ready_again() {
     let mut draining = DrainingServers::default();
     let server = ServerId(1);
     assert!(!draining.state_received(START, server, EndpointState::Ready));
--- a/crates/fleet-lab/tests/world/invariant_checker.rs
+++ b/crates/fleet-lab/tests/world/invariant_checker.rs
@@ -26,7 +26,7 @@
     InvariantChecker::new(settings(), 500 * MILLISECOND, customers).expect("a checker")
 }
 
-fn sent(
+fn sent_attempt(
     gateway: u32,
     request: RequestNumber,
     server: u64,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_crash_is_a_violation_only_if_the_gateways_knew_of_the_start() {
+fn crash_is_violation_only_if_gateways_knew_of_start() {
     let mut checker = new_checker();
     let load = |share| ColdStartLoad {
         calls: 9.0,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn quotas_and_hard_limits_are_counted_over_all_gateways_with_the_tolerance() {
+fn counts_quota_and_hard_limit_over_all_gateways_with_tolerance() {
     let mut checker = new_checker();
     let mut request = clients(50.0).new_request(START, 0);
     // The large plan's hard limit is 172 units, the tolerance is a tenth of that: 189.2 are allowed at once.
@@ -65,7 +65,7 @@
     for count in 0..190 {
         let number = checker.request_arrived(START, request.clone());
         assert!(checker.violations.is_empty(), "after {count}");
-        checker.attempt_sent(START, sent(count % 6, number, 1, None));
+        checker.attempt_sent(START, sent_attempt(count % 6, number, 1, None));
     }
     assert_eq!(checker.violations[&Invariant::HardLimit].count, 1);
     let second = checker.statistics.seconds[0];
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_non_idempotent_request_may_be_sent_again_only_if_it_is_proved_not_to_have_run() {
+fn resending_non_idempotent_request_is_violation_unless_proved_unexecuted() {
     for (outcome, is_violation) in [
         (AttemptOutcome::Overloaded, false),
         (AttemptOutcome::ConnectionLost, true),
@@ -86,9 +86,9 @@
         request.customer = 0;
         request.class = ClassId(1);
         let number = checker.request_arrived(START, request);
-        assert!(checker.attempt_sent(START, sent(0, number, 1, None)));
+        assert!(checker.attempt_sent(START, sent_attempt(0, number, 1, None)));
         checker.attempt_finished(number, AttemptNumber(0), outcome);
-        assert!(checker.attempt_sent(START, sent(0, number, 2, None)));
+        assert!(checker.attempt_sent(START, sent_attempt(0, number, 2, None)));
         assert_eq!(
             checker.violations.contains_key(&Invariant::Idempotency),
             is_violation,
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn an_attempt_at_a_draining_server_is_a_violation_after_the_grace_period() {
+fn attempt_at_draining_server_is_violation_after_drain_grace() {
     for (late, is_violation) in [
         (500 * MILLISECOND, false),
         (500 * MILLISECOND + MICROSECOND, true),
@@ -119,7 +119,7 @@
         let mut request = clients(50.0).new_request(START, 0);
         request.customer = 0;
         let number = checker.request_arrived(START + late, request);
-        checker.attempt_sent(START + late, sent(0, number, 1, Some(START)));
+        checker.attempt_sent(START + late, sent_attempt(0, number, 1, Some(START)));
         assert_eq!(
             checker.violations.contains_key(&Invariant::Drain),
             is_violation
--- a/crates/fleet-lab/tests/world/limits.rs
+++ b/crates/fleet-lab/tests/world/limits.rs
@@ -7,7 +7,7 @@
 use fleet_lab::world::START;
 
 #[test]
-fn a_token_bucket_refills_at_its_rate_up_to_its_capacity() {
+fn token_bucket_refills_at_rate_up_to_capacity() {
     let mut bucket = TokenBucket::full(START, 2.0, 10.0);
     assert!(bucket.try_take(START, 9.0) && !bucket.try_take(START, 2.0));
     assert!(bucket.try_take(START + 500 * MILLISECOND, 2.0));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_usage_limit_is_violated_beyond_its_tolerance_and_retains_its_peak() {
+fn usage_limit_is_violated_beyond_tolerance_and_retains_peak() {
     let mut limit = UsageLimit::unused(START, 2.0, 10.0);
     assert!(limit.peak().is_none());
     assert!(
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_request_record_reports_first_attempts_repeated_executions_and_answers_after_the_end() {
+fn request_record_reports_first_attempt_repeated_execution_and_answer_after_end() {
     let mut record = RequestRecord::new(START, "request");
     assert!(record.is_open() && !record.is_executed());
     assert!(record.add_attempt(1) && !record.add_attempt(2));
--- a/crates/fleet-lab/tests/world/servers.rs
+++ b/crates/fleet-lab/tests/world/servers.rs
@@ -25,14 +25,14 @@
     }
 }
 
-fn job(request: u64, start_known: bool) -> Job {
+fn job(request: u64, is_start_known: bool) -> Job {
     Job {
         request: RequestNumber(request),
         attempt: AttemptNumber(0),
         gateway: GatewayId(0),
         expires_at: Timestamp::MAX,
         work: 100 * MILLISECOND,
-        start_known,
+        is_start_known,
     }
 }
 
@@ -64,8 +64,8 @@
 }
 
 /// The attempts that finished.
-fn finished(events: &[ServerEvent]) -> Vec<FinishedAttempt> {
-    let finished = |event: &ServerEvent| match event {
+fn finished_attempts(events: &[ServerEvent]) -> Vec<FinishedAttempt> {
+    let finished_attempt = |event: &ServerEvent| match event {
         ServerEvent::Finished {
             job,
             outcome,
@@ -77,48 +77,51 @@
         )),
         _ => None,
     };
-    events.iter().filter_map(finished).collect()
+    events.iter().filter_map(finished_attempt).collect()
 }
 
 /// A run that was started or delayed, and when it is due.
 #[derive(Debug, PartialEq)]
-struct DueRun {
-    run: u64,
+struct DueExecution {
+    execution: u64,
     done_at: Timestamp,
 }
 
-impl DueRun {
-    fn new(run: u64, done_at: Timestamp) -> DueRun {
-        DueRun { run, done_at }
+impl DueExecution {
+    fn new(execution: u64, done_at: Timestamp) -> DueExecution {
+        DueExecution { execution, done_at }
     }
 }
 
 /// The runs that were started or delayed.
-fn due(events: &[ServerEvent]) -> Vec<DueRun> {
-    let due = |event: &ServerEvent| match event {
-        ServerEvent::Started { run, done_at, .. } | ServerEvent::Delayed { run, done_at } => {
-            Some(DueRun::new(*run, *done_at))
+fn due_executions(events: &[ServerEvent]) -> Vec<DueExecution> {
+    let due_execution = |event: &ServerEvent| match event {
+        ServerEvent::Started {
+            execution, done_at, ..
+        }
+        | ServerEvent::Delayed { execution, done_at } => {
+            Some(DueExecution::new(*execution, *done_at))
         }
         _ => None,
     };
-    events.iter().filter_map(due).collect()
+    events.iter().filter_map(due_execution).collect()
 }
 
 #[test]
-fn a_server_runs_one_request_on_each_core_and_rejects_what_it_cannot_hold() {
+fn server_runs_one_request_per_core_and_rejects_requests_beyond_slots() {
     let (mut server, mut events) = (server(None), Vec::new());
     for number in 0..11 {
         server.arrive(START, job(number, true), &mut events);
     }
     assert_eq!(
-        due(&events),
+        due_executions(&events),
         [
-            DueRun::new(1, START + 100 * MILLISECOND),
-            DueRun::new(2, START + 100 * MILLISECOND)
+            DueExecution::new(1, START + 100 * MILLISECOND),
+            DueExecution::new(2, START + 100 * MILLISECOND)
         ]
     );
     assert_eq!(
-        finished(&events),
+        finished_attempts(&events),
         [FinishedAttempt::new(
             10,
             AttemptOutcome::Overloaded,
@@ -128,10 +131,13 @@
     events.clear();
     server.complete(START + 100 * MILLISECOND, 1, &mut events);
     assert_eq!(
-        finished(&events),
+        finished_attempts(&events),
         [FinishedAttempt::new(0, AttemptOutcome::Success, Some(9.0))]
     );
-    assert_eq!(due(&events), [DueRun::new(3, START + 200 * MILLISECOND)]);
+    assert_eq!(
+        due_executions(&events),
+        [DueExecution::new(3, START + 200 * MILLISECOND)]
+    );
     server.cancel(RequestNumber(3), AttemptNumber(0));
     events.clear();
     server.complete(START + 100 * MILLISECOND, 2, &mut events);
@@ -142,7 +148,7 @@
 }
 
 #[test]
-fn a_hanging_server_answers_later_and_a_slow_one_takes_longer() {
+fn hang_delays_answers_and_slowdown_lengthens_executions() {
     let (mut server, mut events) = (server(None), Vec::new());
     server.arrive(START, job(0, true), &mut events);
     server.hang(START + 40 * MILLISECOND, START + 5 * SECOND);
@@ -150,27 +156,30 @@
     server.complete(START + 100 * MILLISECOND, 1, &mut events);
     // 40 ms of its work were done before the hang, 60 are left.
     assert_eq!(
-        due(&events),
-        [DueRun::new(1, START + 5 * SECOND + 60 * MILLISECOND)]
+        due_executions(&events),
+        [DueExecution::new(1, START + 5 * SECOND + 60 * MILLISECOND)]
     );
     events.clear();
     server.complete(START + 5 * SECOND + 60 * MILLISECOND, 1, &mut events);
-    assert_eq!(finished(&events).len(), 1);
+    assert_eq!(finished_attempts(&events).len(), 1);
     server.set_slowdown(6.0);
     events.clear();
     server.arrive(START + 6 * SECOND, job(1, true), &mut events);
     assert_eq!(
-        due(&events),
-        [DueRun::new(2, START + 6 * SECOND + 600 * MILLISECOND)]
+        due_executions(&events),
+        [DueExecution::new(2, START + 6 * SECOND + 600 * MILLISECOND)]
     );
 }
 
 #[test]
-fn a_cold_server_is_slower_and_crashes_one_call_beyond_its_budget() {
+fn cold_server_is_slower_and_crashes_one_call_beyond_budget() {
     // 20 a second when warm; cold 5; twice that for 2 s is 20, and 2 x root of 20, and 2: 30.9.
     let (mut server, mut events) = (server(Some(START)), Vec::new());
     server.arrive(START, job(0, false), &mut events);
-    assert_eq!(due(&events), [DueRun::new(1, START + 400 * MILLISECOND)]);
+    assert_eq!(
+        due_executions(&events),
+        [DueExecution::new(1, START + 400 * MILLISECOND)]
+    );
     for number in 1..30 {
         server.arrive(START, job(number, number > 5), &mut events);
     }
@@ -190,7 +199,7 @@
     );
     // The connections of all attempts that it held are lost, and it accepts no further ones.
     assert_eq!(
-        finished(&events)
+        finished_attempts(&events)
             .iter()
             .filter(|attempt| attempt.outcome == AttemptOutcome::ConnectionLost)
             .count(),
@@ -199,13 +208,13 @@
     events.clear();
     server.arrive(START + SECOND, job(31, true), &mut events);
     assert_eq!(
-        finished(&events),
+        finished_attempts(&events),
         [FinishedAttempt::new(31, AttemptOutcome::Unreachable, None)]
     );
 }
 
 #[test]
-fn calls_older_than_the_window_do_not_count_and_a_warm_server_never_crashes() {
+fn ignores_calls_older_than_window_and_warm_server_never_crashes() {
     let (mut cold, mut warm, mut events) = (server(Some(START)), server(None), Vec::new());
     for step in 0..3 {
         for number in 0..30 {
