--- a/crates/edge-node/tests/admin.rs
+++ b/crates/edge-node/tests/admin.rs
@@ -1,5 +1,4 @@
-//! The admin listener: what it reports, and that nothing sent to it affects the requests of
-//! clients.
+//! The admin listener: its responses, and that its traffic does not affect client requests.
 
 mod support;
 
@@ -9,12 +8,14 @@
 use std::time::Instant;
 use support::*;
 
-/// The example configuration with an admin listener and long request deadlines.
+/// Returns the example configuration with an admin listener, request deadlines of 60 s and a drain
+/// grace of 20 s.
 fn config(discovery: SocketAddr) -> String {
     config_with_drain_grace(discovery, 20_000)
 }
 
-/// The same with another drain grace, half of which the first endpoint list is waited for.
+/// Returns the configuration of [`config`] with another drain grace in milliseconds. The edge node
+/// waits for the first endpoint list for half of that time.
 fn config_with_drain_grace(discovery: SocketAddr, millis: u32) -> String {
     runnable_example_config(discovery)
         .replace("deadline_ms = 4_000", "deadline_ms = 60_000")
@@ -25,79 +26,85 @@
         .replacen("[limits]", "admin.listen = \"127.0.0.1:0\"\n[limits]", 1)
 }
 
-/// A request under the example's classes and plans.
+/// Returns a request with this id for a class and a plan of the example configuration.
 fn read_request(id: &str) -> String {
     example_read_request(id, "60000m")
 }
 
-/// Where the admin listener of an edge node is.
+/// Reads the address of an edge node's admin listener from its log.
 fn admin_address(node: &EdgeNode) -> SocketAddr {
     let line = node.wait_for_log("admin listener on ");
     line.rsplit(' ')
         .next()
         .and_then(|word| word.parse().ok())
-        .expect("an address")
+        .expect("address at the end of the line")
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(address).expect("it listens");
+    let stream = TcpStream::connect(address).expect("admin listener accepts the connection");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("read timeout is set");
     stream
 }
 
+/// Sends a GET request to the admin listener; returns the status and body of the response.
 fn get(address: SocketAddr, path: &str) -> (u16, String) {
     let mut stream = connect(address);
-    write!(stream, "GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").expect("it is open");
-    let answer = HttpMessage::read(&mut BufReader::new(stream)).expect("an answer");
+    write!(stream, "GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").expect("connection is open");
+    let response = HttpMessage::read(&mut BufReader::new(stream)).expect("complete response");
     (
-        answer.status(),
-        String::from_utf8(answer.body).expect("it is text"),
+        response.status(),
+        String::from_utf8(response.body).expect("body is UTF-8"),
     )
 }
 
-/// The body of an answer from the admin listener, whose status has to be 200.
+/// Sends a GET request to the admin listener and returns the body of the response; panics unless
+/// the status is 200.
 fn get_ok(address: SocketAddr, path: &str) -> String {
     let (status, body) = get(address, path);
     assert_eq!(status, 200);
     body
 }
 
-/// The value of a time series in the text of the metrics.
+/// Returns the value of a time series in the metrics text; panics if there is no such series.
 fn metric_value(text: &str, series: &str) -> f64 {
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix(series)?.strip_prefix(' '));
-    line.unwrap_or_else(|| panic!("no {series}: {text}"))
+    line.unwrap_or_else(|| panic!("no time series {series}: {text}"))
         .parse()
-        .expect("a number")
+        .expect("value is a number")
 }
 
-/// Polls until there is a value; fails after the timeout.
+/// Polls until `poll` returns a value; panics after [`TEST_TIMEOUT`].
 fn poll_until_some<T>(mut poll: impl FnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
-        if let Some(found) = poll() {
-            return found;
+        if let Some(value) = poll() {
+            return value;
         }
-        assert!(begun.elapsed() < TEST_TIMEOUT, "it never comes");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "no value before the timeout"
+        );
     }
 }
 
-/// The series that counts the requests of a class and a plan with an outcome.
-fn requests_total(class: &str, plan: &str, outcome: &str) -> String {
+/// Returns the name and labels of the series that counts the requests of a class and a plan with an
+/// outcome.
+fn requests_total_series(class: &str, plan: &str, outcome: &str) -> String {
     format!("edge_node_requests_total{{class=\"{class}\",plan=\"{plan}\",outcome=\"{outcome}\"}}")
 }
 
-/// An edge node that has served two requests, the second one after a retry, and has a third one
-/// open.
+/// An edge node that has served one request at the first attempt and one after a retry, and has a
+/// third request open.
 struct BusyNode {
     discovery: FakeDiscovery,
-    /// The first watch, which is open.
+    /// Connection of the first watch, which is open.
     watch: TcpStream,
-    /// The client of the open request.
-    waiting_client: Client,
+    /// Client of the open request.
+    open_request_client: Client,
     admin_address: SocketAddr,
     _servers: FakeServers,
     _node: EdgeNode,
@@ -122,32 +129,32 @@
         assert_eq!(
             client.exchange(&read_request("b")).status(),
             200,
-            "after an attempt at an overloaded server"
+            "retry after an attempt at an overloaded server"
         );
         for _ in 0..3 {
             drop(servers.next_request());
         }
-        let mut waiting_client = node.client();
-        waiting_client.send(&read_request("open"));
+        let mut open_request_client = node.client();
+        open_request_client.send(&read_request("open"));
         servers.next_request();
-        // A connection without an open request may be closed at any time; only the waiting client's
-        // stays.
+        // The edge node may close a connection without an open request at any time. After this
+        // drop, only the connection of the open request remains.
         drop(client);
         BusyNode {
             discovery,
             watch,
-            waiting_client,
+            open_request_client,
             admin_address,
             _servers: servers,
             _node: node,
         }
     }
 
-    /// Waits until the edge node has noticed that its other client disconnected; returns its state.
+    /// Waits until the edge node has one client connection; returns the response of `/debug/state`.
     fn state_with_one_client(&self) -> Value {
         poll_until_some(|| {
             let state = get_ok(self.admin_address, "/debug/state");
-            let state: Value = serde_json::from_str(&state).expect("it is JSON");
+            let state: Value = serde_json::from_str(&state).expect("body is JSON");
             (state["connections"]["clients"] == 1).then_some(state)
         })
     }
@@ -163,24 +170,30 @@
     );
 }
 
-/// Waits until the metrics show that all clients have disconnected, one of them before its answer.
+/// Waits until the metrics show no client connection and one abandoned request; returns their text.
 fn metrics_after_disconnect(admin_address: SocketAddr) -> String {
-    let abandoned = requests_total("balance-read", "premier", "abandoned");
+    let abandoned = requests_total_series("balance-read", "premier", "abandoned");
     poll_until_some(|| {
         let text = get_ok(admin_address, "/metrics");
-        let is_noticed = metric_value(&text, &abandoned) == 1.0
+        let is_recorded = metric_value(&text, &abandoned) == 1.0
             && metric_value(&text, "edge_node_client_connections") == 0.0;
-        is_noticed.then_some(text)
+        is_recorded.then_some(text)
     })
 }
 
 fn assert_request_and_attempt_metrics(text: &str) {
     assert_eq!(
-        metric_value(text, &requests_total("balance-read", "premier", "served")),
+        metric_value(
+            text,
+            &requests_total_series("balance-read", "premier", "served")
+        ),
         2.0
     );
     assert_eq!(
-        metric_value(text, &requests_total("post-payment", "basic", "refused")),
+        metric_value(
+            text,
+            &requests_total_series("post-payment", "basic", "refused")
+        ),
         0.0
     );
     assert_eq!(
@@ -191,11 +204,11 @@
         metric_value(text, "edge_node_attempts_total{outcome=\"full\"}"),
         1.0
     );
-    let latency = "edge_node_request_duration_seconds_count{class=\"balance-read\"}";
+    let duration_count = "edge_node_request_duration_seconds_count{class=\"balance-read\"}";
     assert_eq!(
-        metric_value(text, latency),
+        metric_value(text, duration_count),
         2.0,
-        "an abandoned request has no duration"
+        "the duration of the abandoned request is not recorded"
     );
     assert_eq!(metric_value(text, "edge_node_open_requests"), 0.0);
 }
@@ -206,26 +219,27 @@
     assert!(metric_value(text, "edge_node_list_age_seconds") < 60.0);
 }
 
-/// The text has to be whole, and without identifiers of customers, servers and requests.
-fn assert_whole_and_without_identifiers(text: &str) {
+/// Asserts that the metrics text is complete and contains no identifier of a customer, server or
+/// request.
+fn assert_complete_and_without_identifiers(text: &str) {
     assert!(text.ends_with("# EOF\n"));
     for identifier in ["b4d65521", "s-1", "\"a\""] {
-        assert!(!text.contains(identifier), "{identifier} among the labels");
+        assert!(!text.contains(identifier), "{identifier} in the metrics");
     }
 }
 
 #[test]
-fn metrics_follow_requests_attempts_and_watches() {
+fn metrics_count_requests_attempts_and_watch_resets() {
     let busy = BusyNode::start("figures");
     assert_state_shows_open_request(&busy.state_with_one_client());
-    drop(busy.waiting_client);
+    drop(busy.open_request_client);
     drop(busy.watch);
     for _ in 0..3 {
         drop(busy.discovery.next_watch());
     }
     let text = metrics_after_disconnect(busy.admin_address);
     assert_request_and_attempt_metrics(&text);
-    // The last watch may have timed out by now, and so may those after it.
+    // The newest watch may have timed out in the meantime, as may the watches opened after it.
     let opened = 4 + busy.discovery.unseen_watches();
     let resets = metric_value(&text, "edge_node_watch_resets_total");
     assert!(
@@ -233,11 +247,11 @@
         "{resets} resets of {opened} watches"
     );
     assert_process_metrics(&text);
-    assert_whole_and_without_identifiers(&text);
+    assert_complete_and_without_identifiers(&text);
 }
 
 #[test]
-fn the_readiness_probe_follows_the_phase() {
+fn readiness_probe_reports_each_phase() {
     let servers = FakeServers::new();
     let entries = [servers.start_returning_entry("s-1", &[ServerBehavior::NeverRespond])];
     let discovery = FakeDiscovery::silent();
@@ -251,11 +265,11 @@
     let (_, mut watch) = discovery.next_watch();
     watch
         .write_all(WATCH_RESPONSE_HEAD.as_bytes())
-        .expect("it is open");
+        .expect("connection is open");
     send_list(&mut watch, &endpoint_list(1, true, &entries));
     node.wait_for_log("ready: ");
     assert_eq!(get(address, "/readyz"), (200, "serving\n".to_owned()));
-    // An open request keeps the edge node in its shutdown until the deadline.
+    // The open request keeps the shutdown waiting until the request's deadline.
     node.client().send(&read_request("gone"));
     let mut client = node.client();
     client.send(&read_request("open"));
@@ -279,33 +293,33 @@
 const UNKNOWN_PATH: &[u8] = b"GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n";
 const UNFINISHED_HEAD: &[u8] = b"GET /metrics HTTP/1.1\r\nHost: a";
 
-/// More connections than the admin listener keeps open.
-const TOO_MANY_CONNECTIONS: usize = 40;
-/// Descriptors that may be added meanwhile: eight of those connections, the client's own, and some
-/// to the server.
+/// Number of silent connections, more than the admin listener keeps open.
+const SILENT_CONNECTIONS: usize = 40;
+/// Maximum number of descriptors that the edge node may open meanwhile: eight admin connections,
+/// one client connection, and some connections to the server.
 const MAX_ADDED_DESCRIPTORS: usize = 20;
 
 fn request_with_long_path() -> Vec<u8> {
     format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(100_000)).into_bytes()
 }
 
-/// Waits until the edge node closes a connection, with a 4xx answer or none; returns the status or
-/// "closed".
+/// Waits until the edge node closes a connection; returns the status code of the response, or
+/// "closed" if there was none. Panics if the status is not 4xx.
 fn final_status(mut stream: TcpStream) -> String {
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    let answer = String::from_utf8_lossy(&answer);
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    let response = String::from_utf8_lossy(&response);
     assert!(
-        answer.is_empty() || answer.starts_with("HTTP/1.1 4"),
-        "{answer}"
+        response.is_empty() || response.starts_with("HTTP/1.1 4"),
+        "{response}"
     );
-    answer.split(' ').nth(1).unwrap_or("closed").to_owned()
+    response.split(' ').nth(1).unwrap_or("closed").to_owned()
 }
 
-/// Sends these bytes on a connection of their own.
+/// Sends bytes on a new connection; returns its final status as [`final_status`] does.
 fn status_after(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = connect(address);
-    // The connection may have been answered and closed by then.
+    // The write may fail, as the edge node may respond and close the connection before it ends.
     let _ = stream.write_all(bytes);
     final_status(stream)
 }
@@ -321,20 +335,18 @@
     status_after(address, &request_with_long_path());
 }
 
-/// Malformed requests, slow clients and too many connections get 4xx or a close, and clients are
-/// served meanwhile.
+/// The admin listener answers malformed requests, silent clients and too many connections with a
+/// 4xx status or closes the connection. Client requests are served meanwhile.
 #[test]
-fn nothing_on_the_admin_port_affects_client_requests() {
+fn malformed_and_excess_admin_connections_do_not_affect_client_requests() {
     let servers = FakeServers::new();
     let entries = [servers.start_returning_entry("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&entries);
     let mut node = EdgeNode::start_with_toml("noise", &config(discovery.address));
     let address = admin_address(&node);
     send_malformed_requests(address);
-    let before = node.open_descriptors();
-    let silent: Vec<_> = (0..TOO_MANY_CONNECTIONS)
-        .map(|_| connect(address))
-        .collect();
+    let descriptors_before = node.open_descriptors();
+    let silent_connections: Vec<_> = (0..SILENT_CONNECTIONS).map(|_| connect(address)).collect();
     let mut client = node.client();
     for number in 0..10 {
         assert_eq!(
@@ -344,12 +356,12 @@
             200
         );
     }
-    let after = node.open_descriptors();
+    let descriptors_after = node.open_descriptors();
     assert!(
-        after <= before + MAX_ADDED_DESCRIPTORS,
-        "{after} of {before}"
+        descriptors_after <= descriptors_before + MAX_ADDED_DESCRIPTORS,
+        "{descriptors_after} descriptors, {descriptors_before} before"
     );
-    for stream in silent {
+    for stream in silent_connections {
         final_status(stream);
     }
     assert_eq!(get(address, "/healthz"), (200, "ok\n".to_owned()));
@@ -357,10 +369,12 @@
 }
 
 #[test]
-fn there_is_no_admin_listener_in_the_platforms_configuration() {
+fn platform_configuration_cannot_enable_admin_listener() {
     let discovery = FakeDiscovery::start(&[]);
-    let with = |config: String| config.replacen('{', r#"{"admin":{"listen":"127.0.0.1:0"},"#, 1);
-    let mut node = EdgeNode::start_with_edited_config("off", discovery.address, &[], with);
+    let with_admin_key =
+        |config: String| config.replacen('{', r#"{"admin":{"listen":"127.0.0.1:0"},"#, 1);
+    let mut node =
+        EdgeNode::start_with_edited_config("off", discovery.address, &[], with_admin_key);
     node.wait_for_log("ready");
     node.terminate();
     assert!(node.wait().success());
@@ -369,14 +383,14 @@
             .remaining_log()
             .iter()
             .any(|line| line.contains("admin")),
-        "the platform's form has no such key"
+        "the platform's JSON format has no key for the admin listener"
     );
 }
 
 #[test]
-fn an_address_in_use_ends_the_start_with_one_plain_line() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = taken.local_addr().expect("an address");
+fn admin_address_in_use_fails_startup_with_one_error_line() {
+    let occupying_listener = TcpListener::bind("127.0.0.1:0").expect("free port");
+    let address = occupying_listener.local_addr().expect("local address");
     let discovery = FakeDiscovery::start(&[]);
     let text = config(discovery.address).replacen(
         "admin.listen = \"127.0.0.1:0\"",
@@ -387,7 +401,7 @@
     let output = edge_node_command(&["serve", "--config"])
         .arg(&path)
         .output()
-        .expect("it runs");
+        .expect("edge node runs");
     let _ = std::fs::remove_file(path);
     let error = String::from_utf8_lossy(&output.stderr);
     assert_eq!(
@@ -402,19 +416,20 @@
 }
 
 #[test]
-fn the_page_lists_every_metric() {
+fn operating_page_lists_every_metric() {
     let discovery = FakeDiscovery::start(&[]);
     let node = EdgeNode::start_with_toml("page", &config(discovery.address));
     let (_, text) = get(admin_address(&node), "/metrics");
-    let typed = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
-    let mut exposed: Vec<_> = typed.map(|line| line.replace(' ', "` | ")).collect();
-    let page = std::fs::read_to_string("../../docs/OPERATING.md").expect("the page");
+    let type_lines = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
+    let mut exposed: Vec<_> = type_lines.map(|line| line.replace(' ', "` | ")).collect();
+    let page =
+        std::fs::read_to_string("../../docs/OPERATING.md").expect("docs/OPERATING.md is readable");
     let rows = page
         .lines()
         .filter_map(|line| line.strip_prefix("| `edge_node_"));
-    let first_two = |row: &str| row.split(" | ").take(2).collect::<Vec<_>>().join(" | ");
+    let name_and_type = |row: &str| row.split(" | ").take(2).collect::<Vec<_>>().join(" | ");
     let mut documented: Vec<_> = rows
-        .map(|row| format!("edge_node_{}", first_two(row)))
+        .map(|row| format!("edge_node_{}", name_and_type(row)))
         .collect();
     exposed.sort();
     documented.sort();
--- a/crates/edge-node/tests/command.rs
+++ b/crates/edge-node/tests/command.rs
@@ -1,19 +1,20 @@
-//! The command line: what it prints, and its exit codes.
+//! The command line: its output and exit codes.
 
 mod support;
 
 use std::process::{Output, Stdio};
 use support::*;
 
-/// How a run of the program ended, and what it printed.
-struct Finished {
+/// Exit code and output of a run of the program.
+struct RunResult {
+    /// `None` if a signal ended the process.
     exit_code: Option<i32>,
     stdout: String,
     stderr: String,
 }
 
-/// Runs the program to its end.
-fn run(arguments: &[&str]) -> Finished {
+/// Runs the program until it exits.
+fn run(arguments: &[&str]) -> RunResult {
     let Output {
         status,
         stdout,
@@ -21,9 +22,9 @@
     } = edge_node_command(arguments)
         .stdin(Stdio::null())
         .output()
-        .expect("it runs");
-    let text = |bytes| String::from_utf8(bytes).expect("it is text");
-    Finished {
+        .expect("edge-node runs");
+    let text = |bytes| String::from_utf8(bytes).expect("output is UTF-8");
+    RunResult {
         exit_code: status.code(),
         stdout: text(stdout),
         stderr: text(stderr),
@@ -33,24 +34,24 @@
 const COMMANDS: [&str; 6] = ["serve", "check", "keys", "version", "completions", "man"];
 
 #[test]
-fn help_and_version_are_no_errors() {
+fn help_and_version_exit_with_0() {
     for arguments in [&["--help"][..], &["-h"], &["help"]] {
-        let Finished {
+        let RunResult {
             exit_code,
             stdout,
             stderr,
         } = run(arguments);
         assert_eq!((exit_code, stderr.as_str()), (Some(0), ""), "{arguments:?}");
-        for word in COMMANDS.iter().chain(&["LB_CONFIG", "Exit codes"]) {
+        for expected_text in COMMANDS.iter().chain(&["LB_CONFIG", "Exit codes"]) {
             assert!(
-                stdout.contains(word),
-                "{arguments:?} does not mention {word}"
+                stdout.contains(expected_text),
+                "{arguments:?}: no {expected_text} in the output"
             );
         }
     }
     let version = format!("edge-node {}\n", env!("CARGO_PKG_VERSION"));
     for arguments in [&["version"][..], &["--version"], &["-V"]] {
-        let Finished {
+        let RunResult {
             exit_code,
             stdout,
             stderr,
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_bad_command_line_ends_with_2_and_says_why() {
+fn invalid_command_line_exits_with_2_and_reports_reason() {
     let cases = [
         (&[][..], "LB_CONFIG is not set"),
         (&["sreve"], "serve"),
@@ -75,8 +76,8 @@
         (&["serve", "--port", "1"], "unexpected argument"),
         (&["completions", "cmd"], "bash"),
     ];
-    for (arguments, why) in cases {
-        let Finished {
+    for (arguments, reason) in cases {
+        let RunResult {
             exit_code,
             stdout,
             stderr,
@@ -86,25 +87,25 @@
             (Some(2), ""),
             "{arguments:?}: {stderr}"
         );
-        assert!(stderr.contains(why), "{arguments:?}: {stderr}");
+        assert!(stderr.contains(reason), "{arguments:?}: {stderr}");
     }
 }
 
 #[test]
-fn no_configuration_ends_with_1_in_one_plain_line() {
+fn missing_configuration_exits_with_1_and_one_error_line() {
     for arguments in [
         &["serve"][..],
         &["serve", "--config", "/nowhere.toml"],
         &["check", "/nowhere.toml"],
     ] {
-        let Finished {
+        let RunResult {
             exit_code,
             stdout,
             stderr,
         } = run(arguments);
-        let lines = stderr.lines().count();
+        let line_count = stderr.lines().count();
         assert_eq!(
-            (exit_code, stdout.as_str(), lines),
+            (exit_code, stdout.as_str(), line_count),
             (Some(1), "", 1),
             "{arguments:?}: {stderr}"
         );
@@ -112,13 +113,16 @@
 }
 
 #[test]
-fn an_edge_node_that_cannot_listen_ends_with_1_in_one_plain_line() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = taken.local_addr().expect("an address").to_string();
+fn listen_address_in_use_exits_with_1_and_one_error_line() {
+    let occupying_listener = std::net::TcpListener::bind("127.0.0.1:0").expect("free port");
+    let address = occupying_listener
+        .local_addr()
+        .expect("local address")
+        .to_string();
     let output = edge_node_command(&["serve", "--config", EXAMPLE_CONFIG_PATH])
         .env("LB_LISTEN", &address)
         .output()
-        .expect("it runs");
+        .expect("edge-node runs");
     let error = String::from_utf8_lossy(&output.stderr);
     assert_eq!(
         (output.status.code(), error.lines().count()),
@@ -129,9 +133,9 @@
 }
 
 #[test]
-fn completions_and_the_manual_page_have_every_command() {
+fn completions_and_manual_page_contain_every_command() {
     for shell in ["bash", "zsh", "fish", "elvish", "powershell"] {
-        let Finished {
+        let RunResult {
             exit_code,
             stdout,
             stderr,
@@ -141,7 +145,7 @@
             assert!(stdout.contains(command), "{shell}: {command}");
         }
     }
-    let Finished {
+    let RunResult {
         exit_code,
         stdout,
         stderr: _,
@@ -156,16 +160,16 @@
     );
 }
 
-/// A reader such as `head` closes the pipe when it has read enough.
+/// A reader such as `head` closes the pipe before the program has written all of its output.
 #[test]
-fn a_reader_that_closes_the_pipe_early_is_no_error() {
+fn pipe_closed_by_reader_is_not_an_error() {
     let mut child = edge_node_command(&["man"])
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it runs");
+        .expect("edge-node starts");
     drop(child.stdout.take());
-    let output = child.wait_with_output().expect("it ends");
+    let output = child.wait_with_output().expect("edge-node exits");
     assert!(
         output.status.success() && output.stderr.is_empty(),
         "{output:?}"
@@ -173,7 +177,7 @@
 }
 
 #[test]
-fn serve_ends_with_0_after_sigterm() {
+fn serve_exits_with_0_after_sigterm() {
     let discovery = FakeDiscovery::start(&[]);
     let config = example_config();
     let config = config
--- a/crates/edge-node/tests/documentation.rs
+++ b/crates/edge-node/tests/documentation.rs
@@ -1,46 +1,51 @@
-//! The pages at the root and in `docs/`: each file, item, page and heading that they name exists.
+//! The documentation pages at the root of the repository and in `docs/`: every file, item and
+//! heading that they name exists.
 //!
-//! A path in code font is given from the root of the repository, or from the folder `src` of a
+//! A path in a code span is relative to the root of the repository, or to the directory `src` of a
 //! package.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// What the names of files on the pages end in.
+/// Suffixes by which a word in a code span is recognized as a file name.
 const FILE_EXTENSIONS: [&str; 5] = [".rs", ".md", ".toml", ".json", ".txt"];
-/// Paths that begin with one of these are not in the repository: absolute ones and those of HTTP,
-/// the folder around the repository, what a build writes.
+/// Prefixes of paths that are outside the repository: absolute paths and HTTP paths, paths in the
+/// parent directory, and build output.
 const OUTSIDE_PREFIXES: [&str; 3] = ["/", "../", "target/"];
-/// Files that exist only at times.
+/// Files that pages may name although they do not always exist.
 const OPTIONAL_FILES: [&str; 1] = ["KNOWN-RED.txt"];
 
-/// A page with its text.
+/// A documentation page.
 struct Page {
-    /// From the root of the repository.
+    /// Path relative to the root of the repository.
     path: PathBuf,
     text: String,
 }
 
-/// The root of the repository.
+/// Returns the root of the repository.
 fn root() -> PathBuf {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let root = package.ancestors().nth(2).expect("crates/edge-node");
+    let root = package
+        .ancestors()
+        .nth(2)
+        .expect("package directory is crates/edge-node");
     root.to_owned()
 }
 
-fn entries(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("a folder");
+/// Returns the paths of the entries of a directory, sorted.
+fn entries(directory: &Path) -> Vec<PathBuf> {
+    let entries = fs::read_dir(directory).expect("directory is readable");
     let mut paths: Vec<PathBuf> = entries
-        .map(|entry| entry.expect("an entry").path())
+        .map(|entry| entry.expect("directory entry").path())
         .collect();
     paths.sort();
     paths
 }
 
-/// The files below a folder whose names end in this extension.
-fn files_below(folder: &Path, extension: &str) -> Vec<PathBuf> {
-    let files = entries(folder).into_iter().flat_map(|path| {
+/// Returns the files with this extension in a directory and its subdirectories.
+fn files_below(directory: &Path, extension: &str) -> Vec<PathBuf> {
+    let files = entries(directory).into_iter().flat_map(|path| {
         if path.is_dir() {
             files_below(&path, extension)
         } else {
@@ -48,39 +53,43 @@
         }
     });
     files
-        .filter(|path| path.extension().is_some_and(|found| found == extension))
+        .filter(|path| path.extension().is_some_and(|actual| actual == extension))
         .collect()
 }
 
+/// Reads all documentation pages.
 fn pages() -> Vec<Page> {
     let root = root();
     let mut paths = vec![root.join("README.md"), root.join("CONTRIBUTING.md")];
     paths.extend(files_below(&root.join("docs"), "md"));
     let page = |path: PathBuf| Page {
-        text: fs::read_to_string(&path).expect("a page"),
-        path: path.strip_prefix(&root).expect("below the root").to_owned(),
+        text: fs::read_to_string(&path).expect("page is readable"),
+        path: path
+            .strip_prefix(&root)
+            .expect("path below the root")
+            .to_owned(),
     };
     paths.into_iter().map(page).collect()
 }
 
-/// The lines of a page outside code blocks.
+/// Iterates over the lines of a page outside code blocks.
 fn prose_lines(text: &str) -> impl Iterator<Item = &str> {
-    let mut is_in_block = false;
+    let mut is_in_code_block = false;
     text.lines().filter(move |line| {
         let is_fence = line.trim_start().starts_with("```");
-        is_in_block ^= is_fence;
-        !is_in_block && !is_fence
+        is_in_code_block ^= is_fence;
+        !is_in_code_block && !is_fence
     })
 }
 
-/// The texts in code font, each on one line.
+/// Returns the contents of the code spans of a page. A span is on one line.
 fn code_spans(text: &str) -> Vec<&str> {
     prose_lines(text)
         .flat_map(|line| line.split('`').skip(1).step_by(2))
         .collect()
 }
 
-/// The words in code font, also those of commands.
+/// Iterates over the words of all code spans, without surrounding punctuation.
 fn code_words(text: &str) -> impl Iterator<Item = &str> {
     code_spans(text)
         .into_iter()
@@ -88,39 +97,42 @@
         .map(|word| word.trim_matches(|character| "(),;:\"'{}".contains(character)))
 }
 
-/// Whether a word in code font names a file or folder of the repository.
+/// Returns whether a word of a code span names a file or directory of the repository.
 fn is_repository_path(word: &str) -> bool {
-    let names_file = FILE_EXTENSIONS
+    let is_file_name = FILE_EXTENSIONS
         .iter()
         .any(|extension| word.ends_with(extension) && word != *extension);
-    (names_file || word.contains('/'))
+    (is_file_name || word.contains('/'))
         && !OUTSIDE_PREFIXES
             .iter()
             .any(|prefix| word.starts_with(prefix))
         && !OPTIONAL_FILES.contains(&word)
 }
 
-/// The folders that paths may start from: the root, and the folder `src` of each package.
+/// Returns the directories that paths may be relative to: the root, and the directory `src` of each
+/// package.
 fn path_bases() -> Vec<PathBuf> {
     let root = root();
-    let sources = entries(&root.join("crates"))
+    let source_directories = entries(&root.join("crates"))
         .into_iter()
         .map(|package| package.join("src"));
-    sources.chain([root.clone()]).collect()
+    source_directories.chain([root.clone()]).collect()
 }
 
-/// Whether a path exists below one of these folders. Of a pattern this is asked of the folder
-/// before the first `*`.
+/// Returns whether a path exists relative to one of `bases`. For a pattern, only the directories
+/// before the first `*` are checked.
 fn path_exists(bases: &[PathBuf], path: &str) -> bool {
-    let fixed = match path.split_once('*') {
-        Some((before, _)) => before.rsplit_once('/').map_or("", |(folder, _)| folder),
+    let literal_part = match path.split_once('*') {
+        Some((before, _)) => before
+            .rsplit_once('/')
+            .map_or("", |(directory, _)| directory),
         None => path,
     };
-    bases.iter().any(|base| base.join(fixed).exists())
+    bases.iter().any(|base| base.join(literal_part).exists())
 }
 
 #[test]
-fn every_path_exists() {
+fn every_path_on_the_pages_exists() {
     let bases = path_bases();
     let mut missing = Vec::new();
     let mut checked = 0;
@@ -132,15 +144,15 @@
             }
         }
     }
-    assert!(checked > 50, "only {checked} paths were found");
+    assert!(checked > 50, "found only {checked} paths");
     assert!(missing.is_empty(), "{missing:#?}");
 }
 
-/// The identifiers in the code of all packages, without those in comments.
+/// Returns the words in the code of all packages, except on comment lines.
 fn identifiers() -> BTreeSet<String> {
     let mut identifiers = BTreeSet::new();
-    for file in files_below(&root().join("crates"), "rs") {
-        let text = fs::read_to_string(file).expect("code");
+    for path in files_below(&root().join("crates"), "rs") {
+        let text = fs::read_to_string(path).expect("source file is readable");
         for line in text
             .lines()
             .filter(|line| !line.trim_start().starts_with("//"))
@@ -156,7 +168,8 @@
     character.is_ascii_alphanumeric() || character == '_'
 }
 
-/// The identifiers of which a path to an item consists: `a::B::c(..)` or `A::b.c`.
+/// Returns the identifiers in a path to an item, such as `a::B::c(..)` or `A::b.c`; empty if `word`
+/// is not such a path.
 fn item_segments(word: &str) -> Vec<&str> {
     if !word.contains("::") {
         return Vec::new();
@@ -167,15 +180,15 @@
         .collect()
 }
 
-/// Each part of a path to an item is in the code.
+/// Checks that each identifier in a path to an item occurs in the code.
 #[test]
-fn every_item_exists() {
+fn every_item_on_the_pages_exists() {
     let identifiers = identifiers();
     let mut missing = Vec::new();
     for page in pages() {
         for word in code_words(&page.text) {
-            let unknown = |segment: &&str| !identifiers.contains(*segment);
-            if item_segments(word).iter().any(unknown) {
+            let is_unknown = |segment: &&str| !identifiers.contains(*segment);
+            if item_segments(word).iter().any(is_unknown) {
                 missing.push(format!("{}: {word}", page.path.display()));
             }
         }
@@ -183,7 +196,7 @@
     assert!(missing.is_empty(), "{missing:#?}");
 }
 
-/// The targets of the links on a page.
+/// Iterates over the targets of the links on a page.
 fn link_targets(text: &str) -> impl Iterator<Item = &str> {
     prose_lines(text).flat_map(|line| {
         line.split("](")
@@ -192,16 +205,17 @@
     })
 }
 
-/// The anchor of a heading, as the usual hosts of repositories make it.
+/// Returns the anchor that common repository hosts generate for a heading.
 fn anchor(heading: &str) -> String {
-    let kept = heading
+    let filtered = heading
         .to_lowercase()
         .chars()
         .filter(|character| character.is_alphanumeric() || " -_".contains(*character))
         .collect::<String>();
-    kept.replace(' ', "-")
+    filtered.replace(' ', "-")
 }
 
+/// Returns the anchors of all headings of a page.
 fn anchors(text: &str) -> BTreeSet<String> {
     prose_lines(text)
         .filter(|line| line.starts_with('#'))
@@ -209,17 +223,17 @@
         .collect()
 }
 
-/// Whether the target of a link on a page exists: a file or folder, and its heading if it names
-/// one.
+/// Returns whether the target of a link on a page exists: the file or directory, and the heading if
+/// the target names one.
 fn link_resolves(page: &Page, target: &str) -> bool {
-    let (file, heading) = match target.split_once('#') {
-        Some((file, heading)) => (file, Some(heading)),
+    let (file_path, heading) = match target.split_once('#') {
+        Some((file_path, heading)) => (file_path, Some(heading)),
         None => (target, None),
     };
-    let path = if file.is_empty() {
+    let path = if file_path.is_empty() {
         root().join(&page.path)
     } else {
-        root().join(&page.path).with_file_name("").join(file)
+        root().join(&page.path).with_file_name("").join(file_path)
     };
     match heading {
         Some(heading) => {
@@ -230,7 +244,7 @@
 }
 
 #[test]
-fn every_link_resolves() {
+fn every_link_on_the_pages_resolves() {
     let mut checked = 0;
     for page in pages() {
         for target in link_targets(&page.text).filter(|target| !target.starts_with("http")) {
@@ -242,12 +256,13 @@
             );
         }
     }
-    assert!(checked > 10, "only {checked} links were found");
+    assert!(checked > 10, "found only {checked} links");
 }
 
-/// The checks themselves: what they take for a path, and that they find what is missing.
+/// Tests the helpers of this file: which words count as paths, and that missing paths and headings
+/// are detected.
 #[test]
-fn what_is_missing_is_found() {
+fn helpers_recognize_paths_and_detect_missing_targets() {
     for word in [
         "policy/quota.rs",
         "crates/",
--- a/crates/edge-node/tests/library/rate_limiter.rs
+++ b/crates/edge-node/tests/library/rate_limiter.rs
@@ -1,10 +1,10 @@
-//! The rate limiter of the log.
+//! The rate limiter of the log lines.
 
 use edge_node::log::rate_limiter::{Decision, RateLimiter};
 use std::time::{Duration, Instant};
 
 #[test]
-fn the_rate_limiter_passes_a_limited_number_of_each_kind_in_each_window() {
+fn passes_limited_number_per_kind_and_window_and_reports_suppressed_events() {
     const PASS: Decision = Decision::Pass {
         suppressed_before: 0,
     };
@@ -31,13 +31,13 @@
     assert_eq!(
         limiter.check("a", start + window),
         after_suppression,
-        "the count is reported once"
+        "first event of the next window reports the suppressed events"
     );
     assert_eq!(limiter.check("a", start + window), PASS);
     assert_eq!(
         limiter.check("a", start),
         PASS,
-        "a clock that goes back does not matter"
+        "an earlier time counts as within the window"
     );
     assert_eq!(limiter.check("a", start + window), SUPPRESS);
 }
--- a/crates/edge-node/tests/log.rs
+++ b/crates/edge-node/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log: its events and formats, and that it never holds up the edge node.
+//! The log: its events and formats, and that it never blocks or ends the edge node.
 
 mod support;
 
@@ -10,35 +10,36 @@
 use std::time::Duration;
 use support::*;
 
-/// The example under this discovery, with these keys of the log.
-fn config(discovery: &FakeDiscovery, log: &str) -> String {
+/// Returns the example configuration with this discovery and these keys in the table `log`.
+fn config(discovery: &FakeDiscovery, log_keys: &str) -> String {
     runnable_example_config(discovery.address).replacen(
         "[limits]",
-        &format!("[log]\n{log}\n[limits]"),
+        &format!("[log]\n{log_keys}\n[limits]"),
         1,
     )
 }
 
-/// A request of the example's classes and plans.
-fn read(id: &str) -> String {
+/// Returns a request with this id for a class and a plan of the example configuration.
+fn read_request(id: &str) -> String {
     example_read_request(id, "4000m")
 }
 
-/// An event of a log in JSON.
+/// An event in the JSON format of the log.
 struct LogEvent {
+    /// Value of the field `event`.
     name: String,
     fields: Value,
 }
 
 impl LogEvent {
-    /// Parses a line, which has to have the fields that every event has.
+    /// Parses a line; panics unless it has the fields that every event has.
     fn parse(line: &str) -> LogEvent {
         let fields: Value =
-            serde_json::from_str(line).unwrap_or_else(|_| panic!("no JSON: {line}"));
+            serde_json::from_str(line).unwrap_or_else(|_| panic!("line is not JSON: {line}"));
         let text = |name: &str| {
             fields[name]
                 .as_str()
-                .unwrap_or_else(|| panic!("no {name}: {line}"))
+                .unwrap_or_else(|| panic!("no string field {name}: {line}"))
         };
         assert!(
             ["INFO", "WARN", "ERROR", "DEBUG"].contains(&text("level")),
@@ -55,25 +56,28 @@
     }
 }
 
-/// A watch that has been open for longer counts as stable.
+/// Longer than the time after which the edge node treats an open watch as stable.
 const STABLE_WATCH_TIME: Duration = Duration::from_millis(1200);
 
 #[test]
-fn each_event_that_an_operator_acts_on_has_a_line_and_requests_have_none() {
+fn info_level_logs_operator_events_but_no_requests() {
     let servers = FakeServers::new();
     let hosts = [servers.start_returning_entry("s-1", &[RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let mut node = EdgeNode::start_with_toml("life", &config(&discovery, ""));
     node.wait_for_log("endpoint list 1 applied: snapshot, 1 entries");
     node.wait_for_log("ready: endpoint list received from discovery");
-    assert_eq!(node.client().exchange(&read("quiet-1")).status(), 200);
-    // A slow machine may have made the edge node give up its first watch, and log that. Only the
-    // loss of a watch that has been open for a second is logged again.
+    assert_eq!(
+        node.client().exchange(&read_request("quiet-1")).status(),
+        200
+    );
+    // On a slow machine the edge node may already have lost its first watch and logged that. It
+    // logs another loss only after a watch has been open for a second.
     std::thread::sleep(STABLE_WATCH_TIME);
     let (_, open_watch) = discovery.latest_watch();
     open_watch
         .shutdown(std::net::Shutdown::Both)
-        .expect("it is open");
+        .expect("connection is open");
     assert!(node.wait_for_log("discovery: ").contains("WARN"));
     discovery.next_watch();
     node.wait_for_log("discovery: watch restored");
@@ -85,11 +89,11 @@
         "{rejection_line}"
     );
     node.reload(|text| text.replacen("attempts = 0", "attempts = 5", 1));
-    let address = format!(
+    let reload_message = format!(
         "configuration reloaded: log level info, discovery at {}",
         discovery.address
     );
-    node.wait_for_log(&address);
+    node.wait_for_log(&reload_message);
     node.terminate();
     node.wait_for_log("shutting down on SIGTERM: 0 requests open");
     node.wait_for_log("shutdown complete: every client has its answer");
@@ -101,21 +105,27 @@
 }
 
 #[test]
-fn a_request_can_be_followed_by_its_id_once_the_level_is_debug() {
+fn debug_level_logs_each_step_of_a_request_with_its_id() {
     let servers = FakeServers::new();
     let hosts = [servers.start_returning_entry("s-1", &[RESPONDS_OVERLOADED, RESPONDS_OK])];
     let discovery = FakeDiscovery::start(&hosts);
     let mut node = EdgeNode::start_with_toml("debug", &config(&discovery, "format = \"json\""));
-    assert_eq!(node.client().exchange(&read("unseen")).status(), 200);
+    assert_eq!(
+        node.client().exchange(&read_request("unseen")).status(),
+        200
+    );
     node.reload(|text| text.replacen("[log]", "[log]\nlevel = \"debug\"", 1));
     let reload_line = node.wait_for_log("reloaded");
-    assert_eq!(node.client().exchange(&read("seen")).status(), 200);
+    assert_eq!(node.client().exchange(&read_request("seen")).status(), 200);
     node.reload(|text| text.replacen("\"debug\"", "\"warn\"", 1));
-    // At this level no line shows that the reload is done; the watch that it opens does.
+    // At this level the reload is not logged. The watch that it opens shows that it is done.
     for _ in 0..3 {
         drop(discovery.next_watch());
     }
-    assert_eq!(node.client().exchange(&read("hidden")).status(), 200);
+    assert_eq!(
+        node.client().exchange(&read_request("hidden")).status(),
+        200
+    );
     node.terminate();
     assert!(node.wait().success());
     let events: Vec<LogEvent> = node
@@ -123,12 +133,12 @@
         .iter()
         .map(|line| LogEvent::parse(line))
         .collect();
-    let of = |id: &str| -> Vec<&str> {
-        let of_request = events.iter().filter(|event| event.fields["id"] == id);
-        of_request.map(|event| event.name.as_str()).collect()
+    let event_names = |id: &str| -> Vec<&str> {
+        let request_events = events.iter().filter(|event| event.fields["id"] == id);
+        request_events.map(|event| event.name.as_str()).collect()
     };
     assert_eq!(
-        of("seen"),
+        event_names("seen"),
         [
             "request_received",
             "attempt_started",
@@ -136,19 +146,22 @@
             "request_answered"
         ]
     );
-    assert_eq!((of("unseen").len(), of("hidden").len()), (0, 0));
+    assert_eq!(
+        (event_names("unseen").len(), event_names("hidden").len()),
+        (0, 0)
+    );
     assert!(
         !events.iter().any(|event| event.name == "shutdown_complete"),
-        "that is not of level warn"
+        "a graceful shutdown is logged at level info"
     );
     let reloaded = LogEvent::parse(&reload_line);
     assert_eq!(reloaded.name, "config_reloaded");
     assert_eq!(reloaded.fields["level"], "INFO");
 }
 
-/// Text from outside cannot forge a line of the log.
+/// Text from outside must not be able to forge a line of the log.
 #[test]
-fn a_line_stays_one_line() {
+fn control_characters_in_messages_are_escaped() {
     let discovery = FakeDiscovery::start(&[]);
     let path = write_config_file("forged.toml", &config(&discovery, ""));
     let mut child = edge_node_command(&["serve", "--config"])
@@ -156,53 +169,53 @@
         .env("LB_NAME", "a\nb\x1b[31m")
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
-    let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
-    let first = lines.next().expect("a line").expect("it is read");
-    child.kill().expect("it runs");
-    child.wait().expect("it ends");
+        .expect("edge node starts");
+    let mut lines = BufReader::new(child.stderr.take().expect("standard error is piped")).lines();
+    let first_line = lines.next().expect("log line").expect("log is readable");
+    child.kill().expect("edge node is running");
+    child.wait().expect("edge node exits");
     let _ = std::fs::remove_file(&path);
     assert!(
-        first.contains(r"a\nb\u{1b}[31m: listening on 127.0.0.1:"),
-        "{first}"
+        first_line.contains(r"a\nb\u{1b}[31m: listening on 127.0.0.1:"),
+        "{first_line}"
     );
 }
 
-/// The reader of the log may end; the edge node goes on.
+/// The process that reads the log may exit, which closes the pipe on standard error.
 #[test]
-fn the_log_needs_no_reader() {
+fn edge_node_keeps_running_after_log_reader_exits() {
     let discovery = FakeDiscovery::start(&[]);
     let path = write_config_file("unread.toml", &config(&discovery, ""));
     let mut child = edge_node_command(&["serve", "--config"])
         .arg(&path)
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("edge node starts");
     drop(child.stderr.take());
     for _ in 0..3 {
         let (_, watch) = discovery.next_watch();
-        // A watch that ends makes a line, and so does the signal; each opens the next watch.
+        // The end of a watch is logged, and so is the reload; each causes a new watch.
         drop(watch);
         let (_, watch) = discovery.next_watch();
         let hangup = std::process::Command::new("kill")
             .args(["-HUP", &child.id().to_string()])
             .status();
-        assert!(hangup.expect("kill runs").success());
+        assert!(hangup.expect("kill command runs").success());
         drop(watch);
     }
     assert!(
-        child.try_wait().expect("its state is known").is_none(),
-        "it has ended"
+        child.try_wait().expect("process status").is_none(),
+        "the edge node has exited"
     );
-    child.kill().expect("it runs");
-    child.wait().expect("it ends");
+    child.kill().expect("edge node is running");
+    child.wait().expect("edge node exits");
     let _ = std::fs::remove_file(&path);
 }
 
-/// All files below a directory, also those in directories of it.
+/// Returns all files in a directory and its subdirectories.
 fn source_files(directory: &Path) -> Vec<PathBuf> {
-    let entries = std::fs::read_dir(directory).expect("the code");
-    let paths = entries.map(|entry| entry.expect("an entry").path());
+    let entries = std::fs::read_dir(directory).expect("directory is readable");
+    let paths = entries.map(|entry| entry.expect("directory entry").path());
     paths
         .flat_map(|path| {
             if path.is_dir() {
@@ -214,11 +227,11 @@
         .collect()
 }
 
-/// The names of all log events in the program.
+/// Returns the names of all log events in the source code.
 fn events_in_code() -> BTreeSet<String> {
     let mut in_code = BTreeSet::new();
-    for file in source_files("src".as_ref()) {
-        let text = std::fs::read_to_string(file).expect("it is text");
+    for path in source_files("src".as_ref()) {
+        let text = std::fs::read_to_string(path).expect("source file is UTF-8");
         let names = text
             .split("event = \"")
             .skip(1)
@@ -228,52 +241,55 @@
     in_code
 }
 
-/// Each event in the code stands on the page, and the other way round.
+/// Checks that `docs/OPERATING.md` documents each event in the code, and no other.
 #[test]
-fn the_page_documents_every_event() {
+fn operating_page_documents_every_event() {
     let in_code = events_in_code();
-    let page = std::fs::read_to_string("../../docs/OPERATING.md").expect("the page");
+    let page =
+        std::fs::read_to_string("../../docs/OPERATING.md").expect("docs/OPERATING.md is readable");
     let page = page
         .split("\n## ")
-        .find(|part| part.starts_with("The log"))
-        .expect("its part on the log");
+        .find(|section| section.starts_with("The log"))
+        .expect("section \"The log\"");
     let rows = page
         .lines()
         .filter_map(|line| line.strip_prefix("| `")?.split('`').next());
     let documented = rows.filter(|name| *name != "event").map(str::to_owned);
-    let at_debug = page
+    let debug_text = page
         .split("followed by its id:")
         .nth(1)
         .and_then(|rest| rest.split(", each").next());
-    let words = at_debug
-        .expect("events at debug")
+    let debug_events = debug_text
+        .expect("list of events at debug level")
         .split('`')
         .skip(1)
         .step_by(2)
         .map(str::to_owned);
-    let documented: BTreeSet<_> = documented.chain(words).collect();
+    let documented: BTreeSet<_> = documented.chain(debug_events).collect();
     assert!(in_code.len() > 10);
     assert_eq!(in_code, documented);
 }
 
-/// Of each event that the page says was renamed, the code has the new name and not the old one.
+/// Checks that the code has the new name, and not the old name, of each event that
+/// `docs/OPERATING.md` lists as renamed.
 #[test]
-fn the_page_documents_the_earlier_name_of_each_renamed_event() {
+fn renamed_events_have_their_new_names_in_code() {
     let in_code = events_in_code();
-    let page = std::fs::read_to_string("../../docs/OPERATING.md").expect("the page");
+    let page =
+        std::fs::read_to_string("../../docs/OPERATING.md").expect("docs/OPERATING.md is readable");
     let page = page
         .split("\n## ")
-        .find(|part| part.starts_with("Renamed log events"))
-        .expect("its part");
+        .find(|section| section.starts_with("Renamed log events"))
+        .expect("section \"Renamed log events\"");
     let rows = page
         .lines()
         .filter_map(|line| line.strip_prefix("| `")?.strip_suffix("` |"));
     let renamed: Vec<_> = rows
-        .map(|row| row.split_once("` | `").expect("two names"))
+        .map(|row| row.split_once("` | `").expect("old and new name"))
         .collect();
     assert_eq!(renamed.len(), 16);
-    for (before, now) in renamed {
-        assert!(!in_code.contains(before), "{before} is still logged");
-        assert!(in_code.contains(now), "{now} is not logged");
+    for (old_name, new_name) in renamed {
+        assert!(!in_code.contains(old_name), "{old_name} is still logged");
+        assert!(in_code.contains(new_name), "{new_name} is not logged");
     }
 }
--- a/crates/edge-node/tests/unit/metrics.rs
+++ b/crates/edge-node/tests/unit/metrics.rs
@@ -1,8 +1,8 @@
-//! Outcomes and the counters that stand for them.
+//! Outcomes, their labels and their counters.
 
 use super::*;
 
-/// Label values are part of what dashboards read.
+/// Operators' dashboards read these label values.
 #[test]
 fn each_outcome_has_its_own_label() {
     let requests = RequestOutcome::ALL.map(RequestOutcome::label);
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn an_outcome_increments_its_counter_alone() {
+fn increment_changes_only_the_counter_of_the_outcome() {
     let counters: [Counter; 4] = Default::default();
     increment(&counters, &RequestOutcome::ALL, RequestOutcome::Failed);
     assert_eq!(counters.map(|counter| counter.get()), [0, 0, 1, 0]);
 }
 
 #[test]
-fn a_counter_follows_a_total_and_never_falls() {
+fn raise_to_never_lowers_the_counter() {
     let counter = Counter::default();
     raise_to(&counter, 5);
     raise_to(&counter, 3);
