--- a/crates/edge-node/src/startup/resource_limits.rs
+++ b/crates/edge-node/src/startup/resource_limits.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Creates the pool of connections to servers, which is empty, under these limits.
+    /// Creates an empty pool of connections to servers under these limits.
     pub(super) fn upstream(&self, settings: &ResolvedSettings) -> Upstream {
         Upstream::new(
             BodyBudget::new(self.large_body_bytes),
