--- a/crates/fleet-lab/src/lib.rs
+++ b/crates/fleet-lab/src/lib.rs
@@ -1,4 +1,5 @@
-//! Experiments on the gateway: one module for each subcommand of `fleet-lab`, and the simulated world that they use.
+//! Experiments on the gateway: one module for each subcommand of `fleet-lab`, and [`world`], the
+//! model of the gateways' environment that `simulate` and `hybrid` use.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
 
@@ -8,12 +9,12 @@
 pub mod time;
 pub mod world;
 
-/// Why an experiment did not succeed.
+/// The reason why an experiment did not succeed.
 #[derive(Debug)]
 pub enum Failure {
-    /// The arguments, or the experiment that they describe, are invalid: one line.
+    /// The arguments, or the experiment that they describe, are invalid. The message is one line.
     InvalidArguments(String),
-    /// The experiment failed, or an invariant was violated.
+    /// The experiment could not be completed, or an invariant was violated.
     Failed(anyhow::Error),
 }
 
--- a/crates/fleet-lab/src/main.rs
+++ b/crates/fleet-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the lab. Exit status 2 says that the arguments or the experiment are invalid.
+//! Command line of the lab. Exit status 2 means that the arguments or the experiment are invalid.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -10,7 +10,8 @@
 /// Exit status for invalid arguments.
 const INVALID_ARGUMENTS_STATUS: u8 = 2;
 
-/// Counts allocations for `fleet-lab scaling`, which costs a few atomic additions for each.
+/// Counts allocations for `fleet-lab scaling`, at the cost of a few atomic additions per
+/// allocation.
 #[global_allocator]
 static COUNTING_ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
@@ -24,9 +25,10 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Measures what a request, a changed entry and a list cost as servers, customers and gateways grow.
+    /// Measures the cost of a request, a changed endpoint and an endpoint list as servers,
+    /// customers and gateways grow.
     Scaling(scaling::Args),
-    /// Simulates a fleet of hollow nodes in simulated time.
+    /// Runs a fleet of hollow nodes in simulated time.
     Simulate(simulate::Args),
     /// Runs real processes on loopback together with hollow nodes.
     Hybrid(hybrid::Args),
@@ -36,7 +38,7 @@
     let command_line = match CommandLine::try_parse() {
         Ok(command_line) => command_line,
         Err(error) if error.use_stderr() => {
-            // The first line says what is wrong; the rest is advice.
+            // The first line states the error; the other lines are usage hints.
             let message = error.to_string();
             let first_line = message.lines().next().unwrap_or_default();
             eprintln!("fleet-lab: {}", first_line.trim_start_matches("error: "));
--- a/crates/fleet-lab/src/simulate/engine/attempts.rs
+++ b/crates/fleet-lab/src/simulate/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: from a gateway to a server, and how they end.
+//! Attempts: their way from a gateway to a server, and their results.
 
 use super::queue::{AttemptKey, AttemptResult, SimulationEvent};
 use super::Engine;
@@ -14,9 +14,9 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Delay one way between a gateway and a server in the same zone.
+/// One-way delay between a gateway and a server in the same zone.
 const SAME_ZONE_DELAY: Range<Duration> = Duration::from_micros(200)..Duration::from_micros(500);
-/// Delay one way between a gateway and a server in another zone.
+/// One-way delay between a gateway and a server in another zone.
 const CROSS_ZONE_DELAY: Range<Duration> =
     Duration::from_micros(1_400)..Duration::from_micros(2_600);
 
@@ -25,7 +25,7 @@
         self.gateway(gateway).zone == self.servers[server].endpoint.zone
     }
 
-    /// Draws the delay one way between a gateway and a server.
+    /// Draws the one-way delay between a gateway and a server.
     pub(super) fn draw_server_delay(&mut self, gateway: GatewayId, server: usize) -> Duration {
         let is_same_zone = self.is_same_zone(gateway, server);
         let range = if is_same_zone {
@@ -45,7 +45,8 @@
         )
     }
 
-    /// Sends an attempt of an open request to a server. What the invariant checker does not permit is not carried out.
+    /// Sends an attempt of an open request to a server. An attempt that the invariant checker does
+    /// not permit is not carried out.
     pub(super) fn send_attempt(
         &mut self,
         gateway: GatewayId,
@@ -76,7 +77,8 @@
         self.transmit_attempt(server, job);
     }
 
-    /// Lets an attempt arrive at its server, or end when its gateway can't connect because of a partition.
+    /// Schedules the arrival of an attempt at its server, or its failure if a partition keeps its
+    /// gateway from connecting.
     fn transmit_attempt(&mut self, server: usize, job: Job) {
         if self.is_partitioned(job.gateway, server) {
             let at = self.now + self.experiment.resolved.connect_timeout;
@@ -90,7 +92,8 @@
         );
     }
 
-    /// The index of a server. One that the gateway does not know is a violation.
+    /// Returns the index of a server that the gateway knows. An attempt to any other server is
+    /// reported as a violation.
     fn known_server_index(&mut self, gateway: GatewayId, id: ServerId) -> Option<usize> {
         let index = self.server_indices.get(&id).copied();
         if index.is_some() && self.discovery.knows_server(gateway, id) {
@@ -100,7 +103,7 @@
         None
     }
 
-    /// Reports an attempt to the invariant checker; returns whether it may be carried out.
+    /// Reports an attempt to the invariant checker. Returns whether it may be carried out.
     fn check_sent_attempt(
         &mut self,
         gateway: GatewayId,
@@ -128,7 +131,7 @@
         self.schedule(at, SimulationEvent::AttemptFinished { attempt, result });
     }
 
-    /// Calls a server at the current time, and handles what that causes.
+    /// Calls a server with the current time, and handles the events that the call produces.
     pub(super) fn with_server(
         &mut self,
         server: usize,
@@ -177,8 +180,8 @@
         }
     }
 
-    /// Lets the result of an attempt arrive at its gateway. A gateway behind a partition waits until the attempt times
-    /// out.
+    /// Schedules the arrival of an attempt's result at its gateway. If a partition separates them,
+    /// the gateway gets no result until the attempt times out.
     fn transmit_result(&mut self, server: usize, job: &Job, result: AttemptResult) {
         if self.is_partitioned(job.gateway, server) {
             return;
@@ -189,7 +192,7 @@
         self.schedule(self.now + delay, event);
     }
 
-    /// Ends an attempt, unless it has already ended.
+    /// Ends an attempt and tells its gateway the outcome, unless the attempt has already ended.
     pub(super) fn finish_attempt(&mut self, attempt: AttemptKey, result: AttemptResult) {
         let AttemptKey { request, number } = attempt;
         let AttemptResult {
--- a/crates/fleet-lab/src/simulate/engine/faults.rs
+++ b/crates/fleet-lab/src/simulate/engine/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection: what is done to servers and gateways.
+//! Fault injection: carries out the scheduled changes to servers and gateways.
 
 use super::Engine;
 use crate::simulate::fault_schedule::FaultAction;
@@ -9,14 +9,14 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Time for which requests still go to a gateway that is down.
+/// Time for which the front end still sends requests to a gateway that is down.
 const DOWN_UNNOTICED: Range<Duration> = Duration::from_millis(850)..Duration::from_millis(3_200);
 
 impl Engine<'_> {
     /// Carries out one action of the fault schedule.
     ///
     /// # Errors
-    /// Settings that a restarted gateway refuses.
+    /// [`Failure::InvalidArguments`] if a restarted gateway rejects its settings.
     pub(super) fn inject(&mut self, action: FaultAction) -> Result<(), Failure> {
         match action {
             FaultAction::HangServer { server, until } => {
--- a/crates/fleet-lab/src/simulate/engine/gateways.rs
+++ b/crates/fleet-lab/src/simulate/engine/gateways.rs
@@ -1,4 +1,5 @@
-//! The gateways: their starts, the events that they handle, their actions and messages, and their lists of servers.
+//! Gateways: their starts, the events that they handle, their actions and messages, and their
+//! endpoint lists.
 
 use super::queue::{AttemptKey, AttemptResult, GatewayRun, SimulationEvent};
 use super::Engine;
@@ -20,7 +21,7 @@
 const DISCOVERY_CALL_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Engine<'_> {
-    /// Starts a gateway with the list of servers that it last had.
+    /// Starts a gateway with the endpoint list that it last received.
     pub(super) fn start_gateway(&mut self, id: GatewayId) -> Result<(), Failure> {
         let zone = self.gateway(id).zone;
         let settings = Settings {
@@ -40,7 +41,8 @@
         Ok(())
     }
 
-    /// Gives a gateway an event, and carries out the resulting actions. No action causes another event immediately.
+    /// Delivers an event to a gateway that is up, and carries out the resulting actions. No action
+    /// causes another event immediately, so this does not recurse.
     pub(super) fn deliver_event(&mut self, id: GatewayId, event: Event) {
         let mut actions = std::mem::take(&mut self.action_buffer);
         if let Some(module) = &mut self.gateways[id.0 as usize].module {
@@ -147,28 +149,28 @@
         }
     }
 
-    /// A message arrives at a gateway, which may drop it.
+    /// Delivers a message that arrives at a gateway, unless the gateway is down or drops it.
     pub(super) fn on_datagram(&mut self, from: GatewayId, to: GatewayId, bytes: Vec<u8>) {
         if self.gateway(to).is_up() && self.datagrams.accept(self.now, to, bytes.len()) {
             self.deliver_event(to, Event::PeerMessage { from, bytes });
         }
     }
 
-    /// A timer fires, unless its gateway was killed meanwhile.
+    /// Delivers a timer event, unless the gateway was killed after it set the timer.
     pub(super) fn on_timer(&mut self, run: GatewayRun, token: u64) {
         if self.is_current_run(run) {
             self.deliver_event(run.gateway, Event::TimerFired { token });
         }
     }
 
-    /// A gateway's call to discovery fails, unless the gateway was killed meanwhile.
+    /// Reports the failure of a call to discovery, unless the gateway was killed after the call.
     pub(super) fn on_discovery_failure(&mut self, run: GatewayRun) {
         if self.is_current_run(run) {
             self.deliver_event(run.gateway, Event::WatchFailed);
         }
     }
 
-    /// Brings a gateway's list of servers up to date, as far as discovery can be reached.
+    /// Brings a gateway's endpoint list up to date, if discovery can be reached.
     pub(super) fn poll_discovery(&mut self, id: GatewayId, kind: PollKind) {
         let gateway = self.gateway(id);
         if !gateway.is_up() {
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Schedules a poll of a gateway after a delay that is drawn.
+    /// Schedules a poll of discovery by a gateway after a random delay.
     fn schedule_poll(&mut self, gateway: GatewayId) {
         let delay = self.discovery.draw_delay();
         self.schedule(
@@ -208,7 +210,8 @@
         );
     }
 
-    /// Changes the list of servers, which every gateway receives after a delay of its own.
+    /// Publishes the new state of an endpoint, which each gateway receives after a delay of its
+    /// own.
     pub(super) fn publish(&mut self, endpoint: Endpoint) {
         self.discovery.publish(endpoint);
         for gateway in self.gateway_ids() {
--- a/crates/fleet-lab/src/simulate/engine/mod.rs
+++ b/crates/fleet-lab/src/simulate/engine/mod.rs
@@ -1,4 +1,5 @@
-//! Runs an experiment: one queue of events in simulated time, between the world and the hollow nodes.
+//! Simulation engine: one queue of events in simulated time, which connects the world with the
+//! hollow nodes.
 
 mod attempts;
 mod decision_module;
@@ -28,14 +29,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Simulated time between two calls that show the progress.
+/// Simulated time between two calls of the progress callback.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The result of a simulation.
 pub struct SimulationResult {
-    /// What follows from the seed.
+    /// Results that depend only on the experiment and its seed.
     pub report: Report,
-    /// Time inside [`DecisionModule::handle`] on the host's clock.
+    /// Time inside [`DecisionModule::handle`], measured on the host's clock.
     pub decision_time: Duration,
 }
 
@@ -44,7 +45,7 @@
     experiment: &'a Experiment,
     now: Timestamp,
     queue: EventQueue,
-    /// By number.
+    /// Gateways by number.
     gateways: Vec<SimulatedGateway>,
     servers: Vec<Server>,
     server_indices: BTreeMap<ServerId, usize>,
@@ -54,20 +55,21 @@
     checker: InvariantChecker,
     open_requests: BTreeMap<RequestNumber, OpenRequest>,
     rng: Rng,
-    /// Reused for the actions of one event.
+    /// Reused buffer for the actions of one event.
     action_buffer: Vec<Action>,
-    /// Reused for what one call of a server causes.
+    /// Reused buffer for the events of one call of a server.
     server_event_buffer: Vec<ServerEvent>,
     decision_time: Duration,
     new_module: &'a mut ModuleFactory<'a>,
     log: &'a mut dyn FnMut(&str),
 }
 
-/// Simulates an experiment to the end of its last request. `new_module` makes the decision library of a gateway,
-/// `progress` is called with the simulated time about once a simulated second, and `log` with what gateways log.
+/// Simulates an experiment until its last request has ended. `new_module` creates the decision
+/// module of a gateway, `progress` is called with the simulated time about once per simulated
+/// second, and `log` receives the log lines of the gateways.
 ///
 /// # Errors
-/// Settings that a gateway refuses.
+/// [`Failure::InvalidArguments`] if a gateway rejects its settings.
 pub fn simulate(
     experiment: &Experiment,
     mut new_module: impl FnMut(u64, Settings, Timestamp) -> ModuleResult,
@@ -93,7 +95,7 @@
 }
 
 impl Engine<'_> {
-    /// Handles all events, to the end of the last request.
+    /// Handles events until the clients have stopped and the last request has ended.
     fn run(&mut self, progress: &mut dyn FnMut(Timestamp)) -> Result<(), Failure> {
         let mut next_progress = START;
         let end = START + self.experiment.duration;
@@ -119,7 +121,7 @@
         &self.gateways[id.0 as usize]
     }
 
-    /// Whether a gateway has been neither killed nor restarted since.
+    /// Returns whether a gateway has been neither killed nor restarted since the start of `run`.
     fn is_current_run(&self, run: GatewayRun) -> bool {
         self.gateway(run.gateway).incarnation == run.incarnation
     }
--- a/crates/fleet-lab/src/simulate/engine/queue.rs
+++ b/crates/fleet-lab/src/simulate/engine/queue.rs
@@ -9,26 +9,26 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A gateway between a start and the next kill.
+/// One run of a gateway: the time between a start and the next kill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct GatewayRun {
-    /// The gateway.
+    /// Id of the gateway.
     pub(super) gateway: GatewayId,
-    /// Counts its starts and kills.
+    /// Number of starts and kills of the gateway up to this run.
     pub(super) incarnation: u32,
 }
 
-/// One attempt of a request.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptKey {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub(super) request: RequestNumber,
-    /// Which attempt of it.
+    /// Number of the attempt among those of the request.
     pub(super) number: AttemptNumber,
 }
 
 impl AttemptKey {
-    /// The attempt that is a server's job.
+    /// Returns the key of the attempt that a server's job belongs to.
     pub(super) fn of(job: &Job) -> AttemptKey {
         AttemptKey {
             request: job.request,
@@ -37,17 +37,17 @@
     }
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptResult {
-    /// How it ended.
+    /// Outcome of the attempt.
     pub(super) outcome: AttemptOutcome,
-    /// The load report, if the server answered.
+    /// Load report; `None` if the server did not answer.
     pub(super) reported_load: Option<f64>,
 }
 
 impl AttemptResult {
-    /// A result without a load report.
+    /// Creates a result without a load report.
     pub(super) fn without_report(outcome: AttemptOutcome) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -56,11 +56,11 @@
     }
 }
 
-/// What happens at a time. Servers are given by their index.
+/// An event of the simulation. Servers are identified by their index.
 pub(super) enum SimulationEvent {
     /// A customer's next request arrives.
     Arrival { customer: usize },
-    /// A client retries.
+    /// A client sends a retry.
     Retry(Box<ClientRequest>),
     /// A timer that a gateway has set fires.
     TimerFired { run: GatewayRun, token: u64 },
@@ -72,7 +72,7 @@
     },
     /// An attempt arrives at a server.
     AttemptArrives { server: usize, job: Job },
-    /// A running request is due at a server.
+    /// The execution of a request is due to complete at a server.
     ExecutionDue { server: usize, execution: u64 },
     /// A server learns that a gateway no longer waits for an attempt.
     AttemptCancelled { server: usize, attempt: AttemptKey },
@@ -85,7 +85,7 @@
     ClientDisconnects(RequestNumber),
     /// The time for a final answer is over.
     AnswerOverdue(RequestNumber),
-    /// A gateway's list of servers is brought up to date.
+    /// A gateway's endpoint list is brought up to date.
     Poll { gateway: GatewayId, kind: PollKind },
     /// A gateway's call to discovery fails.
     DiscoveryCallFails(GatewayRun),
@@ -93,13 +93,13 @@
     Fault(FaultAction),
 }
 
-/// An event and its time.
+/// An event and its time. Events are ordered by time and then by sequence number.
 pub(super) struct ScheduledEvent {
-    /// When.
+    /// Time of the event.
     pub(super) at: Timestamp,
-    /// Events of the same time happen in the order in which they were scheduled.
+    /// Sequence number: events of the same time happen in the order in which they were scheduled.
     sequence: u64,
-    /// What happens.
+    /// The event.
     pub(super) event: SimulationEvent,
 }
 
@@ -123,7 +123,7 @@
     }
 }
 
-/// Events by time.
+/// Scheduled events, ordered by time.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -131,7 +131,7 @@
 }
 
 impl EventQueue {
-    /// Schedules an event for a time.
+    /// Schedules an event.
     pub(super) fn push(&mut self, at: Timestamp, event: SimulationEvent) {
         self.last_sequence += 1;
         self.heap.push(Reverse(ScheduledEvent {
@@ -141,7 +141,7 @@
         }));
     }
 
-    /// Removes the next event.
+    /// Removes and returns the next event.
     pub(super) fn pop(&mut self) -> Option<ScheduledEvent> {
         self.heap.pop().map(|Reverse(scheduled)| scheduled)
     }
--- a/crates/fleet-lab/src/simulate/engine/requests.rs
+++ b/crates/fleet-lab/src/simulate/engine/requests.rs
@@ -11,7 +11,8 @@
 use std::time::Duration;
 
 impl Engine<'_> {
-    /// Schedules the next request of a customer, unless it would arrive after the end of the simulation.
+    /// Schedules the next request of a customer, unless it would arrive after the end of the
+    /// simulation.
     pub(super) fn schedule_next_arrival(&mut self, customer: usize) {
         let end = START + self.experiment.duration;
         let next = self.clients.next_arrival(self.now, customer);
@@ -20,14 +21,14 @@
         }
     }
 
-    /// A customer sends a new request.
+    /// Sends a new request of a customer, and schedules the customer's next one.
     pub(super) fn on_arrival(&mut self, customer: usize) {
         let request = self.clients.new_request(self.now, customer);
         self.submit(request);
         self.schedule_next_arrival(customer);
     }
 
-    /// A client's request arrives at the front end, which forwards it to a gateway.
+    /// Receives a client's request at the front end, which forwards it to a gateway.
     pub(super) fn submit(&mut self, request: ClientRequest) {
         let Some(gateway) = self.pick_gateway(&request) else {
             self.checker.gateway_unreachable(self.now, &request);
@@ -58,7 +59,8 @@
         self.deliver_event(gateway, event);
     }
 
-    /// The gateway for a request; `None` if the front end picks one that is down, which it has not noticed yet.
+    /// Picks the gateway for a request; `None` if the front end picks a gateway that is down but
+    /// not yet known to be down.
     fn pick_gateway(&mut self, request: &ClientRequest) -> Option<GatewayId> {
         let (now, gateways) = (self.now, &self.gateways);
         let is_known_down = |id: GatewayId| {
@@ -92,14 +94,14 @@
         }
     }
 
-    /// Schedules the retry of a client that got an error, if it makes one.
+    /// Schedules the retry that a client makes after an error, if any.
     pub(super) fn schedule_retry(&mut self, request: &ClientRequest, error: ClientError) {
         if let Some(retry) = self.clients.retry(self.now, request, error) {
             self.schedule(retry.at, SimulationEvent::Retry(Box::new(retry.request)));
         }
     }
 
-    /// A gateway gives a final answer other than a server's.
+    /// Records a gateway's rejection or failure of a request, and schedules the client's retry.
     pub(super) fn answer(&mut self, id: &RequestId, answer: FinalAnswer, error: ClientError) {
         let number = RequestNumber::parse(id).unwrap_or(RequestNumber::UNKNOWN);
         if !self.checker.answered(self.now, number, answer) {
@@ -114,21 +116,21 @@
         self.schedule_retry(&request, error);
     }
 
-    /// A client disconnects, unless it has its answer.
+    /// Disconnects a client, unless its request has already ended.
     pub(super) fn on_client_disconnect(&mut self, number: RequestNumber) {
         if self.checker.client_disconnected(self.now, number) {
             self.abandon(number);
         }
     }
 
-    /// The time for a final answer is over.
+    /// Abandons a request that has no final answer in time.
     pub(super) fn on_answer_overdue(&mut self, number: RequestNumber) {
         if self.checker.answer_overdue(self.now, number) {
             self.abandon(number);
         }
     }
 
-    /// No client waits for a request any more.
+    /// Marks a request as abandoned by its client, and tells the gateway.
     fn abandon(&mut self, number: RequestNumber) {
         let Some(open) = self.open_requests.get_mut(&number) else {
             return;
@@ -141,7 +143,7 @@
         }
     }
 
-    /// A gateway was killed: all requests that are open at it fail.
+    /// Fails all requests that were open at a gateway that was killed.
     pub(super) fn fail_requests_of(&mut self, gateway: GatewayId) {
         let is_open = |open: &OpenRequest| open.run.gateway == gateway && !open.is_answered;
         let requests = self.open_requests.iter();
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Removes a request that has its answer and no attempt in flight.
+    /// Removes a request that has ended and has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, number: RequestNumber) {
         if self
             .open_requests
--- a/crates/fleet-lab/src/simulate/engine/setup.rs
+++ b/crates/fleet-lab/src/simulate/engine/setup.rs
@@ -1,4 +1,4 @@
-//! The state of a simulation at its start.
+//! Initial state of a simulation.
 
 use super::decision_module::ModuleFactory;
 use super::queue::{EventQueue, SimulationEvent};
@@ -19,13 +19,13 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Delay after which a gateway receives a change of the list.
+/// Delay after which a gateway receives a change of the endpoint list.
 const DISCOVERY_DELAY: Range<Duration> = Duration::from_millis(300)..Duration::from_secs(3);
-/// Delay of a message between gateways.
+/// One-way delay of a message between gateways.
 const MESSAGE_DELAY: Range<Duration> = Duration::from_micros(1_500)..Duration::from_millis(10);
-/// Fraction of messages between gateways that is lost at any time.
+/// Fraction of messages between gateways that is always lost.
 const MESSAGE_LOSS_FRACTION: f64 = 0.03;
-/// Random stream of the engine itself.
+/// Random stream of the engine.
 const ENGINE_STREAM: u64 = 0;
 /// Random stream of the clients.
 const CLIENT_STREAM: u64 = 1;
@@ -35,10 +35,10 @@
 const DATAGRAM_STREAM: u64 = 3;
 
 impl<'a> Engine<'a> {
-    /// A simulation before its first event.
+    /// Creates a simulation before its first event.
     ///
     /// # Errors
-    /// If a part of it cannot be made.
+    /// An error if the invariant checker cannot be created.
     pub(super) fn new(
         experiment: &'a Experiment,
         new_module: &'a mut ModuleFactory<'a>,
@@ -76,7 +76,7 @@
     /// Starts all gateways, and schedules the first request of each customer and all faults.
     ///
     /// # Errors
-    /// Settings that a gateway refuses.
+    /// [`Failure::InvalidArguments`] if a gateway rejects its settings.
     pub(super) fn schedule_initial_events(&mut self) -> Result<(), Failure> {
         for gateway in self.gateway_ids() {
             let zone = ZoneId(gateway.0 % self.experiment.zones);
--- a/crates/fleet-lab/src/simulate/engine/state.rs
+++ b/crates/fleet-lab/src/simulate/engine/state.rs
@@ -1,4 +1,4 @@
-//! The state of simulated gateways and of the requests that are open at them.
+//! State of the simulated gateways and of the requests that are open at them.
 
 use super::decision_module::DecisionModule;
 use super::queue::GatewayRun;
@@ -6,20 +6,20 @@
 use gateway_core::{AttemptNumber, AttemptOutcome, Timestamp, ZoneId};
 use std::time::Duration;
 
-/// A gateway.
+/// A simulated gateway, up or down.
 pub(super) struct SimulatedGateway {
-    /// `None` while it is down.
+    /// Decision module; `None` while the gateway is down.
     pub(super) module: Option<Box<dyn DecisionModule>>,
-    /// Counts its starts and kills.
+    /// Number of starts and kills of the gateway so far.
     pub(super) incarnation: u32,
-    /// Its zone.
+    /// Zone of the gateway.
     pub(super) zone: ZoneId,
-    /// While it is down: from when on its clients are sent elsewhere.
+    /// Time from which the front end knows that the gateway is down, if it is.
     pub(super) down_noticed_at: Timestamp,
 }
 
 impl SimulatedGateway {
-    /// Whether it runs.
+    /// Returns whether the gateway is up.
     pub(super) fn is_up(&self) -> bool {
         self.module.is_some()
     }
@@ -29,36 +29,36 @@
 pub(super) struct OpenAttempt {
     /// Index of the server.
     pub(super) server: usize,
-    /// Whether its gateway still waits for the result.
+    /// Whether the gateway still waits for the result.
     pub(super) is_in_flight: bool,
 }
 
-/// A request that has no final answer yet, or of which an attempt is in flight.
+/// A request that has not ended, or that has an attempt in flight.
 pub(super) struct OpenRequest {
-    /// The run of the gateway that received it.
+    /// Run of the gateway that received the request.
     pub(super) run: GatewayRun,
     /// The request as its client sent it.
     pub(super) request: ClientRequest,
-    /// When its client no longer waits for this answer.
+    /// Time at which the client stops waiting for the answer.
     pub(super) deadline: Timestamp,
-    /// Whether it has a final answer, or another end.
+    /// Whether the request has a final answer or another end.
     pub(super) is_answered: bool,
-    /// By attempt number.
+    /// Attempts by number.
     pub(super) attempts: Vec<OpenAttempt>,
 }
 
 /// An attempt that has just finished.
 pub(super) struct FinishedAttempt {
-    /// The run of the gateway that sent it.
+    /// Run of the gateway that sent the attempt.
     pub(super) run: GatewayRun,
     /// Whether its result is the final answer of the request.
     pub(super) is_final_answer: bool,
-    /// Whether the request has a final answer.
+    /// Whether the request has a final answer or another end.
     pub(super) is_answered: bool,
 }
 
 impl OpenRequest {
-    /// Adds an attempt to a server, by index,, and returns its number.
+    /// Adds an attempt to the server with an index, and returns the attempt's number.
     pub(super) fn add_attempt(&mut self, server: usize) -> AttemptNumber {
         let number = AttemptNumber(self.attempts.len() as u32);
         self.attempts.push(OpenAttempt {
@@ -68,12 +68,13 @@
         number
     }
 
-    /// When an attempt that is sent now expires: after its timeout, and no later than the request.
+    /// Returns the time at which an attempt that is sent now expires: after `timeout`, but no later
+    /// than the request's deadline.
     pub(super) fn attempt_deadline(&self, now: Timestamp, timeout: Option<Duration>) -> Timestamp {
         timeout.map_or(self.deadline, |timeout| self.deadline.min(now + timeout))
     }
 
-    /// Ends an attempt; `None` if it had ended already.
+    /// Ends an attempt; returns `None` if it had already ended.
     pub(super) fn finish_attempt(
         &mut self,
         number: AttemptNumber,
@@ -92,7 +93,7 @@
         })
     }
 
-    /// Whether the request has its answer and no attempt in flight.
+    /// Returns whether the request has ended and has no attempt in flight.
     pub(super) fn is_finished(&self) -> bool {
         self.is_answered && !self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
--- a/crates/fleet-lab/src/simulate/experiment.rs
+++ b/crates/fleet-lab/src/simulate/experiment.rs
@@ -1,4 +1,4 @@
-//! What is to be simulated, derived from the arguments.
+//! The definition of an experiment, derived from the arguments.
 
 use super::fault::Fault;
 use super::fault_schedule::FaultSchedule;
@@ -15,46 +15,47 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Settings of an experiment that is given none: two classes, three plans of which one has a hard limit.
+/// Settings of an experiment for which none are given: two classes, and three plans of which one
+/// has a hard limit.
 const DEFAULT_SETTINGS: &str = include_str!("settings.json");
-/// Maximum number of gateways: their numbers take two bytes in messages.
+/// Maximum number of gateways, which have two-byte numbers in messages.
 const MAX_GATEWAYS: u32 = 65_535;
 /// Maximum number of servers.
 const MAX_SERVERS: u32 = 100_000;
-/// Maximum time in which clients arrive, s.
+/// Maximum time in which clients send new requests, in seconds.
 const MAX_SECONDS: u32 = 3_600;
-/// Maximum demand within the quotas, as a fraction of what the servers can do.
+/// Maximum demand within the quotas, as a fraction of the servers' capacity.
 const MAX_LOAD: f64 = 2.0;
-/// Shortest latency objective of a class.
+/// Minimum latency objective of a class.
 const MIN_LATENCY_OBJECTIVE: Duration = Duration::from_millis(1);
 /// Mean work of a request, as a fraction of the shortest latency objective.
 const MEAN_WORK_RATIO: f64 = 0.119;
-/// How far the work of single requests lies from the mean, as a fraction of it.
+/// Maximum deviation of the work of a request from the mean, as a fraction of the mean.
 const WORK_DEVIATION_RATIO: f64 = 0.26;
 /// Interval at which a server measures the load that it reports.
 const LOAD_REPORT_INTERVAL: Range<Duration> =
     Duration::from_millis(110)..Duration::from_millis(540);
-/// Number of the random stream that draws ids of servers.
+/// Number of the random stream that draws server ids.
 const ENDPOINT_STREAM: u64 = 16;
 /// Number of the random stream that draws the fault schedule.
 const FAULT_STREAM: u64 = 17;
 
-/// What is asked for.
+/// Parameters of an experiment, as given by its caller.
 #[derive(Clone, Debug)]
 pub struct ExperimentConfig {
-    /// Gateways.
+    /// Number of gateways.
     pub nodes: u32,
-    /// Servers at the start; `None` for two for every three gateways.
+    /// Number of servers at the start; `None` for two for every three gateways.
     pub servers: Option<u32>,
-    /// Time in which clients arrive, s.
+    /// Time in which clients send new requests, in seconds.
     pub seconds: u32,
     /// Seed of all random draws.
     pub seed: u64,
-    /// Demand within the quotas, as a fraction of what the servers can do.
+    /// Demand within the quotas, as a fraction of the servers' capacity.
     pub load: f64,
-    /// Names of faults.
+    /// Names of the faults to inject, as on the command line.
     pub faults: Vec<String>,
-    /// The text of a settings file, if there is one.
+    /// Text of a settings file; `None` for the default settings.
     pub settings: Option<String>,
 }
 
@@ -77,34 +78,34 @@
     }
 }
 
-/// What is simulated.
+/// A validated experiment that is ready to be simulated.
 #[derive(Clone, Debug)]
 pub struct Experiment {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Time in which clients arrive.
+    /// Time in which clients send new requests.
     pub duration: Duration,
-    /// The settings of the first gateway.
+    /// Settings of gateway 0; the other gateways differ only in id and zone.
     pub resolved: ResolvedSettings,
-    /// Zones; one if the settings name none.
+    /// Number of zones; 1 if the settings name none.
     pub zones: u32,
-    /// The servers at the start.
+    /// Endpoints of the servers at the start.
     pub servers: Vec<Endpoint>,
-    /// What kind of machine they are.
+    /// Hardware of the servers.
     pub machine: Machine,
-    /// Requests a second within the quotas.
+    /// Requests per second within the quotas.
     pub rate: f64,
-    /// Names of the faults, as asked for.
+    /// Names of the faults, as on the command line.
     pub fault_names: Vec<String>,
-    /// When each fault happens.
+    /// Times of all faults.
     pub faults: FaultSchedule,
 }
 
 impl Experiment {
-    /// Derives what is to be simulated.
+    /// Derives an experiment from its parameters.
     ///
     /// # Errors
-    /// What is invalid about it, in a line.
+    /// [`Failure::InvalidArguments`] with a one-line description of the parameter that is invalid.
     pub fn new(config: &ExperimentConfig) -> Result<Experiment, Failure> {
         let server_count = config
             .servers
@@ -132,7 +133,7 @@
         })
     }
 
-    /// Number of gateways.
+    /// Returns the number of gateways.
     pub fn gateway_count(&self) -> u32 {
         self.resolved.settings.gateway_count
     }
@@ -142,7 +143,7 @@
     Err(Failure::InvalidArguments(problem.into()))
 }
 
-/// Two servers for every three gateways, with a minimum of two.
+/// Returns two servers for every three gateways, but at least two.
 fn default_servers(gateways: u32) -> u32 {
     (u64::from(gateways) * 2).div_ceil(3).max(2) as u32
 }
@@ -154,14 +155,14 @@
     Ok(())
 }
 
-/// Reads settings for a number of gateways.
+/// Parses settings and sets their number of gateways.
 fn parse_settings(text: &str, gateways: u32) -> Result<ResolvedSettings, Failure> {
     let mut json: serde_json::Value = match serde_json::from_str(text) {
         Ok(json) => json,
         Err(error) => return invalid_arguments(format!("settings: {error}")),
     };
     if !json.is_object() {
-        return invalid_arguments("settings: not a JSON object");
+        return invalid_arguments("settings: must be a JSON object");
     }
     json["balancers"] = gateways.into();
     json["me"] = 0.into();
@@ -176,7 +177,7 @@
     let is_too_short = classes.any(|class| class.latency_objective < MIN_LATENCY_OBJECTIVE);
     if resolved.longest_deadline.is_zero() || is_too_short {
         return invalid_arguments(
-            "settings: each class needs an aim of 1 ms or more, and one of them a deadline",
+            "settings: each class needs an aimUs of at least 1 ms, and one class a deadlineUs",
         );
     }
     Ok(resolved)
@@ -186,19 +187,19 @@
     let mut faults = BTreeSet::new();
     for name in names {
         if !faults.insert(Fault::parse(name)?) {
-            return invalid_arguments(format!("fault {name} is named twice"));
+            return invalid_arguments(format!("duplicate fault {name}"));
         }
     }
     if faults.len() > 1 && faults.contains(&Fault::Calm) {
-        return invalid_arguments("calm goes with no other fault");
+        return invalid_arguments("calm cannot be combined with other faults");
     }
     if faults.contains(&Fault::Partition) && zones < 2 {
-        return invalid_arguments("a cut needs settings with two zones or more");
+        return invalid_arguments("cut requires settings with at least two zones");
     }
     Ok(faults)
 }
 
-/// Draws when each fault happens.
+/// Draws the times of all faults.
 fn draw_schedule(
     config: &ExperimentConfig,
     faults: &BTreeSet<Fault>,
@@ -219,7 +220,7 @@
     scheduler.schedule(faults)
 }
 
-/// Draws entries of the list of servers.
+/// Draws endpoints with unique server ids.
 struct EndpointFactory {
     rng: Rng,
     used_ids: BTreeSet<u64>,
@@ -235,7 +236,8 @@
         }
     }
 
-    /// An entry with an id of its own, in a zone by number.
+    /// Draws a ready endpoint in the zone of this number modulo the number of zones. `started_at`
+    /// is `None` for a warm server.
     fn draw(&mut self, zone: u32, started_at: Option<Timestamp>) -> Endpoint {
         let zone = zone % self.zones;
         let mut id = self.rng.random_range(1..1 << 32);
@@ -253,7 +255,7 @@
     }
 }
 
-/// The kind of the servers, by the shortest latency objective.
+/// Returns the hardware of the servers, whose speed follows from the shortest latency objective.
 fn machine_for(settings: &Settings) -> Machine {
     let objectives = settings.classes.iter().map(|class| class.latency_objective);
     let shortest = objectives.min().unwrap_or(MICROSECOND);
--- a/crates/fleet-lab/src/simulate/fault.rs
+++ b/crates/fleet-lab/src/simulate/fault.rs
@@ -5,29 +5,29 @@
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Fault {
-    /// None.
+    /// No fault.
     Calm,
-    /// All customers ask for half as much again, and two customers flood.
+    /// The demand of all customers rises by half, and two customers flood.
     Burst,
-    /// One of eight servers accepts requests and answers none.
+    /// One in eight servers accepts requests and completes none.
     Hang,
-    /// One of eight servers is six times slower.
+    /// One in eight servers is six times slower.
     Slow,
-    /// Half of the servers are replaced one after the other by cold ones.
+    /// Half of the servers are replaced by cold ones, at different times.
     RollingReplacement,
-    /// Seven of ten gateways are killed concurrently and restart.
+    /// Seven in ten gateways are killed concurrently and restart.
     GatewayKill,
-    /// A zone is partitioned from the others, and more messages are lost everywhere.
+    /// One zone is partitioned from the others, and more messages are lost everywhere.
     Partition,
-    /// Discovery has an outage, and one of eight servers drains in that time.
+    /// Discovery has an outage, in which one in eight servers drains.
     DiscoveryOutage,
-    /// One more server is started, cold.
+    /// An additional server starts cold.
     ColdStart,
-    /// One of eight servers crashes and comes back cold.
+    /// One in eight servers stops and restarts cold.
     ServerRestart,
 }
 
-/// Names on the command line.
+/// Names of the faults on the command line.
 const FAULT_NAMES: [(&str, Fault); 10] = [
     ("calm", Fault::Calm),
     ("burst", Fault::Burst),
@@ -42,17 +42,17 @@
 ];
 
 impl Fault {
-    /// The fault of that name.
+    /// Returns the fault with a name on the command line.
     ///
     /// # Errors
-    /// If there is none.
+    /// [`Failure::InvalidArguments`] if there is no such fault.
     pub(super) fn parse(name: &str) -> Result<Fault, Failure> {
         if let Some((_, fault)) = FAULT_NAMES.iter().find(|(known, _)| *known == name) {
             return Ok(*fault);
         }
         let names = FAULT_NAMES.map(|(name, _)| name).join(", ");
         Err(Failure::InvalidArguments(format!(
-            "no fault {name:?}; there are {names}"
+            "unknown fault {name:?}; expected one of {names}"
         )))
     }
 }
--- a/crates/fleet-lab/src/simulate/fault_schedule.rs
+++ b/crates/fleet-lab/src/simulate/fault_schedule.rs
@@ -4,24 +4,24 @@
 use crate::world::TimeSpan;
 use gateway_core::{Endpoint, GatewayId, ServerId, Timestamp};
 
-/// What is done to a server or gateway.
+/// A change that a fault makes to a server or gateway.
 #[derive(Clone, Copy, Debug)]
 pub enum FaultAction {
-    /// A server answers nothing for a while.
+    /// A server hangs: it accepts requests and completes none.
     HangServer {
-        /// The server.
+        /// Server that hangs.
         server: ServerId,
-        /// When it answers again.
+        /// Time at which the hang ends.
         until: Timestamp,
     },
-    /// A server takes longer for all work.
+    /// A server's executions take longer.
     SlowServer {
-        /// The server.
+        /// Server that becomes slow.
         server: ServerId,
-        /// By this factor; 1 ends the slowness.
+        /// Factor by which they take longer; 1 restores the normal speed.
         factor: f64,
     },
-    /// A new server starts, cold.
+    /// A new server starts cold.
     StartServer(Endpoint),
     /// Discovery lists a server as draining.
     DrainServer(ServerId),
@@ -38,25 +38,25 @@
 /// A fault action and its time.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduledAction {
-    /// When.
+    /// Time of the action.
     pub at: Timestamp,
-    /// What is done.
+    /// The change to a server or gateway.
     pub action: FaultAction,
 }
 
 /// All faults of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct FaultSchedule {
-    /// What is done to servers and gateways.
+    /// Changes to servers and gateways; those of the same time happen in this order.
     pub actions: Vec<ScheduledAction>,
     /// Network partitions.
     pub partitions: Partitions,
-    /// When discovery answers nothing.
+    /// Spans in which discovery cannot be reached.
     pub discovery_outages: Vec<TimeSpan>,
-    /// When all customers ask for a multiple.
+    /// Spans in which the demand of all customers is multiplied by a factor.
     pub surges: Vec<TemporaryValue>,
-    /// When two customers add a fraction to all traffic.
+    /// Span in which two customers add a fraction of the total demand within the quotas.
     pub flood: Option<TemporaryValue>,
-    /// When a fraction of all messages is lost.
+    /// Span in which a fraction of all messages is lost.
     pub message_loss: Option<TemporaryValue>,
 }
--- a/crates/fleet-lab/src/simulate/fault_scheduler.rs
+++ b/crates/fleet-lab/src/simulate/fault_scheduler.rs
@@ -1,5 +1,5 @@
-//! Draws the schedule of the faults that are asked for. Spans are bounded by the duration of the simulation, so that a
-//! short one sees their end too.
+//! Draws the schedule of the requested faults. Spans are bounded by the duration of the simulation,
+//! so that a short simulation includes their end too.
 
 use super::fault::Fault;
 use super::fault_schedule::{FaultAction, FaultSchedule, ScheduledAction};
@@ -20,34 +20,34 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A fault of single servers affects one server out of this number.
+/// A fault of individual servers affects one in this many servers.
 const AFFECTED_ONE_OF: usize = 8;
-/// A rolling replacement replaces one server out of this number.
+/// A rolling replacement replaces one in this many servers.
 const REPLACED_ONE_OF: usize = 2;
-/// Factor by which slow servers take longer.
+/// Factor by which executions on slow servers take longer.
 const SLOWDOWN_RATIO: f64 = 6.0;
-/// Gateways that are killed out of ten.
+/// Number of gateways that are killed out of ten.
 const KILLED_OF_TEN: usize = 7;
 
-/// Draws the entry of a new server, in a zone by number and with its start time.
+/// Draws the endpoint of a new server from a zone number and a start time.
 pub(super) type NewEndpoint<'a> = dyn FnMut(u32, Option<Timestamp>) -> Endpoint + 'a;
 
-/// Draws a schedule for a fleet.
+/// Draws the faults of one simulation into a schedule.
 pub(super) struct FaultScheduler<'a> {
     rng: &'a mut Rng,
-    /// Time in which clients arrive.
+    /// Time in which clients send new requests.
     duration: Duration,
     gateways: u32,
     zones: u32,
     new_endpoint: &'a mut NewEndpoint<'a>,
-    /// Servers at the start that no fault affects yet.
+    /// Servers at the start that no fault affects so far.
     unaffected: std::vec::IntoIter<Endpoint>,
     server_count: usize,
     schedule: FaultSchedule,
 }
 
 impl<'a> FaultScheduler<'a> {
-    /// A scheduler that has drawn no fault yet.
+    /// Creates a scheduler with an empty schedule.
     pub(super) fn new(
         rng: &'a mut Rng,
         duration: Duration,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Draws the schedule of all these faults.
+    /// Draws the schedule of a set of faults.
     pub(super) fn schedule(mut self, faults: &BTreeSet<Fault>) -> FaultSchedule {
         for fault in faults {
             match fault {
@@ -192,12 +192,12 @@
         }
     }
 
-    /// The time at which this fraction of the simulation has passed.
+    /// Returns the time at which a fraction of the simulation has passed.
     fn time_at(&self, fraction: f64) -> Timestamp {
         START + Duration::from_micros_f64(self.duration.as_micros_f64() * fraction)
     }
 
-    /// When a fault happens. It is shortened if it would last too long.
+    /// Returns the span of a fault, shortened to end by [`LATEST_END_FRACTION`].
     fn fault_span(&self, window: FaultWindow) -> TimeSpan {
         let start = self.time_at(window.start_fraction);
         TimeSpan {
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Takes one out of `one_of` servers, of those that no fault affects yet.
+    /// Takes one in `one_of` of all servers, as far as there are servers that no fault affects yet.
     fn take_servers(&mut self, one_of: usize) -> Vec<Endpoint> {
         self.unaffected
             .by_ref()
--- a/crates/fleet-lab/src/simulate/fault_timing.rs
+++ b/crates/fleet-lab/src/simulate/fault_timing.rs
@@ -1,14 +1,14 @@
-//! When faults happen, how long they last and how strong they are.
+//! Start, duration and strength of each fault.
 
 use std::ops::Range;
 use std::time::Duration;
 
-/// When a fault happens.
+/// Start and duration of a fault.
 #[derive(Clone, Copy)]
 pub(super) struct FaultWindow {
     /// Start, as a fraction of the simulation.
     pub(super) start_fraction: f64,
-    /// How long it lasts, unless the simulation is too short for that.
+    /// Duration, unless [`LATEST_END_FRACTION`] ends the fault earlier.
     pub(super) duration: Duration,
 }
 
@@ -23,39 +23,41 @@
 
 /// Fraction of the simulation by which each fault has ended.
 pub(super) const LATEST_END_FRACTION: f64 = 0.8;
-/// When all customers ask for a multiple of their usual demand.
+/// Span of a surge, in which the demand of all customers rises.
 pub(super) const SURGE: FaultWindow = FaultWindow::new(0.25, 10);
-/// Demand during a surge, as a multiple of the usual one.
+/// Demand during a surge, as a multiple of the usual demand.
 pub(super) const SURGE_RATIO: f64 = 1.5;
-/// When two customers flood.
+/// Span of a flood by two customers.
 pub(super) const FLOOD: FaultWindow = FaultWindow::new(0.35, 12);
-/// Demand that flooding customers add, as a fraction of all demand within the quotas.
+/// Demand that the flooding customers add together, as a fraction of all demand within the quotas.
 pub(super) const FLOOD_FRACTION: f64 = 0.3;
-/// When servers hang.
+/// Span in which servers hang.
 pub(super) const HANG: FaultWindow = FaultWindow::new(0.25, 12);
-/// When servers are slow.
+/// Span in which servers are slow.
 pub(super) const SLOWNESS: FaultWindow = FaultWindow::new(0.25, 16);
-/// Fraction of the simulation after which the first server may be replaced.
+/// Fraction of the simulation before which no server is replaced.
 pub(super) const FIRST_REPLACEMENT_FRACTION: f64 = 0.2;
 /// Fraction of the simulation after which no server is replaced.
 pub(super) const LAST_REPLACEMENT_FRACTION: f64 = 0.6;
 /// Fraction of the simulation after which gateways are killed.
 pub(super) const KILL_FRACTION: f64 = 0.3;
-/// How long a killed gateway is down, s.
+/// Time for which a killed gateway is down, in seconds.
 pub(super) const GATEWAY_DOWN_SECONDS: Range<f64> = 1.7..7.5;
-/// When a zone is partitioned.
+/// Span in which a zone is partitioned.
 pub(super) const PARTITION: FaultWindow = FaultWindow::new(0.3, 6);
-/// Fraction of messages lost everywhere during the partition.
+/// Fraction of messages that is lost everywhere during the partition.
 pub(super) const PARTITION_LOSS_FRACTION: f64 = 0.1;
-/// When discovery has an outage.
+/// Span of an outage of discovery.
 pub(super) const DISCOVERY_OUTAGE: FaultWindow = FaultWindow::new(0.25, 8);
-/// Time from the start of an outage of discovery to the drains that no gateway knows of.
+/// Time from the start of a discovery outage to the drains in it, which no gateway learns of before
+/// the outage ends.
 pub(super) const OUTAGE_TO_DRAIN: Duration = Duration::from_millis(100);
-/// Time from a server's drain to the end of its process: all lists have arrived long before.
+/// Time from a server's drain to the end of its process. Without an outage of discovery, all
+/// gateways have learned of the drain long before.
 pub(super) const DRAIN_TO_STOP: Duration = Duration::from_secs(8);
 /// Fraction of the simulation after which a cold server is added.
 pub(super) const COLD_START_FRACTION: f64 = 0.2;
-/// Fraction of the simulation after which servers crash.
+/// Fraction of the simulation after which servers stop.
 pub(super) const SERVER_STOP_FRACTION: f64 = 0.25;
-/// How long a crashed server is down, s.
+/// Time for which a stopped server is down, in seconds.
 pub(super) const SERVER_DOWN_SECONDS: Range<f64> = 1.0..4.0;
--- a/crates/fleet-lab/src/simulate/host.rs
+++ b/crates/fleet-lab/src/simulate/host.rs
@@ -1,4 +1,5 @@
-//! What a simulation uses of the machine that it runs on. None of this is compared between simulations.
+//! Time and memory that a simulation uses on its host. These figures vary between runs, so they are
+//! not part of the report.
 
 use super::report::Report;
 use crate::time::MICROS_PER_SECOND;
@@ -9,13 +10,14 @@
 use std::io::{stderr, IsTerminal, Write};
 use std::time::{Duration, Instant};
 
-/// Measures what is used from its start on.
+/// A measurement of the time and memory that a simulation uses.
 pub(super) struct HostUsage {
     started: Instant,
     cpu_time_at_start: Option<Duration>,
 }
 
-/// CPU time of this process, which has one thread; `None` where the system does not provide it.
+/// Returns the CPU time of this process, which has one thread; `None` if the system does not
+/// provide it.
 fn cpu_time() -> Option<Duration> {
     let text = fs::read_to_string("/proc/self/schedstat").ok()?;
     text.split_whitespace()
@@ -25,7 +27,7 @@
         .map(Duration::from_nanos)
 }
 
-/// Peak memory of this process, MiB; `None` where the system does not provide it.
+/// Returns the peak memory of this process, in MiB; `None` if the system does not provide it.
 fn peak_memory() -> Option<f64> {
     let text = fs::read_to_string("/proc/self/status").ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
@@ -38,7 +40,7 @@
 }
 
 impl HostUsage {
-    /// Starts to measure.
+    /// Starts the measurement.
     pub(super) fn start() -> HostUsage {
         HostUsage {
             started: Instant::now(),
@@ -46,7 +48,8 @@
         }
     }
 
-    /// What was used since the start, as lines; `decision_time` is the time inside the decision librarys.
+    /// Returns the usage since the start as lines of text. `decision_time` is the time inside the
+    /// decision library of all gateways.
     pub(super) fn summary(&self, report: &Report, decision_time: Duration) -> String {
         let mut lines = vec![format!(
             "host: {:.1} s on the clock",
@@ -72,7 +75,7 @@
     }
 }
 
-/// A time divided by the simulated time of all nodes, and by the number of requests.
+/// Formats a time divided by the simulated time of all gateways, and by the number of requests.
 fn time_per_unit(report: &Report, time: Duration) -> String {
     let node_seconds = f64::from(report.nodes) * report.simulated_seconds;
     let requests = (report.all.arrived as f64).max(1.0);
@@ -84,12 +87,12 @@
     )
 }
 
-/// Shows the simulated time on standard error if that is a terminal.
+/// Returns a function that shows the simulated time on standard error if that is a terminal.
 pub(super) fn progress_display(duration: Duration) -> impl FnMut(Timestamp) {
     let is_terminal = stderr().is_terminal();
     move |now| {
         if is_terminal {
-            // A terminal that is gone shows no progress.
+            // Progress is optional, so an error of a closed terminal is ignored.
             let _ = write!(
                 stderr(),
                 "\r{:.0} of {:.0} s ",
--- a/crates/fleet-lab/src/simulate/mod.rs
+++ b/crates/fleet-lab/src/simulate/mod.rs
@@ -1,5 +1,5 @@
-//! `fleet-lab simulate`: a fleet of hollow nodes, each with the real decision library, in one process and in simulated
-//! time.
+//! `fleet-lab simulate`: a fleet of hollow nodes, each with the real decision library, in one
+//! process and in simulated time.
 
 mod engine;
 mod experiment;
@@ -24,13 +24,13 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// Arguments of the command.
+/// Arguments of `fleet-lab simulate`.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// Gateways.
+    /// Number of gateways.
     #[arg(long, default_value_t = 300)]
     nodes: u32,
-    /// Servers at the start [default: two for every three gateways]
+    /// Number of servers at the start [default: two for every three gateways]
     #[arg(long)]
     servers: Option<u32>,
     /// Simulated time in which clients arrive, s.
@@ -39,13 +39,14 @@
     /// Seed of all random draws: the same seed gives the same output.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Demand within the quotas, as a share of what the servers can do.
+    /// Demand within the quotas, as a fraction of the servers' capacity.
     #[arg(long, default_value_t = 0.5)]
     load: f64,
-    /// A fault by name, again for more: calm, burst, hang, slow, drain, kill, cut, silent, cold, restart.
+    /// Fault to inject; repeat the option for several: calm, burst, hang, slow, drain, kill, cut,
+    /// silent, cold, restart.
     #[arg(long = "fault", visible_alias = "trouble")]
     faults: Vec<String>,
-    /// Settings in the simulator's JSON; the number of gateways is replaced.
+    /// File of settings in the simulator's JSON; its number of gateways is replaced.
     #[arg(long)]
     settings: Option<PathBuf>,
     /// Write the report to this file as JSON.
@@ -54,7 +55,7 @@
     /// Write a plot over time to this file as SVG.
     #[arg(long)]
     plot: Option<PathBuf>,
-    /// Show what the gateways log, on standard error.
+    /// Show the log lines of the gateways on standard error.
     #[arg(long)]
     logs: bool,
 }
@@ -76,13 +77,15 @@
     }
 }
 
-/// Runs the experiment and prints its report to standard output, and what it used of the host to standard error.
+/// Runs the experiment. Prints its report to standard output, and the time and memory that the run
+/// used to standard error.
 ///
 /// # Errors
 /// Invalid arguments, a file that cannot be read or written, or a violated invariant.
 pub fn run(args: &Args) -> Result<(), Failure> {
     let experiment = Experiment::new(&args.config()?)?;
-    // Created beforehand, so that a long simulation does not end with a report that cannot be written.
+    // The files are created before the simulation, so that a path that cannot be written fails at
+    // once instead of after a long run.
     let json_file = args.json.as_deref().map(create_file).transpose()?;
     let plot_file = args.plot.as_deref().map(create_file).transpose()?;
     let host_usage = host::HostUsage::start();
@@ -91,12 +94,12 @@
     print!("{report}");
     if let Some(mut file) = json_file {
         let text = serde_json::to_string_pretty(report)?;
-        writeln!(file, "{text}").context("the report cannot be written")?;
+        writeln!(file, "{text}").context("cannot write the report")?;
     }
     if let Some(mut file) = plot_file {
         let text = plot::draw(report)?;
         file.write_all(text.as_bytes())
-            .context("the plot cannot be written")?;
+            .context("cannot write the plot")?;
     }
     eprint!("{}", host_usage.summary(report, result.decision_time));
     if !report.violations.is_empty() {
--- a/crates/fleet-lab/src/simulate/plot.rs
+++ b/crates/fleet-lab/src/simulate/plot.rs
@@ -1,18 +1,18 @@
-//! A simulation over time, as an SVG picture.
+//! Plot of a simulation over time, as SVG.
 
 use super::report::Report;
 use crate::world::request_counts::SecondCounts;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-/// Width and height of the picture, pixels.
+/// Width and height of the image, in pixels.
 const SIZE: (u32, u32) = (960, 720);
-/// Height of the upper plot, pixels.
+/// Height of the upper chart, in pixels.
 const UPPER_HEIGHT: i32 = 400;
-/// Height of a plot as a multiple of its greatest value.
+/// Upper end of the vertical axis, as a multiple of the maximum value.
 const HEADROOM_RATIO: f64 = 1.1;
 
-/// One line of a plot.
+/// One line of a chart.
 struct Curve {
     label: &'static str,
     color: RGBColor,
@@ -64,10 +64,10 @@
     (requests.failed + requests.gateway_killed + requests.unreachable) as f64
 }
 
-/// Draws what became of requests, and the units sent, by second. Returns the SVG text.
+/// Draws the counts of requests and the units sent, by second. Returns the SVG text.
 ///
 /// # Errors
-/// If the picture cannot be drawn.
+/// An error if the plot cannot be drawn.
 pub(super) fn draw(report: &Report) -> anyhow::Result<String> {
     let mut text = String::new();
     {
@@ -81,7 +81,7 @@
     Ok(text)
 }
 
-/// The greatest value of all curves; 1 if that is more.
+/// Returns the maximum value of all curves, but at least 1.
 fn maximum(report: &Report, curves: &[Curve]) -> f64 {
     let values = curves
         .iter()
--- a/crates/fleet-lab/src/simulate/report.rs
+++ b/crates/fleet-lab/src/simulate/report.rs
@@ -1,4 +1,4 @@
-//! The results of a simulation. All of them follow from the seed.
+//! The results of a simulation, which depend only on the experiment and its seed.
 
 use super::experiment::Experiment;
 use crate::world::cold_start::ColdStartLoad;
@@ -13,34 +13,34 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What became of the requests of one class and plan.
+/// Counts of the requests of one class and plan.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassPlanCounts {
     /// Name of the class.
     pub class: String,
     /// Name of the plan.
     pub plan: String,
-    /// Its requests.
+    /// Counts of the requests.
     #[serde(flatten)]
     pub requests: RequestCounts,
 }
 
-/// Messages between gateways.
+/// Rates and counts of messages between gateways.
 #[derive(Clone, Debug, Serialize)]
 pub struct MessageRates {
-    /// Messages that a gateway receives in a second, on average.
+    /// Messages that a gateway receives per second, on average.
     pub mean_per_s: f64,
-    /// The same of the gateway that receives the maximum number of messages.
+    /// Messages per second that the gateway with the most messages receives.
     pub busiest_per_s: f64,
-    /// Bytes that a gateway receives in a second, on average.
+    /// Bytes that a gateway receives per second, on average.
     pub mean_bytes_per_s: f64,
-    /// The same of the gateway that receives the maximum number of bytes.
+    /// Bytes per second that the gateway with the most bytes receives.
     pub busiest_bytes_per_s: f64,
-    /// Messages sent, one for each receiver.
+    /// Messages sent, counted once per receiver.
     pub sent: u64,
     /// Messages lost on their way.
     pub lost: u64,
-    /// Messages beyond the rate that their receiver accepts.
+    /// Messages dropped because they exceeded the rate that their receiver accepts.
     pub dropped: u64,
 }
 
@@ -68,12 +68,12 @@
 /// A server that was started cold.
 #[derive(Clone, Debug, Serialize)]
 pub struct ColdServer {
-    /// Its id.
+    /// Id of the server.
     pub server: u64,
-    /// Whether it was overloaded until it crashed.
+    /// Whether the server crashed from overload while it was cold.
     #[serde(rename = "fell")]
     pub has_crashed: bool,
-    /// Its highest load.
+    /// Highest load while it was cold.
     #[serde(flatten)]
     pub load: ColdStartLoad,
 }
@@ -92,46 +92,46 @@
 /// The results of a simulation.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Gateways.
+    /// Number of gateways.
     pub nodes: u32,
-    /// Servers at the start.
+    /// Number of servers at the start.
     pub servers: usize,
     /// Seed of all random draws.
     pub seed: u64,
-    /// Names of the faults.
+    /// Names of the faults, as on the command line.
     #[serde(rename = "troubles")]
     pub faults: Vec<String>,
-    /// Simulated time until the last request had ended, s.
+    /// Simulated time until the last request had ended, in seconds.
     #[serde(rename = "played_s")]
     pub simulated_seconds: f64,
-    /// All requests.
+    /// Counts of all requests.
     pub all: RequestCounts,
-    /// Requests by class and plan.
+    /// Counts of requests, by class and plan.
     #[serde(rename = "parts")]
     pub by_class_and_plan: Vec<ClassPlanCounts>,
     /// Units of all requests of which an attempt was sent.
     pub sent_units: f64,
-    /// Those of them beyond quotas.
+    /// The part of `sent_units` that is beyond quotas.
     #[serde(rename = "over_units")]
     pub over_quota_units: f64,
-    /// Attempts sent.
+    /// Number of attempts sent.
     pub attempts: u64,
-    /// Those of them to another zone.
+    /// Number of attempts that were sent to another zone.
     #[serde(rename = "crossed")]
     pub cross_zone_attempts: u64,
-    /// Violations by invariant.
+    /// Violations, by invariant.
     #[serde(rename = "broken")]
     pub violations: BTreeMap<Invariant, Violations>,
-    /// Messages between gateways.
+    /// Rates and counts of messages between gateways.
     pub messages: MessageRates,
-    /// Median wait from arrival to first attempt, ms.
+    /// Median wait from arrival to first attempt, in ms.
     pub wait_p50_ms: f64,
-    /// 99th percentile of the wait from arrival to first attempt, ms.
+    /// 99th percentile of the wait from arrival to first attempt, in ms.
     pub wait_p99_ms: f64,
     /// Servers that were started cold.
     #[serde(rename = "cold")]
     pub cold_servers: Vec<ColdServer>,
-    /// Counts by second.
+    /// Counts by second of the simulation.
     pub seconds: Vec<SecondCounts>,
 }
 
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The violations in one line.
+    /// Returns the number of violations of each invariant, in one line.
     pub(super) fn violation_summary(&self) -> String {
         let violations = self.violations.iter();
         let counts = violations.map(|(invariant, of)| format!("{invariant} {} times", of.count));
--- a/crates/fleet-lab/src/simulate/table.rs
+++ b/crates/fleet-lab/src/simulate/table.rs
@@ -1,4 +1,4 @@
-//! A report as text.
+//! The text form of a report.
 
 use super::report::{ColdServer, Report};
 use crate::world::request_counts::RequestCounts;
@@ -96,7 +96,7 @@
         )
     }
 
-    /// The cold servers with the highest loads.
+    /// Writes the cold servers with the highest loads.
     fn write_cold_servers(&self, f: &mut Formatter<'_>) -> Result {
         let mut servers: Vec<&ColdServer> = self.cold_servers.iter().collect();
         servers.sort_by(|a, b| b.load.fraction().total_cmp(&a.load.fraction()));
--- a/crates/fleet-lab/tests/simulate.rs
+++ b/crates/fleet-lab/tests/simulate.rs
@@ -1,5 +1,6 @@
-//! `fleet-lab simulate`: the same seed gives the same bytes, a fleet without faults violates no invariant, and the
-//! invariant checker catches a gateway that violates one on purpose.
+//! Tests of `fleet-lab simulate`: the same seed reproduces the report byte for byte, a fleet
+//! without faults violates no invariant, and the invariant checker reports a gateway that violates
+//! one on purpose.
 
 #[path = "simulate/defective_module.rs"]
 mod defective_module;
@@ -27,13 +28,13 @@
 }
 
 fn run_simulation(config: &ExperimentConfig, defect: Defect) -> Report {
-    let experiment = Experiment::new(config).expect("a sound experiment");
+    let experiment = Experiment::new(config).expect("valid experiment");
     let new_module = |seed, settings: Settings, now| -> ModuleResult {
         let gateway = Gateway::new(seed, settings.clone(), now)?;
         Ok(Box::new(DefectiveModule::new(gateway, settings, defect)))
     };
     simulate(&experiment, new_module, &mut |_| {}, &mut |_| {})
-        .expect("a result")
+        .expect("simulation succeeds")
         .report
 }
 
@@ -59,11 +60,11 @@
             },
             Defect::None,
         );
-        report.to_string() + &serde_json::to_string(&report).expect("a report")
+        report.to_string() + &serde_json::to_string(&report).expect("report serializes")
     };
     let first = text(5);
-    assert!(first == text(5), "seed 5 twice gives two reports");
-    assert!(first != text(6), "seeds 5 and 6 give one report");
+    assert!(first == text(5), "seed 5 gave two different reports");
+    assert!(first != text(6), "seeds 5 and 6 gave identical reports");
 }
 
 #[test]
@@ -108,12 +109,12 @@
         );
         assert!(
             violation_count(&defective, invariant) > 0,
-            "{defect:?} was not caught\n{defective}"
+            "{defect:?} was not reported as {invariant}\n{defective}"
         );
         if defect == Defect::ExceedQuotas {
             assert!(
                 defective.over_quota_units > 4.0 * sound.over_quota_units,
-                "quotas\n{defective}"
+                "units beyond quotas did not rise\n{defective}"
             );
         }
         if defect == Defect::OverloadColdServer {
@@ -144,7 +145,8 @@
 
 #[test]
 fn attempt_at_draining_server_is_no_violation_while_drain_is_unknown() {
-    // During the outage no gateway knows that servers drain: none of these attempts is a violation.
+    // During the outage no gateway knows that servers drain, so an attempt at such a server is no
+    // violation.
     let report = run_simulation(&config(&["silent"]), Defect::None);
     assert!(report.violations.is_empty(), "{report}");
     assert!(
@@ -191,7 +193,7 @@
             "load",
         ),
         (config(&["storm"]), "storm"),
-        (config(&["cut", "cut"]), "twice"),
+        (config(&["cut", "cut"]), "duplicate"),
         (config(&["calm", "cut"]), "calm"),
         (
             ExperimentConfig {
@@ -208,13 +210,13 @@
             "zones",
         ),
     ];
-    for (config, word) in cases {
-        let Err(Failure::InvalidArguments(problem)) = Experiment::new(&config) else {
-            panic!("accepted: {config:?}")
+    for (config, expected_word) in cases {
+        let Err(Failure::InvalidArguments(message)) = Experiment::new(&config) else {
+            panic!("invalid experiment was accepted: {config:?}")
         };
         assert!(
-            problem.contains(word) && !problem.contains('\n'),
-            "{problem}"
+            message.contains(expected_word) && !message.contains('\n'),
+            "{message}"
         );
     }
 }
@@ -228,28 +230,28 @@
         ["--settings", "no/such/file"],
         ["--json", "."],
     ] {
-        let ran = Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
+        let output = Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
             .arg("simulate")
             .args(invalid)
             .output()
-            .expect("it starts");
-        let stderr = String::from_utf8(ran.stderr).expect("text");
+            .expect("fleet-lab starts");
+        let stderr = String::from_utf8(output.stderr).expect("standard error is UTF-8");
         assert_eq!(
-            (ran.status.code(), stderr.lines().count()),
+            (output.status.code(), stderr.lines().count()),
             (Some(2), 1),
             "{invalid:?}: {stderr}"
         );
-        assert!(ran.stdout.is_empty());
+        assert!(output.stdout.is_empty());
     }
 }
 
 #[test]
 fn command_writes_reproducible_report_and_plot() {
-    let folder = std::env::temp_dir().join(format!("fleet-lab-simulate-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    let directory = std::env::temp_dir().join(format!("fleet-lab-simulate-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("create directory");
     let run_command = |name: &str| {
-        let file = |end: &str| folder.join(format!("{name}.{end}"));
-        let ran = Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
+        let output_path = |extension: &str| directory.join(format!("{name}.{extension}"));
+        let output = Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
             .args([
                 "simulate",
                 "--nodes",
@@ -262,23 +264,25 @@
                 "hang",
             ])
             .arg("--json")
-            .arg(file("json"))
+            .arg(output_path("json"))
             .arg("--plot")
-            .arg(file("svg"))
+            .arg(output_path("svg"))
             .output()
-            .expect("it starts");
+            .expect("fleet-lab starts");
         assert!(
-            ran.status.success(),
+            output.status.success(),
             "{}",
-            String::from_utf8_lossy(&ran.stderr)
+            String::from_utf8_lossy(&output.stderr)
         );
-        let read = |end: &str| std::fs::read_to_string(file(end)).expect("a file");
-        (ran.stdout, read("json"), read("svg"))
+        let read = |extension: &str| {
+            std::fs::read_to_string(output_path(extension)).expect("read output file")
+        };
+        (output.stdout, read("json"), read("svg"))
     };
-    let (first, again) = (run_command("first"), run_command("again"));
-    std::fs::remove_dir_all(&folder).expect("the folder goes");
-    assert_eq!(first, again);
-    let report: serde_json::Value = serde_json::from_str(&first.1).expect("JSON");
+    let (first, second) = (run_command("first"), run_command("second"));
+    std::fs::remove_dir_all(&directory).expect("remove directory");
+    assert_eq!(first, second);
+    let report: serde_json::Value = serde_json::from_str(&first.1).expect("report is JSON");
     assert!(
         report["all"]["served"].as_u64() > Some(10) && report.get("host").is_none(),
         "{report}"
--- a/crates/fleet-lab/tests/simulate/defective_module.rs
+++ b/crates/fleet-lab/tests/simulate/defective_module.rs
@@ -1,4 +1,4 @@
-//! A gateway that violates an invariant on purpose.
+//! A gateway that violates an invariant on purpose, for tests of the invariant checker.
 
 use fleet_lab::simulate::DecisionModule;
 use gateway_core::{
@@ -8,27 +8,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How a gateway violates an invariant.
+/// The way in which a gateway violates an invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Defect {
     None,
-    /// Sends to draining servers, once it has known of the drain for long enough.
+    /// Sends attempts to draining servers, more than 600 ms after the gateway learned of the drain.
     SendToDrained,
-    /// Sends the requests that the module rejects.
+    /// Sends the requests that the decision library rejects.
     ExceedQuotas,
-    /// Sends all requests to the server that started last.
+    /// Sends all attempts to the server that started last.
     OverloadColdServer,
     /// Answers each rejected request twice.
     AnswerTwice,
     /// Sends non-idempotent requests to two servers.
     RunTwice,
-    /// Suppresses the module's rejections and failures.
+    /// Suppresses the rejections and failures of the decision library.
     NeverAnswer,
     /// Sends an attempt after the rejection.
     SendLate,
 }
 
-/// An entry of the list of servers, and when it was received.
+/// An endpoint, and the time at which the gateway received it.
 #[derive(Clone, Copy)]
 struct KnownEndpoint {
     endpoint: Endpoint,
@@ -42,7 +42,8 @@
     defect: Defect,
     known_endpoints: BTreeMap<ServerId, KnownEndpoint>,
     classes: BTreeMap<RequestId, ClassId>,
-    /// Requests that were sent although the module rejected them: it does not know them any more.
+    /// Requests that were sent although the decision library rejected them; the library no longer
+    /// knows them.
     sent_after_rejection: BTreeSet<RequestId>,
 }
 
@@ -87,7 +88,7 @@
             .map(|known| known.endpoint.server)
     }
 
-    /// The server of an attempt in place of the module's choice.
+    /// Returns the server that replaces the decision library's choice for an attempt, if any.
     fn misrouted_server(&self, now: Timestamp) -> Option<ServerId> {
         let known = match self.defect {
             Defect::SendToDrained => {
@@ -148,7 +149,7 @@
         }
     }
 
-    /// An attempt in place of a rejection.
+    /// Returns an attempt that replaces a rejection.
     fn send_rejected(&mut self, now: Timestamp, id: RequestId) -> Action {
         let ready: Vec<_> = self.ready_servers().collect();
         let server = ready[now.as_micros() as usize % ready.len()];
@@ -160,7 +161,7 @@
         }
     }
 
-    /// The same attempt at another server, if the request is not idempotent.
+    /// Returns the same attempt at another server, if the request is not idempotent.
     fn second_attempt(&self, attempt: &Action) -> Option<Action> {
         let Action::SendAttempt {
             id,
@@ -179,7 +180,7 @@
         })
     }
 
-    /// An attempt of a request that has just been rejected.
+    /// Returns an attempt of a request that has just been rejected.
     fn attempt_after(&self, reject: &Action) -> Option<Action> {
         let Action::Reject { id, .. } = reject else {
             return None;
