--- a/crates/edge-node/src/config/file/parse_toml.rs
+++ b/crates/edge-node/src/config/file/parse_toml.rs
@@ -1,4 +1,4 @@
-//! Parses operators' TOML.
+//! Parser of operators' TOML.
 
 use super::line_index::LineIndex;
 use super::{ConfigItem, ConfigValue};
@@ -7,10 +7,10 @@
 use toml::de::{DeFloat, DeInteger, DeTable, DeValue, Error};
 use toml::Spanned;
 
-/// Parses a text.
+/// Parses a text in TOML.
 ///
 /// # Errors
-/// Everything that TOML's grammar forbids.
+/// Returns all syntax errors.
 pub(super) fn parse(text: &str) -> Result<ConfigItem, Vec<Diagnostic>> {
     let lines = LineIndex::new(text);
     let (root, errors) = DeTable::parse_recoverable(text);
@@ -56,7 +56,7 @@
 
 fn convert(lines: &LineIndex, value: &DeValue<'_>) -> ConfigValue {
     match value {
-        DeValue::String(text) => ConfigValue::Text(text.to_string()),
+        DeValue::String(text) => ConfigValue::String(text.to_string()),
         DeValue::Integer(number) => integer(number),
         DeValue::Float(number) => float(number),
         DeValue::Boolean(boolean) => ConfigValue::Boolean(*boolean),
@@ -76,5 +76,5 @@
     let digits = number.as_str().replace('_', "");
     digits
         .parse()
-        .map_or(ConfigValue::Unsupported, ConfigValue::Number)
+        .map_or(ConfigValue::Unsupported, ConfigValue::Float)
 }
--- a/crates/edge-node/src/config/schema/validate/relations.rs
+++ b/crates/edge-node/src/config/schema/validate/relations.rs
@@ -1,4 +1,4 @@
-//! Checks what several keys have to satisfy together.
+//! Checks constraints between several keys.
 
 use super::problem::Problem;
 use super::Validator;
@@ -8,14 +8,14 @@
 use crate::config::schema::spec::ListPaths;
 use std::collections::HashSet;
 
-/// The key of a class that says whether its requests may be repeated; both formats name it so.
-const REPEAT: &str = "repeat";
-/// Its value for requests with an idempotency key, in both formats.
-const IDEMPOTENCY_KEY: &str = "idempotency_key";
+/// Name, in both formats, of the class key that says whether a request may be repeated.
+const REPEAT_KEY: &str = "repeat";
+/// Value of [`REPEAT_KEY`], in both formats, for requests with an idempotency key.
+const REPEAT_WITH_IDEMPOTENCY_KEY: &str = "idempotency_key";
 
 impl<'a> Validator<'a> {
-    /// Reports keys that contradict each other. Operators' files are held to more than the
-    /// platform's.
+    /// Reports keys whose values contradict each other. Two of the checks apply to operators' TOML
+    /// only.
     pub(super) fn check_relations(&mut self) {
         self.check_gateway_number();
         self.check_zone();
@@ -28,7 +28,7 @@
         }
     }
 
-    /// An edge node's number is below the count of edge nodes.
+    /// Checks that the number of this edge node is less than the number of edge nodes.
     fn check_gateway_number(&mut self) {
         let Some(gateways) = self.gateway_count() else {
             return;
@@ -41,35 +41,36 @@
             self.report(
                 location.line,
                 &location.path,
-                Problem::UnknownGateway { gateways },
+                Problem::GatewayNumberOutOfRange { gateways },
             );
         }
     }
 
-    /// The edge node's zone is one of the zones, where there are any.
+    /// Checks that the zone of this edge node is on the list of zones, unless that list is empty.
     fn check_zone(&mut self) {
         let zones = self
             .locate_key("fleet.zones")
             .and_then(|location| location.item);
-        let zones = zones.map(ConfigItem::texts).unwrap_or_default();
+        let zones = zones.map(ConfigItem::strings).unwrap_or_default();
         let Some(location) = self.locate_key("fleet.zone") else {
             return;
         };
-        let zone = location.item.and_then(ConfigItem::as_text);
+        let zone = location.item.and_then(ConfigItem::as_str);
         if !zones.is_empty() && !zone.is_some_and(|zone| zones.contains(&zone)) {
-            let words = zones.into_iter().map(str::to_owned).collect();
-            self.report(location.line, &location.path, Problem::NotOneOf { words });
+            let choices = zones.into_iter().map(str::to_owned).collect();
+            self.report(location.line, &location.path, Problem::NotOneOf { choices });
         }
     }
 
-    /// A class with idempotency keys has a scope in which they are known.
+    /// Checks that each class with idempotency keys has a deduplication scope.
     fn check_idempotency_scopes(&mut self) {
         let scope = match self.format {
             ConfigFormat::Toml => "idempotency_scope",
             ConfigFormat::PlatformJson => "group",
         };
         for (index, class) in self.list_items(CLASS_LIST).into_iter().enumerate() {
-            let has_keys = class.get(REPEAT).and_then(ConfigItem::as_text) == Some(IDEMPOTENCY_KEY);
+            let has_keys = class.get(REPEAT_KEY).and_then(ConfigItem::as_str)
+                == Some(REPEAT_WITH_IDEMPOTENCY_KEY);
             let has_scope = class
                 .get(scope)
                 .is_some_and(|item| !matches!(item.value, ConfigValue::Null));
@@ -80,14 +81,14 @@
         }
     }
 
-    /// The names in a list differ.
+    /// Checks that the names of a list's items are unique.
     fn check_unique_names(&mut self, list: ListPaths) {
         let mut names = HashSet::new();
         for (index, item) in self.list_items(list).into_iter().enumerate() {
             let Some(name_item) = item.get("name") else {
                 continue;
             };
-            let Some(name) = name_item.as_text() else {
+            let Some(name) = name_item.as_str() else {
                 continue;
             };
             if !names.insert(name) {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Where datagrams arrive, there is one address for each edge node.
+    /// Checks that there is one address for each edge node if this edge node receives datagrams.
     fn check_peer_addresses(&mut self) {
         let listens = self
             .locate_key("peers.listen")
@@ -117,7 +118,7 @@
         let Some(location) = self.locate_key("peers.addresses") else {
             return;
         };
-        let addresses = location.item.map_or(0, |item| item.texts().len());
+        let addresses = location.item.map_or(0, |item| item.strings().len());
         if addresses as i128 != gateways {
             self.report(
                 location.line,
@@ -130,18 +131,18 @@
         }
     }
 
-    /// How many edge nodes there are, if that is a whole number.
+    /// Returns the number of edge nodes; `None` if it is missing or not an integer.
     fn gateway_count(&self) -> Option<i128> {
         self.locate_key("fleet.gateways")?.item?.as_integer()
     }
 
-    /// The place of a key outside lists, by its path in operators' files.
+    /// Returns the location of a key outside lists, by its path in operators' TOML.
     fn locate_key(&self, toml_path: &str) -> Option<Location<'a>> {
         let key = all_keys().find(|key| key.toml_path == toml_path)?;
         self.locate(key.path(self.format)).into_iter().next()
     }
 
-    /// The items of a list; none where it is missing.
+    /// Returns the items of a list; none if it is missing or not a list.
     fn list_items(&self, list: ListPaths) -> Vec<&'a ConfigItem> {
         let location = self.locate(list.path(self.format)).into_iter().next();
         match location
