--- a/crates/fleet-lab/src/hybrid/args.rs
+++ b/crates/fleet-lab/src/hybrid/args.rs
@@ -1,62 +1,65 @@
-//! The arguments of the command, and what they describe.
+//! The command-line arguments of `fleet-lab hybrid`, and the scenario and load that they describe.
 
 use super::load::LoadConfig;
 use super::scenario::{Scenario, ScenarioSize};
 use super::server_faults::FaultProfile;
 use std::path::PathBuf;
 
-/// Maximum number of requests a second, over all nodes: all share one processor here.
+/// Maximum number of requests per second over all nodes, which share one processor here.
 const MAX_RATE: f64 = 5000.0;
 /// Maximum number of real nodes.
 const MAX_REAL_NODES: u32 = 4;
 /// Maximum number of hollow nodes.
 const MAX_HOLLOW_NODES: u32 = 100;
-/// Maximum time in which clients arrive, s.
+/// Maximum time during which clients send requests, in seconds.
 const MAX_SECONDS: u32 = 120;
 /// Maximum number of nodes in the settings.
 const MAX_FLEET_SIZE: u32 = 1000;
 
-/// Arguments of the command.
+/// Arguments of `fleet-lab hybrid`.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// Real nodes, 1 to 4.
+    /// Number of real nodes, from 1 to 4.
     #[arg(long, default_value_t = 2)]
     pub(super) real: u32,
-    /// Hollow nodes, 1 to 100.
+    /// Number of hollow nodes, from 1 to 100.
     #[arg(long, default_value_t = 10)]
     hollow: u32,
-    /// Time in which clients arrive, in seconds, 1 to 120.
+    /// Time during which clients send requests, in seconds, from 1 to 120.
     #[arg(long, default_value_t = 10)]
     pub(super) seconds: u32,
-    /// Requests a second at each node, on average.
+    /// Mean number of requests per second at each node.
     #[arg(long, default_value_t = 40.0)]
     rate: f64,
     /// Seed of all random draws.
     #[arg(long, default_value_t = 1)]
     pub(super) seed: u64,
-    /// Number of nodes in the settings, 1000 at most; those that do not run are silent. By default all run.
+    /// Number of nodes in the settings, at most 1000; nodes that do not run are silent. Defaults to
+    /// the number of nodes that run.
     #[arg(long)]
     fleet_size: Option<u32>,
-    /// The factor within which real and hollow nodes have to agree, beyond what chance explains.
+    /// Largest factor by which figures of real and hollow nodes may differ, beyond what chance
+    /// explains.
     #[arg(long, default_value_t = 2.0)]
     pub(super) within: f64,
-    /// The share of a quota that may be used on top of it in the long run: a standby owner's part in a large fleet, and
-    /// in a small one what nodes forget of debts deeper than their token buckets.
+    /// Fraction of a quota that may be used in addition to the quota in the long run: in a large
+    /// fleet the standby owner's part, in a small fleet the debts that nodes forget because they
+    /// exceed the capacity of the token buckets.
     #[arg(long, visible_alias = "doubt", default_value_t = 0.3)]
     quota_tolerance: f64,
-    /// The faults of the servers.
+    /// Faults of the servers during the run.
     #[arg(long = "fault", visible_alias = "trouble", value_enum, default_value_t = FaultProfile::Mixed)]
     faults: FaultProfile,
-    /// The edge node's program; by default the one in the folder of this program.
+    /// Path of the edge node's program; defaults to `edge-node` in the folder of this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Write the figures to this file as JSON.
+    /// Write the report to this file as JSON.
     #[arg(long)]
     pub(super) json: Option<PathBuf>,
 }
 
 impl Args {
-    /// The scenario that these describe, or why they describe none.
+    /// Returns the scenario that the arguments describe, or the reason why they are invalid.
     pub(super) fn scenario(&self) -> Result<Scenario, String> {
         self.validate()?;
         Ok(Scenario::new(ScenarioSize {
@@ -67,12 +70,12 @@
         }))
     }
 
-    /// Nodes that run.
+    /// Returns the number of nodes that run.
     fn nodes(&self) -> u32 {
         self.real + self.hollow
     }
 
-    /// Nodes in the settings.
+    /// Returns the number of nodes in the settings.
     fn fleet_size(&self) -> u32 {
         self.fleet_size.unwrap_or(self.nodes())
     }
@@ -84,28 +87,31 @@
         let (nodes, fleet_size) = (self.nodes(), self.fleet_size());
         if !(nodes..=MAX_FLEET_SIZE).contains(&fleet_size) {
             return Err(format!(
-                "--fleet-size {fleet_size}: it has to be from {nodes}, the nodes there are, to {MAX_FLEET_SIZE}"
+                "--fleet-size {fleet_size}: must be from {nodes}, the number of nodes that run, to {MAX_FLEET_SIZE}"
             ));
         }
         if !(self.rate > 0.0 && self.rate * f64::from(nodes) <= MAX_RATE) {
             return Err(format!(
-                "--rate {}: it has to be above 0, and {MAX_RATE} over all nodes at most",
+                "--rate {}: must be greater than 0, and at most {MAX_RATE} over all nodes together",
                 self.rate
             ));
         }
         if !(self.within >= 1.0 && self.within.is_finite()) {
-            return Err(format!("--within {}: a factor is 1 or more", self.within));
+            return Err(format!(
+                "--within {}: must be a finite number of at least 1",
+                self.within
+            ));
         }
         if !(0.0..=1.0).contains(&self.quota_tolerance) {
             return Err(format!(
-                "--quota-tolerance {}: a share is from 0 to 1",
+                "--quota-tolerance {}: must be from 0 to 1",
                 self.quota_tolerance
             ));
         }
         Ok(())
     }
 
-    /// The edge node's program, or why there is none.
+    /// Returns the path of the edge node's program, or an error message if there is no such file.
     pub(super) fn program(&self) -> Result<PathBuf, String> {
         let in_own_folder = || Some(std::env::current_exe().ok()?.parent()?.join("edge-node"));
         let program = self
@@ -115,14 +121,14 @@
             .unwrap_or_default();
         if !program.is_file() {
             return Err(format!(
-                "no program at {}: `cargo build --release` builds it",
+                "edge node program {} does not exist; build it with `cargo build --release`",
                 program.display()
             ));
         }
         Ok(program)
     }
 
-    /// The load of the run.
+    /// Returns the load of the run.
     pub(super) fn load(&self) -> LoadConfig {
         LoadConfig {
             seconds: f64::from(self.seconds),
@@ -134,7 +140,7 @@
 
 fn validate_range(name: &str, value: u32, max: u32) -> Result<(), String> {
     if !(1..=max).contains(&value) {
-        return Err(format!("--{name} {value}: it has to be from 1 to {max}"));
+        return Err(format!("--{name} {value}: must be from 1 to {max}"));
     }
     Ok(())
 }
--- a/crates/fleet-lab/src/hybrid/customers.rs
+++ b/crates/fleet-lab/src/hybrid/customers.rs
@@ -2,28 +2,28 @@
 
 use gateway_core::{CustomerId, GatewayId, PlanId};
 
-/// Mixes the numbers of customers into their ids.
+/// Multiplier that spreads consecutive customer numbers over the range of ids.
 const ID_MULTIPLIER: u64 = 0x9e37_79b1;
-/// Largest id of a customer.
+/// Largest customer id: ids have 32 bits.
 const MAX_CUSTOMER_ID: u64 = 0xffff_ffff;
-/// Units of the largest request; all sizes up to it are equally likely.
+/// Units of the largest request; all sizes from 1 unit up are equally likely.
 pub(super) const MAX_UNITS: u32 = 4;
-/// Names of the classes: the first is idempotent, the second is not.
+/// Names of the classes: the first class is idempotent, the second is non-idempotent.
 pub(super) const CLASSES: [&str; 2] = ["balance-read", "post-payment"];
 
-/// A plan.
+/// A plan, with the demand of its customers.
 pub(super) struct Plan {
-    /// Its name at the nodes.
+    /// Name of the plan at the nodes.
     pub(super) name: &'static str,
-    /// Fraction of all demand that its customers ask for.
+    /// Fraction of the total demand that comes from customers of the plan.
     pub(super) demand_fraction: f64,
-    /// Through how many nodes the requests of its customers arrive.
+    /// Number of nodes at which the requests of one customer arrive.
     pub(super) node_count: u32,
-    /// How much a served request is worth, relative to other plans.
+    /// Value of a served request relative to other plans.
     pub(super) weight: f64,
 }
 
-/// All plans.
+/// All plans, in the order of their ids.
 pub(super) const PLANS: [Plan; 3] = [
     Plan {
         name: "basic",
@@ -45,42 +45,42 @@
     },
 ];
 
-/// Name of a plan.
+/// Returns the name of a plan.
 pub(super) fn plan_name(plan: PlanId) -> &'static str {
     PLANS[plan.0].name
 }
 
-/// A customer of the run. What it asks for does not change, so that real and hollow nodes have the same work. The
-/// customers of the simulation have bursts and surges, and prefer some of their gateways.
+/// A customer of the run. Its demand is constant, so that real and hollow nodes have the same work,
+/// whereas customers of the simulation have bursts and surges, and prefer some of their gateways.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Customer {
-    /// Its id.
+    /// Id of the customer at all nodes.
     pub(super) id: CustomerId,
-    /// Its plan.
+    /// Plan of the customer, as an index into [`PLANS`].
     pub(super) plan: PlanId,
-    /// The first of its nodes.
+    /// First of the consecutive nodes at which its requests arrive.
     pub(super) first_node: GatewayId,
-    /// Through how many nodes its requests arrive.
+    /// Number of nodes at which its requests arrive.
     pub(super) node_count: u32,
-    /// Units a second that it asks for.
+    /// Mean units per second of its requests.
     pub(super) demand: f64,
 }
 
 /// A request that a client is about to send.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PlannedRequest {
-    /// The customer whose request it is.
+    /// Customer that the request belongs to.
     pub(super) customer: Customer,
-    /// Index of its class in [`CLASSES`].
+    /// Index of the request's class in [`CLASSES`].
     pub(super) class: usize,
-    /// Its size.
+    /// Units of the quota that the request consumes.
     pub(super) units: u32,
-    /// The node at which it arrives.
+    /// Node at which the request arrives.
     pub(super) node: GatewayId,
 }
 
-/// A customer's id by its number. Nodes find a customer's quota owners by the hash of its id, so ids have to be well
-/// mixed.
+/// Derives a customer's id from its number. Nodes choose a customer's quota owners by the hash of
+/// its id, so ids have to be well mixed.
 pub(super) fn customer_id(number: u64) -> CustomerId {
     CustomerId(number.wrapping_mul(ID_MULTIPLIER) & MAX_CUSTOMER_ID)
 }
--- a/crates/fleet-lab/src/hybrid/datagrams.rs
+++ b/crates/fleet-lab/src/hybrid/datagrams.rs
@@ -1,7 +1,8 @@
-//! Datagrams between nodes. Each node that runs has an address at which the others know it: a hollow node reads there
-//! itself, and what arrives for a real node is counted and forwarded, so that the messages of real nodes can be counted.
+//! Datagrams between nodes. Each node that runs has a public address in this process, to which the
+//! other nodes send. A hollow node receives there itself; datagrams for a real node are counted and
+//! forwarded to the address of its process, so that the messages between real nodes can be counted.
 //!
-//! Delay and loss are those of the sockets. The network of `world` draws both, and knows no sockets.
+//! Delay and loss are those of the sockets. The network of `world` draws both, and has no sockets.
 
 use crate::world::datagrams::MessageCounts;
 use anyhow::{Context, Result};
@@ -10,43 +11,46 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use tokio::net::UdpSocket;
 
-/// Maximum length of a datagram in bytes, by the protocol.
+/// Maximum length of a datagram in bytes, as defined by the protocol.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// What one node has sent.
+/// Counts of the datagrams that one node has sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SentMessages {
-    /// All datagrams.
+    /// Number and bytes of all datagrams.
     pub(super) counts: MessageCounts,
-    /// Datagrams that were longer than the protocol allows.
+    /// Number of datagrams that were longer than the protocol allows.
     pub(super) too_long: u64,
 }
 
-/// A message of a node.
+/// A message that one node has sent to another.
 pub(super) struct PeerDatagram {
-    /// The sender.
+    /// Node that sent the message.
     pub(super) from: GatewayId,
-    /// The message.
+    /// Encoded message.
     pub(super) bytes: Vec<u8>,
 }
 
+/// Addresses of one node that runs, and the counts of what it has sent.
 struct NodeAddress {
-    /// Where the others send to, and from where they receive.
+    /// Receives what other nodes send to this node, and sends on behalf of this node.
     socket: UdpSocket,
+    /// Address of `socket`, by which other nodes know this node.
     public_address: SocketAddr,
-    /// Where a real node itself listens.
+    /// Address of a real node's process; `None` for a hollow node.
     real_address: Option<SocketAddr>,
     sent: Cell<SentMessages>,
 }
 
 impl NodeAddress {
-    /// The address from which the node itself sends.
+    /// Returns the address from which the node itself sends.
     fn source(&self) -> SocketAddr {
         self.real_address.unwrap_or(self.public_address)
     }
 }
 
-/// The addresses of all nodes. Those that are in the settings and do not run share one, where nobody answers.
+/// Addresses of all nodes. Nodes that are in the settings but do not run share one address, from
+/// which nobody answers.
 pub(super) struct Datagrams {
     nodes: Vec<NodeAddress>,
     absent_socket: UdpSocket,
@@ -55,7 +59,8 @@
 }
 
 impl Datagrams {
-    /// Binds an address for each node; `real` has the address at which a real node itself listens.
+    /// Binds a public address for each node. `real_addresses` holds the addresses of the processes
+    /// of real nodes, by node number, and `None` for hollow nodes.
     pub(super) async fn bind(
         real_addresses: &[Option<SocketAddr>],
         fleet_size: usize,
@@ -81,7 +86,8 @@
         })
     }
 
-    /// The addresses of all nodes for the configuration of a real one, whose own is where it listens.
+    /// Returns the addresses of all nodes for the configuration of a real node, in which the node's
+    /// own address is that of its process.
     pub(super) fn peer_addresses(&self, node: GatewayId) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> =
             self.nodes.iter().map(|node| node.public_address).collect();
@@ -91,25 +97,25 @@
         addresses
     }
 
-    /// What a node has sent so far.
+    /// Returns the counts of what a node has sent so far.
     pub(super) fn sent(&self, node: GatewayId) -> SentMessages {
         self.nodes[node.0 as usize].sent.get()
     }
 
-    /// Sends a hollow node's message to another node.
+    /// Sends a message of a hollow node to another node.
     pub(super) fn send(&self, from: GatewayId, to: GatewayId, bytes: &[u8]) {
         self.record_sent(from, bytes);
         let address = self
             .nodes
             .get(to.0 as usize)
             .map_or(self.absent_address, NodeAddress::source);
-        // Datagrams may be lost.
+        // Errors are ignored, because datagrams may be lost at any time.
         let _ = self.nodes[from.0 as usize]
             .socket
             .try_send_to(bytes, address);
     }
 
-    /// Sends a hollow node's message to all others.
+    /// Sends a message of a hollow node to all other nodes.
     pub(super) fn broadcast(&self, from: GatewayId, bytes: &[u8]) {
         for to in (0..self.fleet_size as u32)
             .map(GatewayId)
@@ -119,8 +125,8 @@
         }
     }
 
-    /// Receives the next message to a node. One to a real node is forwarded; `None` then, and if no node is known to
-    /// have sent it.
+    /// Receives the next message to a node. Returns `None` if the message was forwarded because the
+    /// node is real, or if the sender is unknown.
     pub(super) async fn receive(&self, to: GatewayId) -> Option<PeerDatagram> {
         let receiver = &self.nodes[to.0 as usize];
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
@@ -138,7 +144,7 @@
                 bytes: bytes.to_vec(),
             });
         };
-        // The real node knows the sender by its public address.
+        // The real node knows the sender by its public address, so the datagram is sent from there.
         let _ = sender.socket.try_send_to(bytes, real_address);
         None
     }
@@ -169,5 +175,5 @@
 async fn bind_socket() -> Result<UdpSocket> {
     UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))
         .await
-        .context("a port for datagrams")
+        .context("cannot bind a port for datagrams")
 }
--- a/crates/fleet-lab/src/hybrid/discovery_agent.rs
+++ b/crates/fleet-lab/src/hybrid/discovery_agent.rs
@@ -1,4 +1,4 @@
-//! The discovery agent of a real node: it serves the list of servers by watches over HTTP.
+//! The discovery agent of a real node, which serves the list of servers over HTTP by watches.
 
 use super::environment::Environment;
 use bytes::Bytes;
@@ -16,14 +16,14 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Longest time between two lines of a watch.
+/// Longest time between two lines of a watch; without a change, an empty line is sent.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Lines of a watch that may be buffered for the node.
+/// Maximum number of lines that are buffered for each watch.
 const BUFFERED_LINES: usize = 16;
-/// The path of the list.
+/// HTTP path of the list of servers.
 const LIST_PATH: &str = "/api/targets";
 
-/// Serves one real node until the end of the run.
+/// Serves the list to one real node until the end of the run.
 pub(super) async fn serve(environment: Rc<Environment>, node: GatewayId, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let environment = Rc::clone(&environment);
@@ -32,7 +32,7 @@
                 let response = open_watch(&environment, node, &request);
                 async move { response }
             });
-            // The node may close a watch at any time.
+            // Errors are ignored, because the node may close a watch at any time.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -79,7 +79,8 @@
     }
 }
 
-/// Waits for a new version, or for the time of a keepalive line; returns false if there will be no version any more.
+/// Waits for a new version of the list or for the next keepalive line. Returns false if no further
+/// version can follow.
 async fn wait_for_next_line(versions: &mut watch::Receiver<u64>) -> bool {
     !matches!(
         tokio::time::timeout(KEEPALIVE_INTERVAL, versions.changed()).await,
--- a/crates/fleet-lab/src/hybrid/endpoint_registry.rs
+++ b/crates/fleet-lab/src/hybrid/endpoint_registry.rs
@@ -1,7 +1,8 @@
 //! The list of servers that discovery serves, with its versions.
 //!
-//! Nodes watch it and know the version they have, as real ones do. The discovery of `world` keeps the position of every
-//! gateway itself, and has outages. What a gateway knows of draining servers is recorded by one type for both,
+//! Nodes watch the list and know which version they have, as in production. In `world`, discovery
+//! itself keeps the version of every gateway, and has outages. What a gateway knows of draining
+//! servers is recorded by one type in both,
 //! [`DrainingServers`](crate::world::draining::DrainingServers).
 
 use super::server_faults::ListedState;
@@ -11,14 +12,14 @@
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
-/// A server as discovery has it.
+/// An entry of the list.
 struct RegisteredServer {
     name: String,
     id: ServerId,
     address: SocketAddr,
     state: EndpointState,
     started_at: Option<Timestamp>,
-    /// The version in which it was changed last.
+    /// Version in which the entry last changed.
     changed_in_version: u64,
 }
 
@@ -47,14 +48,14 @@
     }
 }
 
-/// The list of servers; versions count from 1.
+/// The list of servers. Versions are counted from 1.
 pub(super) struct EndpointRegistry {
     servers: RefCell<Vec<RegisteredServer>>,
     version: watch::Sender<u64>,
 }
 
 impl EndpointRegistry {
-    /// An empty list.
+    /// Creates an empty list.
     pub(super) fn new() -> EndpointRegistry {
         EndpointRegistry {
             servers: RefCell::default(),
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Adds a server that has run for long to the first version of the list.
+    /// Adds a server that has been running for a long time, and therefore has no start time, to
+    /// version 1 of the list.
     pub(super) fn add(&self, name: String, id: ServerId, address: SocketAddr) {
         let (state, started_at, changed_in_version) = (EndpointState::Ready, None, 1);
         self.servers.borrow_mut().push(RegisteredServer {
@@ -75,7 +77,7 @@
         });
     }
 
-    /// Changes the state of a server, by index, and publishes a new version.
+    /// Changes the state of the server with the given index, and publishes a new version.
     pub(super) fn update(&self, now: Timestamp, server: usize, state: ListedState) {
         let version = self.version() + 1;
         if let Some(server) = self.servers.borrow_mut().get_mut(server) {
@@ -96,12 +98,12 @@
         *self.version.borrow()
     }
 
-    /// Notifies of each new version.
+    /// Returns a receiver that is notified of each new version.
     pub(super) fn subscribe(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
-    /// The entries that were changed after a version.
+    /// Returns the entries that changed after the given version.
     pub(super) fn changes_since(&self, version: u64) -> Vec<Endpoint> {
         let servers = self.servers.borrow();
         let changed = servers
@@ -110,8 +112,8 @@
         changed.map(RegisteredServer::endpoint).collect()
     }
 
-    /// The entries that were changed after a version, in the protocol's JSON. From version 0 on this is the whole
-    /// list, which has no removed servers.
+    /// Returns the entries that changed after the given version, in the JSON of the protocol. After
+    /// version 0, these are the whole list, which leaves out removed servers.
     pub(super) fn json_since(&self, version: u64) -> serde_json::Value {
         let is_whole = version == 0;
         let is_listed = |server: &&RegisteredServer| {
--- a/crates/fleet-lab/src/hybrid/environment.rs
+++ b/crates/fleet-lab/src/hybrid/environment.rs
@@ -1,4 +1,5 @@
-//! What all parts of a run share.
+//! The state that all parts of a run share: clock, servers, network between nodes and the record of
+//! requests.
 
 use super::datagrams::Datagrams;
 use super::endpoint_registry::EndpointRegistry;
@@ -14,16 +15,16 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 use tokio::net::TcpListener;
 
-/// Unix time that never goes back. Real and hollow nodes exchange times of it. The simulation has no clock, since its
-/// time is that of the next event.
+/// A monotonic clock that shows Unix time, since real and hollow nodes exchange timestamps. The
+/// simulation has no clock, because its time is that of the next event.
 pub(super) struct Clock {
     started: Instant,
-    /// Unix time at the start.
+    /// Unix time when the clock started.
     unix_start: Timestamp,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at the current Unix time.
     pub(super) fn start() -> Clock {
         let unix_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -34,25 +35,25 @@
         }
     }
 
-    /// The time.
+    /// Returns the current time.
     pub(super) fn now(&self) -> Timestamp {
         self.unix_start + self.started.elapsed()
     }
 }
 
-/// The environment of the nodes of one run.
+/// The environment of all nodes of one run.
 pub(super) struct Environment {
-    /// The clock.
+    /// Clock of the clients, the servers and the hollow nodes.
     pub(super) clock: Clock,
-    /// What the clients ask for.
+    /// Customers, their quotas and their demand.
     pub(super) scenario: Scenario,
-    /// The record of all requests.
+    /// Record of all requests, and the check of the invariants on it.
     pub(super) checker: RefCell<SocketInvariantChecker>,
-    /// The servers.
+    /// Simulated servers, by index.
     pub(super) servers: Vec<Server>,
-    /// The list of servers as discovery has it.
+    /// List of servers that discovery serves.
     pub(super) registry: EndpointRegistry,
-    /// The messages between nodes.
+    /// Messages between nodes.
     pub(super) datagrams: Datagrams,
 }
 
@@ -60,7 +61,7 @@
     /// Starts the servers and the network between the nodes.
     ///
     /// # Errors
-    /// If a port cannot be bound.
+    /// Returns an error if a port cannot be bound.
     pub(super) async fn start(
         scenario: Scenario,
         seed: u64,
@@ -86,7 +87,8 @@
         Ok(environment)
     }
 
-    /// Lets the servers accept connections, and counts messages to nodes that do not run.
+    /// Spawns the tasks that serve the servers' connections and count messages to nodes that do not
+    /// run.
     fn spawn_tasks(self: &Rc<Self>, listeners: Vec<TcpListener>) {
         for (server, listener) in listeners.into_iter().enumerate() {
             tokio::task::spawn_local(server_http::serve(Rc::clone(self), server, listener));
@@ -95,7 +97,7 @@
         tokio::task::spawn_local(async move { environment.datagrams.count_undeliverable().await });
     }
 
-    /// Records that a node has received these entries of the list now.
+    /// Records that a node has received the given entries of the list now.
     pub(super) fn record_update(&self, node: GatewayId, endpoints: &[Endpoint]) {
         let now = self.clock.now();
         let mut checker = self.checker.borrow_mut();
@@ -105,7 +107,7 @@
     }
 }
 
-/// Binds a port for each server, and adds the server to the list.
+/// Binds a port for each server and adds the server to the list.
 async fn register_servers(
     servers: &[Server],
     registry: &EndpointRegistry,
--- a/crates/fleet-lab/src/hybrid/figure.rs
+++ b/crates/fleet-lab/src/hybrid/figure.rs
@@ -1,11 +1,11 @@
-//! A figure with its statistical bounds.
+//! Measured figures with statistical bounds.
 
 use serde::Serialize;
 
-/// A figure with the bounds between which its true value lies but for chance.
+/// A measured value with bounds between which the true value lies, except by chance.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Figure {
-    /// As measured.
+    /// Measured value.
     pub value: f64,
     /// Lower bound.
     pub low: f64,
@@ -14,7 +14,8 @@
 }
 
 impl Figure {
-    /// A figure that is off by this error at most.
+    /// Returns a figure whose measured value is off by at most `error`; the lower bound is at least
+    /// 0.
     pub(super) fn around(value: f64, error: f64) -> Figure {
         Figure {
             value,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Whether two figures may be within a factor of each other.
+    /// Returns whether the true values of two figures may be within a factor of each other.
     pub fn agrees(&self, other: &Figure, factor: f64) -> bool {
         self.low <= other.high * factor && other.low <= self.high * factor
     }
--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -1,5 +1,6 @@
-//! A hollow node: the decision library with the lab in place of its sockets. It exchanges requests and attempts with
-//! clients and servers by calls, and messages with other nodes, real ones too, by datagrams.
+//! A hollow node: the decision library with the lab in place of its sockets. It exchanges requests
+//! and attempts with clients and servers by function calls, and messages with other nodes,
+//! including real nodes, by datagrams.
 
 use super::customers::PlannedRequest;
 use super::environment::Environment;
@@ -18,41 +19,42 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// A request whose client waits for the answer.
+/// A request whose client is waiting for the final answer.
 struct OpenRequest {
     answer: oneshot::Sender<FinalAnswer>,
     attempts: u32,
 }
 
-/// One attempt of a request.
+/// Key of one attempt of a request.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct AttemptKey {
     id: RequestId,
     attempt: AttemptNumber,
 }
 
-/// One hollow node.
+/// A running hollow node.
 pub(super) struct HollowNode {
     id: GatewayId,
     environment: Rc<Environment>,
     gateway: RefCell<Gateway>,
     open_requests: RefCell<HashMap<RequestId, OpenRequest>>,
-    /// Attempts in flight; dropping the sender cancels the attempt.
+    /// Attempts in flight; dropping a sender cancels its attempt.
     in_flight: RefCell<HashMap<AttemptKey, oneshot::Sender<()>>>,
     decision_time: Cell<Duration>,
 }
 
 impl HollowNode {
-    /// Starts a node, which receives the list of servers and the messages of its peers from now on.
+    /// Starts a node, which from then on receives the list of servers and the messages of its
+    /// peers.
     pub(super) fn start(
         environment: &Rc<Environment>,
         id: GatewayId,
         seed: u64,
     ) -> Result<Rc<HollowNode>> {
         let settings = environment.scenario.settings(id).to_string();
-        let resolved = gateway_core::settings::parse(&settings).context("settings")?;
-        let gateway =
-            Gateway::new(seed, resolved.settings, environment.clock.now()).context("settings")?;
+        let resolved = gateway_core::settings::parse(&settings).context("invalid settings")?;
+        let gateway = Gateway::new(seed, resolved.settings, environment.clock.now())
+            .context("invalid settings")?;
         let node = Rc::new(HollowNode {
             id,
             environment: Rc::clone(environment),
@@ -66,7 +68,7 @@
         Ok(node)
     }
 
-    /// Time inside the decision library so far.
+    /// Returns the time spent inside the decision library so far.
     pub(super) fn decision_time(&self) -> Duration {
         self.decision_time.get()
     }
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Gives the decision library an event, and carries out the resulting actions.
+    /// Passes an event to the decision library and executes the resulting actions.
     fn handle_event(self: &Rc<Self>, event: Event) {
         let now = self.environment.clock.now();
         let mut actions = Vec::new();
@@ -136,12 +138,13 @@
                     node.handle_event(Event::TimerFired { token });
                 });
             }
-            // The list is watched in any case.
+            // The node watches the list from its start on, and the lab shows no warnings.
             Action::WatchEndpoints | Action::Warn(_) => {}
         }
     }
 
-    /// Gives a final answer. A second one would not reach the client, which has the first, so each is recorded.
+    /// Gives a request its final answer. A second answer would not reach the client, which already
+    /// has the first one, so every answer is recorded for the invariant checker.
     fn answer(&self, id: &RequestId, answer: FinalAnswer) {
         let now = self.environment.clock.now();
         self.environment
@@ -154,7 +157,8 @@
         }
     }
 
-    /// Handles a client's request to its final answer; `None` if none came until then, when the client gives up.
+    /// Handles a client's request until its final answer. Returns `None` if the client gives up at
+    /// `give_up_at` without an answer.
     pub(super) async fn request(
         self: &Rc<Self>,
         id: &RequestId,
@@ -205,7 +209,7 @@
         });
     }
 
-    /// The number of a request's next attempt; `None` if the request is not open.
+    /// Returns the number of a request's next attempt; `None` if the request is not open.
     fn next_attempt(&self, id: &RequestId) -> Option<AttemptNumber> {
         let mut open_requests = self.open_requests.borrow_mut();
         let open = open_requests.get_mut(id)?;
@@ -214,7 +218,8 @@
         Some(attempt)
     }
 
-    /// A server's reply; `None` if there is no such server, or no such request.
+    /// Sends an attempt to a server and returns its reply; `None` if the server or the request is
+    /// unknown.
     async fn call_server(&self, id: &RequestId, server: ServerId) -> Option<AttemptReply> {
         let environment = &self.environment;
         let server = environment
@@ -245,7 +250,7 @@
             Some(AttemptStatus::Rejected) => AttemptOutcome::Overloaded,
             None => AttemptOutcome::Cancelled,
         };
-        // A server's answer that comes after the final answer is discarded.
+        // A server's answer that arrives after the final answer is discarded.
         if outcome == AttemptOutcome::Success && self.open_requests.borrow().contains_key(&id) {
             self.answer(&id, FinalAnswer::Served);
         }
--- a/crates/fleet-lab/src/hybrid/invariant_checker.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_checker.rs
@@ -1,10 +1,11 @@
-//! The invariant checker of runs over sockets: the record of all requests, and the check of the invariants over it. It
-//! has no input, no output and no clock.
+//! The invariant checker for runs over sockets: it records all requests and checks the invariants
+//! on the records. It has no input, no output and no clock.
 //!
-//! Records of requests, usage limits and drains are the types of `world`, as in the simulation. The checks differ from
-//! those of [`crate::world::invariant_checker`] in what can be observed over sockets: attempts are seen only where they
-//! arrive and run, a request stays open when its client gives up, and neither what gateways learn of attempts nor the
-//! load of starting servers is seen.
+//! Requests, usage limits and drains are recorded by the types of `world`, as in the simulation.
+//! The checks differ from those of [`crate::world::invariant_checker`], because less can be
+//! observed over sockets: attempts are seen only where they arrive and run, a request stays open
+//! when its client gives up, and neither the attempt outcomes that gateways learn nor the load of
+//! starting servers is seen.
 
 use super::invariant_result::InvariantResult;
 use super::observed_request::{ObservedRequest, ReceivedAnswer, SentRequest};
@@ -17,20 +18,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A final answer is missing if it comes later than this after the client's timeout: half a second, and
-/// [`SOCKET_TOLERANCE`]. The simulation allows far less, as its clock stands still while a gateway computes.
+/// Time after the client's timeout by which a final answer has to arrive: half a second plus
+/// [`SOCKET_TOLERANCE`]. The simulation allows far less, because its clock stands still while a
+/// gateway computes.
 pub const ANSWER_GRACE: Duration = Duration::from_millis(550);
-/// By this every time limit is longer on sockets.
+/// Time by which every time limit is longer over sockets than in the simulation.
 pub const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// The record of all requests of one run, and the checks.
+/// The record of all requests of one run, and the check of the invariants on it.
 #[derive(Debug)]
 pub struct SocketInvariantChecker {
     started_at: Timestamp,
     drain_grace: DrainGrace,
     quotas: HashMap<CustomerId, QuotaUsage>,
     requests: HashMap<Arc<str>, ObservedRequest>,
-    /// What each node knows of servers that are draining or gone.
+    /// Servers that each node knows to be draining or gone.
     draining: HashMap<GatewayId, DrainingServers>,
     drains_received: u64,
     attempts_while_draining: u64,
@@ -40,7 +42,7 @@
 }
 
 impl SocketInvariantChecker {
-    /// A checker without records.
+    /// Creates a checker without records for customers with the given quotas.
     pub fn new(
         now: Timestamp,
         drain_grace: Duration,
@@ -61,12 +63,13 @@
         }
     }
 
-    /// The first clients arrive now: the tolerance of quotas grows from here on.
+    /// Marks the time at which the first clients arrive: from then on, the tolerance of quotas
+    /// grows.
     pub fn start(&mut self, now: Timestamp) {
         self.started_at = now;
     }
 
-    /// A client has sent a request. Ids are never used twice.
+    /// Records that a client has sent a request. Ids must not be reused.
     pub fn request_sent(&mut self, now: Timestamp, id: Arc<str>, request: SentRequest) {
         let record = RequestRecord::new(now, request);
         self.requests.insert(
@@ -78,7 +81,8 @@
         );
     }
 
-    /// An attempt has arrived at a server. Returns the units of its request; `None` if no client sent it.
+    /// Records that an attempt has arrived at a server. Returns the units of its request; `None` if
+    /// no client sent the request.
     pub fn attempt_arrived(&mut self, now: Timestamp, id: &str, server: ServerId) -> Option<f64> {
         let Some(ObservedRequest { record, .. }) = self.requests.get_mut(id) else {
             self.unknown_requests += 1;
@@ -109,14 +113,14 @@
         }
     }
 
-    /// An attempt has begun to run.
+    /// Records that an attempt has started to run at its server.
     pub fn execution_started(&mut self, id: &str) {
         if let Some(observed) = self.requests.get_mut(id) {
             observed.record.execution_started();
         }
     }
 
-    /// A client has received an answer.
+    /// Records an answer to a request.
     pub fn answered(&mut self, now: Timestamp, id: &str, answer: ReceivedAnswer) {
         let Some(observed) = self.requests.get_mut(id) else {
             self.unknown_requests += 1;
@@ -128,7 +132,7 @@
         self.forged_answers += u64::from(answer == ReceivedAnswer::Forged);
     }
 
-    /// A node has received a server's state from discovery.
+    /// Records that a node has received a server's state from discovery.
     pub fn endpoint_received(
         &mut self,
         now: Timestamp,
@@ -144,7 +148,7 @@
         self.drains_received += u64::from(is_new_drain);
     }
 
-    /// Checks all invariants, once all requests have ended.
+    /// Checks all invariants; to be called after all requests have ended.
     pub fn check(&self) -> Vec<InvariantResult> {
         vec![
             self.check_quotas(),
--- a/crates/fleet-lab/src/hybrid/invariant_result.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_result.rs
@@ -3,20 +3,21 @@
 use serde::Serialize;
 use std::fmt;
 
-/// The result of checking one invariant. The simulation's [`Violations`](crate::world::invariant::Violations) give
-/// times instead: it checks at each event, whereas here some violations are known only at the end of the run.
+/// The result of checking one invariant. The simulation has
+/// [`Violations`](crate::world::invariant::Violations) instead, which hold times: the simulation
+/// checks at each event, whereas here some violations are known only at the end of the run.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct InvariantResult {
-    /// The invariant.
+    /// Statement of the invariant, as the report prints it.
     #[serde(rename = "rule")]
     pub invariant: &'static str,
-    /// In how many cases it was checked.
+    /// Number of cases in which the invariant was checked.
     #[serde(rename = "looked_at")]
     pub checked: u64,
-    /// In how many it was violated.
+    /// Number of violations.
     #[serde(rename = "broken")]
     pub violations: u64,
-    /// Further observations.
+    /// Further observations for the report; may be empty.
     #[serde(rename = "seen")]
     pub details: String,
 }
--- a/crates/fleet-lab/src/hybrid/load.rs
+++ b/crates/fleet-lab/src/hybrid/load.rs
@@ -1,4 +1,5 @@
-//! The load of a run: clients that send requests to all nodes, whatever answers they get, and what that costs.
+//! The load of a run: clients send requests to all nodes at a rate that does not depend on the
+//! answers. Answers and the resource usage of the nodes are counted.
 
 use super::customers::PlannedRequest;
 use super::environment::Environment;
@@ -18,31 +19,31 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Mixes the seed into request ids.
+/// Multiplier that mixes the seed into request ids.
 const ID_MULTIPLIER: u64 = 0x9e37_79b9;
 
-/// What the load of a run is.
+/// Duration, seed and faults of a run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadConfig {
-    /// Time in which clients arrive, s.
+    /// Time during which clients send requests, in seconds.
     pub(super) seconds: f64,
     /// Seed of the request ids.
     pub(super) seed: u64,
-    /// The faults of the servers.
+    /// Faults of the servers.
     pub(super) faults: FaultProfile,
 }
 
-/// What the nodes of both kinds did.
+/// Totals of the nodes of each kind.
 pub(super) struct KindTotals {
-    /// The real nodes.
+    /// Totals of the real nodes.
     pub(super) real: NodeTotals,
-    /// The hollow nodes.
+    /// Totals of the hollow nodes.
     pub(super) hollow: NodeTotals,
 }
 
 impl KindTotals {
     fn new() -> Result<KindTotals> {
-        let totals = || NodeTotals::new().context("waits can't be counted");
+        let totals = || NodeTotals::new().context("cannot create the histogram of waits");
         Ok(KindTotals {
             real: totals()?,
             hollow: totals()?,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Adds what a node has used between two measurements.
+    /// Adds the resources that a node has used between two measurements.
     fn add_usage(&mut self, node: &Node, before: &NodeUsage, after: &NodeUsage) {
         let totals = self.of(node);
         totals.cost_us += after.cost.saturating_sub(before.cost).as_secs_f64() * MICROS_PER_SECOND;
@@ -66,7 +67,8 @@
     }
 }
 
-/// Generates the load, and returns what the nodes did once each client has its answer or has given up.
+/// Generates the load. Returns the totals of the nodes once each client has its answer or has given
+/// up.
 pub(super) async fn generate(
     environment: &Rc<Environment>,
     nodes: &Rc<Vec<Node>>,
@@ -88,7 +90,7 @@
     };
     load.run(config, started, rng).await?;
     let mut totals = Rc::into_inner(totals)
-        .context("a client still counts")?
+        .context("a client task still holds the totals")?
         .into_inner();
     let after = usage_of(nodes, environment)?;
     for ((node, before), after) in nodes.iter().zip(&before).zip(&after) {
@@ -105,7 +107,8 @@
 }
 
 impl LoadGenerator {
-    /// Sends requests at random times at a fixed rate, and waits for the last answer.
+    /// Sends requests at random times with a fixed mean rate, and waits until the last client has
+    /// finished.
     async fn run(self, config: LoadConfig, started: Instant, mut rng: Rng) -> Result<()> {
         let mut clients = JoinSet::new();
         let mut elapsed = 0.0;
@@ -122,12 +125,12 @@
             clients.spawn_local(self.clone().send(RequestId(id.into()), request));
         }
         while let Some(client) = clients.join_next().await {
-            client.context("a client broke off")?;
+            client.context("a client task failed")?;
         }
         Ok(())
     }
 
-    /// Sends one request and counts its answer.
+    /// Sends one request, waits for its answer and counts it.
     async fn send(self, id: RequestId, request: PlannedRequest) {
         let environment = &self.environment;
         let sent_at = environment.clock.now();
--- a/crates/fleet-lab/src/hybrid/mod.rs
+++ b/crates/fleet-lab/src/hybrid/mod.rs
@@ -1,6 +1,6 @@
-//! `fleet-lab hybrid`: real processes on loopback together with hollow nodes, with the same customers, the same servers
-//! and the same datagrams. The invariants have to hold over both kinds together, and both kinds have to cost and send
-//! alike.
+//! `fleet-lab hybrid`: runs real edge node processes on loopback together with hollow nodes. Both
+//! kinds have the same customers and the same servers, and exchange datagrams. The invariants have
+//! to hold over both kinds together, and the compared figures of both kinds have to agree.
 
 pub mod figure;
 pub mod invariant_checker;
@@ -43,14 +43,14 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// Maximum time that a run takes in addition to the time in which clients arrive.
+/// Maximum duration of a run in addition to the time during which clients send requests.
 const MAX_OVERTIME: Duration = Duration::from_secs(14);
 
 /// Runs the nodes and prints the report.
 ///
 /// # Errors
-/// The arguments are invalid, a part of the run could not be started, an invariant was violated, or the two kinds of
-/// nodes do not agree.
+/// Returns an error if the arguments are invalid, a part of the run could not be started, an
+/// invariant was violated, or the figures of the two kinds of nodes do not agree.
 pub fn run(args: &Args) -> Result<(), Failure> {
     let scenario = args.scenario().map_err(Failure::InvalidArguments)?;
     let program = args.program().map_err(Failure::InvalidArguments)?;
@@ -61,11 +61,12 @@
     let limited_run =
         async { tokio::time::timeout(time_limit, run_nodes(args, scenario, program)).await };
     let report = LocalSet::new().block_on(&runtime, limited_run);
-    let report = report.with_context(|| format!("it was not over after {time_limit:?}"))??;
+    let report = report.with_context(|| format!("the run did not end within {time_limit:?}"))??;
     write!(std::io::stdout(), "{report}")?;
     if let Some(path) = &args.json {
         let text = serde_json::to_string_pretty(&report)?;
-        std::fs::write(path, text + "\n").with_context(|| format!("--json {}", path.display()))?;
+        std::fs::write(path, text + "\n")
+            .with_context(|| format!("cannot write --json {}", path.display()))?;
     }
     let problems = report.problems();
     if !problems.is_empty() {
@@ -76,7 +77,7 @@
 
 /// Starts the environment and all nodes, generates the load, and shuts the nodes down.
 async fn run_nodes(args: &Args, scenario: Scenario, program: PathBuf) -> Result<Report> {
-    let folder = tempfile::tempdir().context("a folder for configurations")?;
+    let folder = tempfile::tempdir().context("cannot create a folder for configuration files")?;
     let ports = ReservedPorts::reserve(args.real, scenario.size().nodes).await?;
     let environment = Environment::start(scenario, args.seed, &ports).await?;
     let mut rng = Rng::seed_from_u64(args.seed);
@@ -84,7 +85,8 @@
     let nodes = Rc::new(nodes);
     let totals = load::generate(&environment, &nodes, args.load(), rng).await?;
     let invariants = environment.checker.borrow().check();
-    nodes::shut_down_all(Rc::into_inner(nodes).context("a client still holds the nodes")?).await?;
+    nodes::shut_down_all(Rc::into_inner(nodes).context("a client task still holds the nodes")?)
+        .await?;
     Ok(Report::new(
         &totals.real,
         &totals.hollow,
--- a/crates/fleet-lab/src/hybrid/node_settings.rs
+++ b/crates/fleet-lab/src/hybrid/node_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the nodes, in the deployment's JSON.
+//! Settings of the nodes in the JSON of the deployment.
 
 use super::customers::{CLASSES, MAX_UNITS, PLANS};
 use super::plan_quotas::{PlanQuotas, ACCEPTED_MESSAGES_PER_SECOND};
@@ -11,7 +11,7 @@
 /// Latency objective of all classes.
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(1);
 
-/// The settings of one node of a fleet.
+/// Returns the settings of one node of a fleet.
 pub(super) fn node_settings(
     quotas: &PlanQuotas,
     fleet_size: u32,
--- a/crates/fleet-lab/src/hybrid/node_totals.rs
+++ b/crates/fleet-lab/src/hybrid/node_totals.rs
@@ -1,4 +1,4 @@
-//! What the nodes of one kind did in all.
+//! Totals of the nodes of one kind, and the figures computed from them.
 
 use super::figure::Figure;
 use super::observed_request::ReceivedAnswer;
@@ -7,36 +7,37 @@
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// Standard errors by which a figure may be off by chance.
+/// Number of standard errors by which a figure may be off by chance.
 const STANDARD_ERRORS: f64 = 3.0;
-/// Longest wait that the histogram holds, µs.
+/// Longest wait that the histogram holds, in µs; longer waits are counted as this one.
 const MAX_WAIT_US: u64 = 60_000_000;
 
-/// What the nodes of one kind did.
+/// Totals of the nodes of one kind.
 #[derive(Debug)]
 pub struct NodeTotals {
-    /// Requests that clients sent.
+    /// Number of requests that clients sent.
     pub(super) requests: u64,
-    /// Those that were served.
+    /// Number of requests that were served.
     pub(super) served: u64,
-    /// Those that were rejected.
+    /// Number of requests that were rejected.
     pub(super) rejected: u64,
-    /// Those that failed.
+    /// Number of requests that failed.
     pub(super) failed: u64,
-    /// Waits of those that were served, µs.
+    /// Waits of the clients whose requests were served, in µs.
     waits: Histogram<u64>,
-    /// Datagrams sent.
+    /// Number of datagrams that the nodes sent.
     pub messages: u64,
-    /// Their bytes.
+    /// Bytes of all datagrams that the nodes sent.
     pub bytes: u64,
-    /// Datagrams longer than the protocol allows.
+    /// Number of datagrams that were longer than the protocol allows.
     pub too_long: u64,
-    /// Processor time of the processes, or time inside the decision library, µs.
+    /// Processor time of the processes of real nodes, or time that hollow nodes spent inside the
+    /// decision library, in µs.
     pub cost_us: f64,
 }
 
 impl NodeTotals {
-    /// Empty totals; `None` if the histogram of waits cannot be made.
+    /// Creates empty totals; returns `None` if the histogram of waits cannot be created.
     pub fn new() -> Option<NodeTotals> {
         Some(NodeTotals {
             requests: 0,
@@ -51,7 +52,7 @@
         })
     }
 
-    /// Counts a request by its final answer, and how long its client waited.
+    /// Counts a request by its final answer, with the time for which its client waited.
     pub fn count(&mut self, answer: Option<ReceivedAnswer>, wait: Duration) {
         self.requests += 1;
         match answer {
@@ -66,12 +67,12 @@
         }
     }
 
-    /// A total divided by the number of requests.
+    /// Returns a total divided by the number of requests.
     pub(super) fn per_request(&self, total: f64) -> f64 {
         total / self.requests.max(1) as f64
     }
 
-    /// Messages sent for each request.
+    /// Returns the number of messages sent per request.
     pub(super) fn messages_per_request(&self) -> Figure {
         let count = self.messages as f64;
         Figure::around(
@@ -80,16 +81,16 @@
         )
     }
 
-    /// Bytes sent for each request.
+    /// Returns the number of bytes sent per request.
     pub(super) fn bytes_per_request(&self) -> Figure {
         let relative_error = STANDARD_ERRORS / (self.messages.max(1) as f64).sqrt();
         let value = self.per_request(self.bytes as f64);
         Figure::around(value, value * relative_error)
     }
 
-    /// The fraction of the requests, with the bounds of Wilson's score interval.
+    /// Returns a count as a fraction of the requests, with the bounds of Wilson's score interval.
     pub(super) fn fraction(&self, count: u64) -> Figure {
-        // The names of the formula: n trials with a success rate of p, and z standard errors.
+        // Symbols of the formula: n trials with a success rate of p, and z standard errors.
         let n = self.requests.max(1) as f64;
         let p = self.per_request(count as f64);
         let z = STANDARD_ERRORS;
@@ -102,7 +103,8 @@
         }
     }
 
-    /// A quantile of the waits, ms, with the bounds by the ranks between which it lies.
+    /// Returns a quantile of the waits in ms. Its bounds are the waits at the ranks between which
+    /// the quantile lies.
     pub(super) fn wait_ms(&self, quantile: f64) -> Figure {
         let error =
             STANDARD_ERRORS * (quantile * (1.0 - quantile) / self.served.max(1) as f64).sqrt();
--- a/crates/fleet-lab/src/hybrid/nodes.rs
+++ b/crates/fleet-lab/src/hybrid/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes of a run, real and hollow: their start, what they use, and their end.
+//! The nodes of a run, real and hollow: their start, their resource usage and their shutdown.
 
 use super::datagrams::SentMessages;
 use super::discovery_agent;
@@ -18,21 +18,21 @@
 
 /// A node of either kind.
 pub(super) enum Node {
-    /// A process.
+    /// A process of the edge node's program.
     Real(Box<RealNode>),
-    /// A decision library in this process.
+    /// A decision library inside this process.
     Hollow(Rc<HollowNode>),
 }
 
-/// What a node has used so far.
+/// Resources that a node has used so far.
 pub(super) struct NodeUsage {
     /// Processor time of a real node, or time inside the decision library of a hollow one.
     pub(super) cost: Duration,
-    /// Its messages.
+    /// Counts of the messages that the node has sent.
     pub(super) sent: SentMessages,
 }
 
-/// What each node has used so far.
+/// Returns the resources that each node has used so far.
 pub(super) fn usage_of(nodes: &[Node], environment: &Environment) -> Result<Vec<NodeUsage>> {
     let mut usage = Vec::new();
     for (id, node) in (0..).map(GatewayId).zip(nodes) {
@@ -48,13 +48,14 @@
     Ok(usage)
 }
 
-/// The ports for datagrams of all nodes, by number; hollow nodes need none. A port is held until just before the
-/// program binds it, so that nothing else here gets the same one.
+/// Reserved ports for datagrams, by node number; hollow nodes need none. A port stays bound until
+/// just before the node's program binds it, so that no other socket of this process is given the
+/// same port.
 pub(super) struct ReservedPorts(Vec<Option<UdpSocket>>);
 
 impl ReservedPorts {
-    /// Reserves ports for the real nodes, which are distributed evenly among the hollow ones, so that both kinds share
-    /// customers.
+    /// Reserves ports for the real nodes. Real nodes are distributed evenly among the hollow nodes,
+    /// so that both kinds share customers.
     pub(super) async fn reserve(real: u32, nodes: u32) -> Result<ReservedPorts> {
         let mut ports: Vec<Option<UdpSocket>> = (0..nodes).map(|_| None).collect();
         for index in 0..real {
@@ -64,7 +65,7 @@
         Ok(ReservedPorts(ports))
     }
 
-    /// The reserved addresses, by number of the node.
+    /// Returns the reserved addresses, by node number.
     pub(super) fn addresses(&self) -> std::io::Result<Vec<Option<SocketAddr>>> {
         let address =
             |port: &Option<UdpSocket>| port.as_ref().map(UdpSocket::local_addr).transpose();
@@ -72,14 +73,14 @@
     }
 }
 
-/// Binds a port for connections.
+/// Binds a free loopback port for connections.
 pub(super) async fn bind_listener() -> Result<TcpListener> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
         .await
-        .context("a port")
+        .context("cannot bind a port for connections")
 }
 
-/// Starts all nodes: real ones where a port is reserved, hollow ones elsewhere.
+/// Starts all nodes: a real node where a port is reserved, a hollow node elsewhere.
 pub(super) async fn start_all(
     environment: &Rc<Environment>,
     program: &Path,
@@ -102,7 +103,8 @@
     Ok(nodes)
 }
 
-/// Starts a real node's discovery agent and the forwarding of its messages, and frees its port.
+/// Starts a real node's discovery agent and the forwarding of its messages, and frees its reserved
+/// port.
 async fn prepare_real_node(
     environment: &Rc<Environment>,
     id: GatewayId,
@@ -126,7 +128,8 @@
     })
 }
 
-/// Shuts all real nodes down. One that ends with an error fails the run, whatever the report says.
+/// Shuts down all real nodes. A node that ends with an error fails the run, whatever the report
+/// says.
 pub(super) async fn shut_down_all(nodes: Vec<Node>) -> Result<()> {
     let mut shutdowns = JoinSet::new();
     for node in nodes {
@@ -135,7 +138,7 @@
         }
     }
     while let Some(shutdown) = shutdowns.join_next().await {
-        shutdown.context("the end of a node was not observed")??;
+        shutdown.context("the task that shuts down a node failed")??;
     }
     Ok(())
 }
--- a/crates/fleet-lab/src/hybrid/observed_request.rs
+++ b/crates/fleet-lab/src/hybrid/observed_request.rs
@@ -1,43 +1,45 @@
-//! A request as its client and the servers observe it.
+//! A request as observed by its client and the servers.
 
 use crate::world::final_answer::FinalAnswer;
 use crate::world::request_record::RequestRecord;
 use gateway_core::{CustomerId, GatewayId, ServerId};
 use std::time::Duration;
 
-/// A request as a client sends it over a socket. The simulation's
-/// [`ClientRequest`](crate::world::client_request::ClientRequest) is another type: it also says what the client will do,
-/// which the simulation decides beforehand, and it names the customer by index.
+/// A request as a client sends it over a socket. The simulation has another type,
+/// [`ClientRequest`](crate::world::client_request::ClientRequest), which also says what the client
+/// will do, because the simulation decides that beforehand, and which identifies the customer by
+/// index.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
-    /// The node at which it arrives.
+    /// Node at which the request arrives.
     pub node: GatewayId,
-    /// The customer whose request it is.
+    /// Customer that the request belongs to.
     pub customer: CustomerId,
-    /// What it consumes of the quota.
+    /// Units of the quota that the request consumes.
     pub units: f64,
-    /// Whether it must not run twice.
+    /// Whether the request must not run more than once.
     pub is_non_idempotent: bool,
-    /// How long the client waits.
+    /// Time for which the client waits for the final answer.
     pub timeout: Duration,
 }
 
-/// A final answer as its client receives it.
+/// An answer as its client receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceivedAnswer {
     /// A final answer to this request.
     Genuine(FinalAnswer),
-    /// A server's answer that no server made for this request. In the simulation answers have no content, so only here
-    /// it is checked.
+    /// A success response whose body no server produced for this request. Answers have no content
+    /// in the simulation, so this is checked only here.
     Forged,
 }
 
-/// A request, and what servers and its client observed of it. An attempt is known by the server at which it arrived.
+/// A request, and what the servers and its client have observed of it. An attempt is identified by
+/// the server at which it arrived.
 #[derive(Debug)]
 pub(super) struct ObservedRequest {
-    /// What was observed.
+    /// Record of the request, its attempts, executions and answers.
     pub(super) record: RequestRecord<SentRequest, ServerId>,
-    /// One of the answers was late. The simulation closes a request by an event when its answer is overdue; here
-    /// nothing does, so an answer may still come.
+    /// Whether an answer was late. The simulation closes a request by an event when its answer is
+    /// overdue; here nothing closes it, so an answer may still arrive.
     pub(super) is_late: bool,
 }
--- a/crates/fleet-lab/src/hybrid/plan_quotas.rs
+++ b/crates/fleet-lab/src/hybrid/plan_quotas.rs
@@ -1,4 +1,4 @@
-//! The quotas of the plans, and by how much nodes may exceed them while they lack information.
+//! Quotas of the plans, and how far nodes may exceed them because they lack information.
 
 use super::customers::{Customer, Plan, MAX_UNITS, PLANS};
 use super::quotas::{CustomerQuota, Quota};
@@ -8,32 +8,36 @@
 use gateway_core::PlanId;
 use std::time::Duration;
 
-/// Messages a second that a node accepts.
+/// Messages per second that a node accepts from its peers.
 pub(super) const ACCEPTED_MESSAGES_PER_SECOND: f64 = 40.0;
-/// Seconds of its rate that a customer may use in one moment.
+/// Burst of a quota, in seconds of its rate.
 const BURST_SECONDS: f64 = 1.2;
-/// Maximum time from a quota decision to the arrival of the first attempt at its server: a connection may have to be
-/// opened.
+/// Maximum time between a quota decision and the arrival of the first attempt at its server, which
+/// may include opening a connection.
 const FIRST_SEND_TIME: Duration = Duration::from_millis(250);
-/// As in the decision library: fraction of the messages that a node accepts which may be usage counts of its peers.
+/// Fraction of the messages accepted by a node that may be usage counts of its peers; the same
+/// value as in the decision library.
 const BROADCAST_INTAKE_FRACTION: f64 = 0.7;
-/// As in the decision library: minimum time between two usage counts, s.
+/// Minimum interval between two broadcasts of usage counts, in seconds; the same value as in the
+/// decision library.
 const MIN_BROADCAST_INTERVAL_SECONDS: f64 = 0.2;
-/// As in the decision library: from this time between usage counts on, quotas have owners, s.
+/// Minimum interval between broadcasts of usage counts from which on quotas have owners, in
+/// seconds; the same value as in the decision library.
 const MIN_LEASES_BROADCAST_INTERVAL_SECONDS: f64 = 0.5;
-/// Owners of a quota in a large fleet, without the standby owner.
+/// Number of owners of a quota in a large fleet, not counting the standby owner.
 const OWNERS_PER_QUOTA: f64 = 2.0;
 
-/// The quotas of all plans in one scenario.
+/// Quotas of all plans in one scenario.
 #[derive(Debug)]
 pub(super) struct PlanQuotas {
     size: ScenarioSize,
-    /// By plan, in units a second.
+    /// Rates of the quotas by plan, in units per second.
     rates: Vec<f64>,
 }
 
 impl PlanQuotas {
-    /// Quotas by which the demand of all customers adds up to the rate of requests.
+    /// Computes quotas for which the demand of all customers adds up to the request rate of the
+    /// scenario.
     pub(super) fn new(size: ScenarioSize) -> PlanQuotas {
         let rates = PLANS.iter().map(|plan| rate(plan, size.rate_per_node));
         PlanQuotas {
@@ -42,17 +46,18 @@
         }
     }
 
-    /// Units a second that a customer of a plan may use.
+    /// Returns the units per second that a customer of a plan may use.
     pub(super) fn rate(&self, plan: PlanId) -> f64 {
         self.rates[plan.0]
     }
 
-    /// Units that a customer of a plan may use in one moment.
+    /// Returns the units that a customer of a plan may use at once.
     pub(super) fn burst(&self, plan: PlanId) -> f64 {
         (self.rate(plan) * BURST_SECONDS).max(f64::from(MAX_UNITS))
     }
 
-    /// The quota of a customer, with the tolerance that follows from what nodes can know.
+    /// Returns the quota of a customer, with the tolerance that follows from the information that
+    /// nodes lack.
     pub(super) fn of(&self, customer: &Customer) -> CustomerQuota {
         let rate = self.rate(customer.plan);
         let burst = self.burst(customer.plan);
@@ -73,15 +78,17 @@
         }
     }
 
-    /// Tolerance in a large fleet, where two owners and a standby owner keep a quota: each owner may round up to the
-    /// largest request, and the standby owner's part is added.
+    /// Returns the tolerance in units in a large fleet, where two owners and a standby owner keep
+    /// each quota: each owner may round up to the largest request, and the standby owner's part is
+    /// added.
     fn owner_tolerance(&self, burst: f64) -> f64 {
         OWNERS_PER_QUOTA * f64::from(MAX_UNITS) + self.size.quota_tolerance * burst
     }
 
-    /// Tolerance in a small fleet, where each node sends its usage counts to the others some times a second: until
-    /// then every other node may use its whole bucket, and what refills it meanwhile. Debts deeper than its bucket a
-    /// node forgets, which the tolerance per second covers.
+    /// Returns the tolerance in units in a small fleet, where each node broadcasts its usage counts
+    /// a few times per second: until the next broadcast, every other node may use a whole token
+    /// bucket and its refill. A node forgets debts beyond the capacity of its bucket; the tolerance
+    /// per second covers them.
     fn usage_count_tolerance(&self, customer: &Customer, rate: f64, burst: f64) -> f64 {
         let other_nodes = f64::from(customer.node_count - 1);
         let interval = self
@@ -90,19 +97,20 @@
         other_nodes * (burst + rate * interval)
     }
 
-    /// Time between two usage counts of a node that the rate of accepted messages allows, s.
+    /// Returns the interval between two broadcasts of a node that the rate of accepted messages
+    /// allows, in seconds.
     fn broadcast_interval_seconds(&self) -> f64 {
         f64::from(self.size.fleet_size.saturating_sub(1))
             / (ACCEPTED_MESSAGES_PER_SECOND * BROADCAST_INTAKE_FRACTION)
     }
 
-    /// Whether quotas have owners, because usage counts would be too rare.
+    /// Returns whether quotas have owners, because usage counts would be broadcast too rarely.
     fn has_quota_owners(&self) -> bool {
         self.broadcast_interval_seconds() >= MIN_LEASES_BROADCAST_INTERVAL_SECONDS
     }
 }
 
-/// The quota of a plan's customers, units a second.
+/// Returns the rate of the quota of a plan's customers, in units per second.
 fn rate(plan: &Plan, rate_per_node: f64) -> f64 {
     let mean_units = f64::from(MAX_UNITS + 1) / 2.0;
     rate_per_node * mean_units * plan.demand_fraction / DEMAND_RATIOS.iter().sum::<f64>()
--- a/crates/fleet-lab/src/hybrid/quotas.rs
+++ b/crates/fleet-lab/src/hybrid/quotas.rs
@@ -1,32 +1,33 @@
-//! The quotas of customers, and what all nodes together use of them.
+//! Quotas of customers, and their use by all nodes together.
 
 use crate::time::seconds_between;
 use crate::world::usage_limit::{Excess, UsageLimit};
 use gateway_core::{CustomerId, Timestamp};
 
-/// A customer's quota over all nodes together, and by how much nodes may exceed it while they lack information.
+/// A customer's quota over all nodes together, and how far nodes may exceed it because they lack
+/// information.
 #[derive(Clone, Copy, Debug)]
 pub struct Quota {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units that may be used in one moment.
+    /// Units that may be used at once.
     pub burst: f64,
     /// Units beyond the quota that are tolerated at any time.
     pub tolerance: f64,
-    /// Further units that are tolerated for each second since the first request.
+    /// Additional units that are tolerated for each second since the first request.
     pub tolerance_per_second: f64,
 }
 
 /// A customer and its quota.
 #[derive(Clone, Copy, Debug)]
 pub struct CustomerQuota {
-    /// The customer.
+    /// Customer that the quota belongs to.
     pub customer: CustomerId,
-    /// Its quota.
+    /// Quota of the customer.
     pub quota: Quota,
 }
 
-/// What all nodes together use of one quota.
+/// A quota and its use by all nodes together.
 #[derive(Debug)]
 pub(super) struct QuotaUsage {
     quota: Quota,
@@ -34,7 +35,7 @@
 }
 
 impl QuotaUsage {
-    /// A quota of which nothing has been used.
+    /// Creates the record of a quota that has not been used.
     pub(super) fn new(quota: Quota, now: Timestamp) -> QuotaUsage {
         QuotaUsage {
             quota,
@@ -42,14 +43,14 @@
         }
     }
 
-    /// Uses units, whether or not that exceeds the quota. The tolerance grows from `started_at` on.
+    /// Consumes units, even if that exceeds the quota. The tolerance grows from `started_at` on.
     pub(super) fn consume(&mut self, started_at: Timestamp, now: Timestamp, units: f64) {
         let elapsed = seconds_between(started_at, now);
         let tolerated = self.quota.tolerance + self.quota.tolerance_per_second * elapsed;
         self.limit.consume(now, units, tolerated);
     }
 
-    /// The maximum excess relative to its tolerance; `None` before the first use.
+    /// Returns the maximum excess relative to its tolerance; `None` before the first use.
     pub(super) fn peak(&self) -> Option<Excess> {
         self.limit.peak()
     }
--- a/crates/fleet-lab/src/hybrid/real_node.rs
+++ b/crates/fleet-lab/src/hybrid/real_node.rs
@@ -1,4 +1,5 @@
-//! A real node: a process of the edge node's program, and its clients over HTTP.
+//! A real node: a process of the edge node's program, and its clients, which send requests over
+//! HTTP.
 
 use super::customers::{plan_name, PlannedRequest, CLASSES};
 use super::environment::Environment;
@@ -22,31 +23,32 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, BufReader};
 use tokio::process::{Child, ChildStderr, Command};
 
-/// Maximum time from a node's start until it is ready.
+/// Maximum time from the start of a node until it is ready.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(5);
-/// Maximum time from SIGTERM to the end of a node: no client is waiting for it then.
+/// Maximum time from SIGTERM until a node has ended; no client is waiting for it by then.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(4);
-/// A client's connection that has been idle for this long is not used again, since the node closes it soon.
+/// Idle time after which a client's connection is not used again, because the node closes it soon.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Variables that would override the configuration.
+/// Environment variables that would override the configuration file.
 const CONFIG_VARIABLES: [&str; 3] = ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"];
-/// Position of the user time among the fields of `/proc/PID/stat` after the program's name; the system time follows.
+/// Index of the user time among the fields of `/proc/PID/stat` that follow the program's name; the
+/// next field is the system time.
 const USER_TIME_FIELD: usize = 11;
 
-/// What one node needs to start.
+/// Start parameters of one real node.
 pub(super) struct RealNodeConfig {
-    /// Its number.
+    /// Number of the node.
     pub(super) id: GatewayId,
-    /// The address of its discovery agent.
+    /// Address of the node's discovery agent.
     pub(super) discovery: SocketAddr,
-    /// The address at which it receives messages.
+    /// Address at which the node receives messages of its peers.
     pub(super) datagrams: SocketAddr,
-    /// Seed of its random draws.
+    /// Seed of the node's random draws.
     pub(super) seed: u64,
 }
 
 impl RealNodeConfig {
-    /// Writes the node's configuration file to a folder; returns its path.
+    /// Writes the node's configuration file to a folder and returns its path.
     fn write(&self, environment: &Environment, folder: &Path) -> Result<PathBuf> {
         let name = node_name(self.id);
         let path = folder.join(format!("{name}.json"));
@@ -57,12 +59,13 @@
             "peer_listen": self.datagrams, "peers": environment.datagrams.peer_addresses(self.id),
             "known": environment.registry.json_since(0), "settings": environment.scenario.settings(self.id),
         });
-        std::fs::write(&path, config.to_string()).with_context(|| format!("{}", path.display()))?;
+        std::fs::write(&path, config.to_string())
+            .with_context(|| format!("cannot write {}", path.display()))?;
         Ok(path)
     }
 }
 
-/// One running real node.
+/// A running real node.
 pub(super) struct RealNode {
     id: GatewayId,
     process: Child,
@@ -72,7 +75,8 @@
 }
 
 impl RealNode {
-    /// Starts a node and waits until it is ready. Its configuration is written to `folder`.
+    /// Starts a node and waits until it is ready. The node's configuration file is written to
+    /// `folder`.
     pub(super) async fn start(
         environment: &Environment,
         program: &Path,
@@ -80,13 +84,14 @@
         config: RealNodeConfig,
     ) -> Result<RealNode> {
         let path = config.write(environment, folder)?;
-        let process = spawn(program, &path).with_context(|| format!("{}", program.display()))?;
+        let process =
+            spawn(program, &path).with_context(|| format!("cannot start {}", program.display()))?;
         let node = tokio::time::timeout(
             STARTUP_TIMEOUT,
             RealNode::wait_until_ready(config.id, process),
         )
         .await;
-        let node = node.unwrap_or_else(|_| bail!("it is not ready in time"));
+        let node = node.unwrap_or_else(|_| bail!("not ready within {STARTUP_TIMEOUT:?}"));
         node.with_context(|| node_name(config.id))
     }
 
@@ -94,8 +99,11 @@
         let pid = process
             .id()
             .and_then(|id| Pid::from_raw(id as i32))
-            .context("the process has no id")?;
-        let log = process.stderr.take().context("the process has no log")?;
+            .context("the process has already ended")?;
+        let log = process
+            .stderr
+            .take()
+            .context("the process has no standard error stream")?;
         let address = read_address(log).await?;
         let node = RealNode {
             id,
@@ -104,24 +112,26 @@
             address,
             client: new_client(),
         };
-        // It accepts no connection before it has received the list of servers; the request waits until then.
+        // The node accepts no connections before it has received the list of servers, so the
+        // request waits until then.
         let uri = format!("http://{address}/-/ready").parse()?;
         let status = node.client.get(uri).await?.status();
         if status != StatusCode::OK {
-            bail!("it is not ready: {status}");
+            bail!("the request to /-/ready was answered with {status}");
         }
         Ok(node)
     }
 
-    /// Processor time of the process in user and system mode, from `/proc`.
+    /// Returns the processor time of the process in user and system mode, from `/proc`.
     ///
     /// # Errors
-    /// The process has ended.
+    /// Returns an error if the process has ended.
     pub(super) fn cpu_time(&self) -> Result<Duration> {
         let path = format!("/proc/{}/stat", self.pid.as_raw_nonzero());
         let name = node_name(self.id);
         let text = std::fs::read_to_string(&path).with_context(|| format!("{name} has ended"))?;
-        // The name in brackets may hold anything; the fields are counted from its end.
+        // The program's name is in parentheses and may contain any character, so fields are counted
+        // from the last closing parenthesis.
         let fields = text
             .rsplit_once(')')
             .map_or("", |(_, fields)| fields)
@@ -129,7 +139,7 @@
         let times = fields.skip(USER_TIME_FIELD).take(2);
         let ticks: Vec<u64> = times.filter_map(|field| field.parse().ok()).collect();
         let [user, system] = ticks[..] else {
-            bail!("{path}: two times are missing")
+            bail!("{path}: user time or system time is missing")
         };
         let ticks_per_second = rustix::param::clock_ticks_per_second();
         Ok(Duration::from_secs_f64(
@@ -137,7 +147,8 @@
         ))
     }
 
-    /// Sends a client's request over HTTP and waits for its final answer; `None` if none came until then.
+    /// Sends a client's request over HTTP and returns its final answer; `None` if none has arrived
+    /// by `give_up_at`, or the exchange fails.
     pub(super) async fn request(
         &self,
         environment: &Environment,
@@ -161,7 +172,7 @@
         let status = response.status();
         let body = response.into_body().collect().await?.to_bytes();
         let answer = match status {
-            // A server's response names the request for which it was made.
+            // The body of a server's response is the id of the request for which it was made.
             StatusCode::OK if body != id.0.as_bytes() => return Ok(ReceivedAnswer::Forged),
             StatusCode::OK => FinalAnswer::Served,
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
@@ -205,16 +216,18 @@
         Ok(request)
     }
 
-    /// Stops the node by SIGTERM, and waits for its end.
+    /// Stops the node with SIGTERM and waits until it has ended.
     ///
     /// # Errors
-    /// It had ended before, it ended with an error, or it did not end in time and was killed.
+    /// Returns an error if the node had ended before, ended with an error, or did not end in time
+    /// and was killed.
     pub(super) async fn shut_down(mut self) -> Result<()> {
         let name = node_name(self.id);
         if let Some(status) = self.process.try_wait()? {
-            bail!("{name} has ended by itself: {status}");
+            bail!("{name} ended before it was stopped: {status}");
         }
-        kill_process(self.pid, Signal::TERM).with_context(|| format!("SIGTERM to {name}"))?;
+        kill_process(self.pid, Signal::TERM)
+            .with_context(|| format!("cannot send SIGTERM to {name}"))?;
         let Ok(status) = tokio::time::timeout(SHUTDOWN_TIMEOUT, self.process.wait()).await else {
             self.process.kill().await?;
             bail!("{name} did not end within {SHUTDOWN_TIMEOUT:?} and was killed");
@@ -244,7 +257,8 @@
     command.kill_on_drop(true).spawn()
 }
 
-/// Reads the address at which a node listens from the first line of its log, and discards the rest.
+/// Reads the address at which a node listens from the first line of its log, and discards the rest
+/// of the log.
 async fn read_address(log: ChildStderr) -> Result<SocketAddr> {
     let mut log = BufReader::new(log);
     let mut line = String::new();
@@ -254,8 +268,9 @@
         .rsplit(' ')
         .next()
         .and_then(|word| word.parse().ok());
-    let address = address.with_context(|| format!("it does not listen: {}", line.trim_end()))?;
-    // The log is read to its end, since a full pipe would stop the node.
+    let address =
+        address.with_context(|| format!("the node does not listen: {}", line.trim_end()))?;
+    // The log is read to its end, because a full pipe would block the node.
     tokio::task::spawn_local(async move { log.read_to_end(&mut Vec::new()).await });
     Ok(address)
 }
--- a/crates/fleet-lab/src/hybrid/report.rs
+++ b/crates/fleet-lab/src/hybrid/report.rs
@@ -1,4 +1,4 @@
-//! What real and hollow nodes cost and sent, side by side, and whether it agrees.
+//! Comparison of the figures of real and hollow nodes, and the results of the invariant checks.
 
 use super::figure::Figure;
 use super::invariant_result::InvariantResult;
@@ -6,37 +6,38 @@
 use serde::Serialize;
 use std::fmt;
 
-/// One figure of both kinds of nodes.
+/// One figure for both kinds of nodes.
 #[derive(Clone, Debug, Serialize)]
 pub struct ComparisonRow {
-    /// What is measured, with its unit.
+    /// Name of the figure, with its unit.
     #[serde(rename = "what")]
     pub name: &'static str,
-    /// At the real nodes.
+    /// Value at the real nodes.
     pub real: Figure,
-    /// At the hollow nodes.
+    /// Value at the hollow nodes.
     pub hollow: Figure,
-    /// Whether they agree; `None` if they are not compared.
+    /// Whether the two values agree; `None` if they are not compared.
     pub agrees: Option<bool>,
 }
 
-/// The results of a run.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The factor within which figures have to agree.
+    /// Factor within which the values of both kinds have to agree.
     #[serde(rename = "within")]
     pub factor: f64,
-    /// Requests at the real nodes and at the hollow ones.
+    /// Number of requests at the real nodes and at the hollow nodes.
     pub requests: [u64; 2],
-    /// The compared figures.
+    /// Figures of both kinds side by side.
     pub rows: Vec<ComparisonRow>,
-    /// The checked invariants.
+    /// Results of the invariant checks.
     #[serde(rename = "rules")]
     pub invariants: Vec<InvariantResult>,
 }
 
 impl Report {
-    /// Compares the two kinds of nodes.
+    /// Compares the totals of the two kinds of nodes, and adds the check that no datagram is too
+    /// long.
     pub fn new(
         real: &NodeTotals,
         hollow: &NodeTotals,
@@ -58,12 +59,13 @@
         }
     }
 
-    /// What did not agree and what was violated, each in a few words.
+    /// Returns a short description of each figure that does not agree and of each violated
+    /// invariant.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = Vec::new();
         for row in self.rows.iter().filter(|row| row.agrees == Some(false)) {
             problems.push(format!(
-                "{} is further apart than {} times",
+                "{} differs by more than a factor of {}",
                 row.name, self.factor
             ));
         }
@@ -102,7 +104,8 @@
         row("failed share", &|totals| totals.fraction(totals.failed)),
         row("wait p50, ms", &|totals| totals.wait_ms(0.5)),
         row("wait p99, ms", &|totals| totals.wait_ms(0.99)),
-        // A hollow node has no connections and no sockets of its own, which cause the larger part of the cost of a real one.
+        // A hollow node has no connections and no sockets of its own, which cause the larger part
+        // of the cost of a real node, so the costs are not compared.
         ComparisonRow {
             agrees: None,
             ..cost
--- a/crates/fleet-lab/src/hybrid/scenario.rs
+++ b/crates/fleet-lab/src/hybrid/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario of a run: how many nodes there are, and what the clients ask for.
+//! The scenario of a run: the number of nodes, and the customers with their demand.
 
 use super::customers::{customer_id, Customer, PlannedRequest, MAX_UNITS, PLANS};
 use super::node_settings::node_settings;
@@ -10,37 +10,38 @@
 use rand::Rng as _;
 use std::time::Duration;
 
-/// How long any client waits.
+/// Time for which every client waits for its final answer.
 pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a node may go on sending to a server that drains.
+/// Time during which a node may continue to send attempts to a draining server.
 pub(super) const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// What customers ask for, as a multiple of their quota: one within it, and one beyond.
+/// Demand of customers as a multiple of their quota: one customer within its quota, and one beyond
+/// it.
 pub(super) const DEMAND_RATIOS: [f64; 2] = [0.5, 3.0];
-/// Fraction of the requests that may be repeated.
+/// Fraction of the requests that are idempotent.
 const IDEMPOTENT_FRACTION: f64 = 0.64;
 /// Number of servers.
 pub(super) const SERVER_COUNT: usize = 6;
-/// Mean work of a request, µs.
+/// Mean service time of a request, in µs.
 pub(super) const MEAN_WORK_US: f64 = 40_000.0;
-/// How far the work of single requests lies from the mean, as a fraction of it.
+/// Maximum deviation of a request's service time from the mean, as a fraction of the mean.
 pub(super) const WORK_DEVIATION_FRACTION: f64 = 0.5;
 /// Utilization of the servers by demand within the quotas.
 const UTILIZATION: f64 = 0.5;
 
-/// How many nodes there are, and what clients ask for.
+/// Size of a scenario: the number of nodes, the request rate and the tolerated use beyond quotas.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ScenarioSize {
-    /// Nodes that run; their numbers are the first ones.
+    /// Number of nodes that run; these have the lowest node numbers.
     pub(super) nodes: u32,
-    /// Nodes in the settings, those that do not run included.
+    /// Number of nodes in the settings, including those that do not run.
     pub(super) fleet_size: u32,
-    /// Requests a second at each node, on average.
+    /// Mean number of requests per second at each node.
     pub(super) rate_per_node: f64,
-    /// Fraction of a quota that may be used on top of it in the long run.
+    /// Fraction of a quota that may be used in addition to the quota in the long run.
     pub(super) quota_tolerance: f64,
 }
 
-/// What the clients ask for.
+/// Customers of a run, with their quotas and their demand.
 #[derive(Debug)]
 pub(super) struct Scenario {
     size: ScenarioSize,
@@ -50,8 +51,9 @@
 }
 
 impl Scenario {
-    /// A scenario in which on each plan every node is the first node of a customer within its quota and of one beyond:
-    /// real and hollow nodes have the same work.
+    /// Creates a scenario in which, for each plan, every node is the first node of one customer
+    /// within its quota and of one customer beyond it, so that real and hollow nodes have the same
+    /// work.
     pub(super) fn new(size: ScenarioSize) -> Scenario {
         let quotas = PlanQuotas::new(size);
         let customers = customers(size, &quotas);
@@ -64,12 +66,12 @@
         }
     }
 
-    /// How many nodes there are.
+    /// Returns the size of the scenario.
     pub(super) fn size(&self) -> ScenarioSize {
         self.size
     }
 
-    /// Requests a second at all nodes.
+    /// Returns the mean number of requests per second over all nodes.
     pub(super) fn rate(&self) -> f64 {
         self.size.rate_per_node * f64::from(self.size.nodes)
     }
@@ -96,14 +98,15 @@
         *customer.unwrap_or(&self.customers[0])
     }
 
-    /// The quota of each customer, with the tolerance that follows from what nodes can know.
+    /// Returns the quota of each customer, with the tolerance that follows from the information
+    /// that nodes lack.
     pub(super) fn customer_quotas(&self) -> impl Iterator<Item = CustomerQuota> + '_ {
         self.customers
             .iter()
             .map(|customer| self.quotas.of(customer))
     }
 
-    /// Requests that run concurrently at a server.
+    /// Returns the number of requests that a server runs concurrently.
     pub(super) fn server_slots(&self) -> usize {
         let within_quotas: f64 = DEMAND_RATIOS.iter().map(|ratio| ratio.min(1.0)).sum();
         let fraction_within_quotas = within_quotas / DEMAND_RATIOS.iter().sum::<f64>();
@@ -111,7 +114,7 @@
         ((busy_slots / SERVER_COUNT as f64 / UTILIZATION).ceil() as usize).max(1)
     }
 
-    /// The settings of one node, in the deployment's JSON.
+    /// Returns the settings of one node in the JSON of the deployment.
     pub(super) fn settings(&self, node: GatewayId) -> serde_json::Value {
         node_settings(&self.quotas, self.size.fleet_size, node)
     }
--- a/crates/fleet-lab/src/hybrid/server_faults.rs
+++ b/crates/fleet-lab/src/hybrid/server_faults.rs
@@ -1,39 +1,39 @@
-//! Faults of the servers: what each one does, and when.
+//! Faults of the servers: what each server does, and when that changes.
 
-/// What a server does with attempts.
+/// What a server does with the attempts that it receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServerMode {
-    /// Serves them.
+    /// Serves all attempts.
     Serve,
-    /// Answers half of them with an error.
+    /// Answers half of the attempts with an error.
     FailHalf,
-    /// Accepts them and answers none.
+    /// Accepts attempts and never answers them.
     Hang,
-    /// Rejects them without running them.
+    /// Rejects attempts without running them.
     Reject,
 }
 
 /// A change of a server's state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListedState {
-    /// It finishes the requests in flight.
+    /// The server finishes the requests in flight.
     Draining,
-    /// It was removed.
+    /// The server was removed.
     Gone,
-    /// It has started again.
+    /// The server has started again.
     Restarted,
 }
 
 /// A change of a server's behaviour.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServerFault {
-    /// When, as a fraction of the run.
+    /// Time of the change, as a fraction of the time during which clients send requests.
     pub(super) at: f64,
     /// Index of the server.
     pub(super) server: usize,
-    /// What it does from now on.
+    /// What the server does with attempts from then on.
     pub(super) mode: ServerMode,
-    /// Its new state in the list, if that changes.
+    /// New state of the server in the list; `None` if the state does not change.
     pub(super) listed_state: Option<ListedState>,
 }
 
@@ -55,20 +55,21 @@
     }
 }
 
-/// The faults of a run.
+/// Faults of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub(super) enum FaultProfile {
-    /// None.
+    /// No faults.
     Calm,
-    /// One server rejects, one drains and restarts, one hangs, one answers with errors, each for a while.
+    /// One server rejects, one drains and restarts, one hangs, one answers with errors, each for a
+    /// while.
     Mixed,
-    /// One server answers nothing from the start on.
+    /// One server never answers, from the start of the run.
     #[value(alias = "mute")]
     Unresponsive,
 }
 
 impl FaultProfile {
-    /// All faults in the order of their times.
+    /// Returns all faults in the order of their times.
     pub(super) fn faults(self) -> Vec<ServerFault> {
         match self {
             FaultProfile::Calm => Vec::new(),
--- a/crates/fleet-lab/src/hybrid/server_http.rs
+++ b/crates/fleet-lab/src/hybrid/server_http.rs
@@ -1,4 +1,4 @@
-//! The servers' HTTP side, for attempts of real nodes.
+//! The HTTP interface of the servers, which receives attempts of real nodes.
 
 use super::environment::Environment;
 use super::servers::{AttemptReply, AttemptStatus};
@@ -14,15 +14,17 @@
 
 type HttpResponse = http::Result<Response<Full<Bytes>>>;
 
-/// Serves a server, by index, until the end of the run.
+/// Serves the HTTP interface of the server with the given index until the end of the run.
 pub(super) async fn serve(environment: Rc<Environment>, server: usize, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
-        // Without it a response in two segments would wait for an acknowledgement; it works all the same.
+        // Without this option, a response in two segments would wait for an acknowledgement. An
+        // error is ignored, because the connection works all the same.
         let _ = stream.set_nodelay(true);
         let environment = Rc::clone(&environment);
         tokio::task::spawn_local(async move {
             let service = service_fn(|request| respond(&environment, server, request));
-            // A node that closes its connection has cancelled its attempt.
+            // An error is ignored, because a node that closes its connection has cancelled its
+            // attempt.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -59,7 +61,8 @@
     id.to_str().ok().map(str::to_owned)
 }
 
-/// A served attempt's response names its request, so that a node that mixes responses up is found out.
+/// Builds the response to an attempt. If the attempt was served, the body is the id of its request,
+/// so that a node that mixes up responses is detected.
 fn response_to_attempt(id: String, units: f64, reply: AttemptReply) -> HttpResponse {
     let AttemptReply { status, in_flight } = reply;
     let response = Response::builder().header("x-load", format!("concurrent={in_flight}"));
--- a/crates/fleet-lab/src/hybrid/servers.rs
+++ b/crates/fleet-lab/src/hybrid/servers.rs
@@ -1,8 +1,9 @@
-//! Simulated servers. Attempts of hollow nodes arrive by a call, those of real nodes over HTTP; both share one queue.
+//! Simulated servers. Attempts of hollow nodes arrive by function calls, those of real nodes over
+//! HTTP; both share one queue.
 //!
-//! These run in real time as futures: a dropped future cancels an attempt, and a semaphore is the queue. The servers of
-//! `world` are state machines that announce when they are done, and they have a warm-up and crashes, which `hybrid` does
-//! not have.
+//! These servers run in real time as futures: dropping a future cancels its attempt, and a
+//! semaphore is the queue. The servers of `world` are state machines that announce when they are
+//! done, and they have a warm-up and crashes, which `hybrid` does not have.
 
 use super::invariant_checker::SocketInvariantChecker;
 use super::scenario::{MEAN_WORK_US, SERVER_COUNT, WORK_DEVIATION_FRACTION};
@@ -15,34 +16,34 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 
-/// Requests that wait at a server, for each that runs.
+/// Maximum number of queued requests at a server, for each request that may run concurrently.
 const QUEUED_PER_RUNNING: usize = 8;
 
-/// A server's answer to an attempt.
+/// A server's reply to an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptReply {
-    /// How the attempt went.
+    /// Outcome of the attempt.
     pub(super) status: AttemptStatus,
     /// Requests in flight at the server, running or queued.
     pub(super) in_flight: usize,
 }
 
-/// How an attempt went at its server.
+/// Outcome of an attempt at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptStatus {
-    /// Served.
+    /// The request was served.
     Served,
-    /// An error; the request may have run.
+    /// The server answered with an error; the request may have run.
     Error,
-    /// Rejected: the request did not run.
+    /// The server rejected the attempt; the request did not run.
     Rejected,
 }
 
-/// One server.
+/// A simulated server.
 pub(super) struct Server {
-    /// Its name in the list.
+    /// Name of the server in the list.
     pub(super) name: String,
-    /// Its id at every node.
+    /// Id of the server at every node.
     pub(super) id: ServerId,
     mode: Cell<ServerMode>,
     execution_slots: Semaphore,
@@ -51,7 +52,7 @@
     rng: RefCell<Rng>,
 }
 
-/// Counts a request as in flight at a server for as long as the guard lives.
+/// Guard that counts a request as in flight at a server as long as it lives.
 struct InFlightGuard<'a>(&'a Cell<usize>);
 
 impl InFlightGuard<'_> {
@@ -70,8 +71,8 @@
 impl Server {
     fn new(index: usize, slots: usize, seed: u64) -> Server {
         let name = format!("s-{index:08x}");
-        // The edge node derives ids from names in this way: health reports of real and hollow nodes have to mean the
-        // same server.
+        // The edge node derives ids from names in the same way, because health reports of real and
+        // hollow nodes have to refer to the same server.
         let mut hash = fnv::FnvHasher::default();
         hash.write(name.as_bytes());
         Server {
@@ -85,20 +86,20 @@
         }
     }
 
-    /// All servers of a run. Each runs `slots` requests concurrently.
+    /// Creates all servers of a run. Each server runs up to `slots` requests concurrently.
     pub(super) fn all(slots: usize, seed: u64) -> Vec<Server> {
         (0..SERVER_COUNT)
             .map(|index| Server::new(index, slots, seed))
             .collect()
     }
 
-    /// Sets what it does with attempts from now on.
+    /// Sets what the server does with attempts from now on.
     pub(super) fn set_mode(&self, mode: ServerMode) {
         self.mode.set(mode);
     }
 
-    /// Handles an attempt to its end. A caller that no longer waits drops the future, and the server forgets the
-    /// attempt.
+    /// Handles an attempt until its end. A caller that no longer waits drops the future, which
+    /// cancels the attempt.
     pub(super) async fn handle_attempt(
         &self,
         checker: &RefCell<SocketInvariantChecker>,
