--- a/crates/fleet-lab/src/scaling/args.rs
+++ b/crates/fleet-lab/src/scaling/args.rs
@@ -1,51 +1,53 @@
-//! The arguments of the command.
+//! The command-line arguments of `fleet-lab scaling`.
 
 use super::fleet::MIN_ACTIVE_CUSTOMERS;
 use super::measure::{Measurement, MEASUREMENTS};
 use super::sizes::Dimension;
 use std::path::PathBuf;
 
-/// Maximum number of gateways: their numbers take two bytes in messages.
+/// Maximum number of gateways: messages encode the number of a gateway in two bytes.
 const MAX_GATEWAYS: u64 = 1 << 16;
 
-/// Arguments of the command.
+/// Arguments of `fleet-lab scaling`.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// Measure this cost alone; may be given more than once.
+    /// Measure only this cost; may be given more than once.
     #[arg(long, value_name = "NAME")]
     pub only: Vec<String>,
-    /// Let the fleet grow in this dimension alone; may be given more than once.
+    /// Let the fleet grow only in this dimension; may be given more than once.
     #[arg(long = "over", value_name = "SIZE")]
     pub dimensions: Vec<Dimension>,
     /// Largest size in any dimension.
     #[arg(long = "most", value_name = "N", default_value_t = 1_000_000)]
     pub max_size: u64,
-    /// How often each point is measured, each time with another seed.
+    /// Number of measurements of each point, each with another seed.
     #[arg(long, value_name = "N", default_value_t = 5)]
     pub repeats: u64,
     /// Seed of the first repeat.
     #[arg(long, value_name = "N", default_value_t = 1)]
     pub seed: u64,
-    /// Servers listed, while the fleet grows in another dimension.
+    /// Number of listed servers while the fleet grows in another dimension.
     #[arg(long, value_name = "N", default_value_t = 200)]
     pub servers: u64,
-    /// Customers met, while the fleet grows in another dimension.
+    /// Number of customers that have sent the gateway requests, while the fleet grows in another
+    /// dimension.
     #[arg(long, value_name = "N", default_value_t = 1_000)]
     pub customers: u64,
-    /// Gateways in the fleet, while it grows in another dimension.
+    /// Number of gateways in the fleet while it grows in another dimension.
     #[arg(long, value_name = "N", default_value_t = 300)]
     pub gateways: u64,
-    /// Gateways that a customer's requests arrive through, while the fleet grows in another dimension; all by default.
+    /// Number of gateways at which a customer's requests arrive while the fleet grows in another
+    /// dimension; all gateways by default.
     #[arg(
         long = "gateways-per-customer",
         visible_alias = "spread",
         value_name = "N"
     )]
     pub gateways_per_customer: Option<u64>,
-    /// Requests open at the gateway, while the fleet grows in another dimension.
+    /// Number of open requests at the gateway while the fleet grows in another dimension.
     #[arg(long = "open", value_name = "N", default_value_t = 10)]
     pub open_requests: u64,
-    /// For CI: sizes up to 1,000 and two repeats.
+    /// Measure sizes up to 1,000 with at most two repeats, for CI.
     #[arg(long)]
     pub quick: bool,
     /// Write all figures to this file as JSON.
@@ -57,14 +59,14 @@
 }
 
 impl Args {
-    /// The costs that are measured.
+    /// Returns the costs to measure.
     pub(super) fn measurements(&self) -> impl Iterator<Item = &'static Measurement> + '_ {
         MEASUREMENTS.iter().filter(|measurement| {
             self.only.is_empty() || self.only.iter().any(|only| only == measurement.name)
         })
     }
 
-    /// The dimensions in which the fleet grows while a cost is measured.
+    /// Returns the dimensions in which the fleet grows while a cost is measured.
     pub(super) fn dimensions_of(
         &self,
         measurement: &'static Measurement,
@@ -74,7 +76,7 @@
             .filter(|dimension| self.dimensions.is_empty() || self.dimensions.contains(dimension))
     }
 
-    /// What is wrong with the arguments, if anything is.
+    /// Returns an error message if the arguments are invalid.
     pub(super) fn validate(&self) -> Result<(), String> {
         let names = MEASUREMENTS.map(|measurement| measurement.name);
         if let Some(name) = self
@@ -82,7 +84,10 @@
             .iter()
             .find(|only| !names.contains(&only.as_str()))
         {
-            return Err(format!("--only {name:?} is none of {}", names.join(", ")));
+            return Err(format!(
+                "--only {name:?}: must be one of {}",
+                names.join(", ")
+            ));
         }
         validate_minimum("repeats", self.repeats, 1)?;
         validate_minimum("servers", self.servers, 1)?;
--- a/crates/fleet-lab/src/scaling/cost.rs
+++ b/crates/fleet-lab/src/scaling/cost.rs
@@ -1,30 +1,30 @@
-//! What work of a gateway costs, and how that is measured.
+//! The cost of a gateway's work, and its measurement.
 
 use cpu_time::ThreadTime;
 use gateway_core::{Action, Event, Gateway, Timestamp};
 use stats_alloc::INSTRUMENTED_SYSTEM;
 
-/// What some work of a gateway has cost.
+/// Cost of some work of a gateway.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Cost {
-    /// Processor time of this thread, µs.
+    /// Processor time of this thread, in µs.
     pub(super) cpu_time_us: f64,
-    /// Allocations.
+    /// Number of allocations.
     pub(super) allocations: u64,
-    /// Entries of the list of servers that the gateway visited.
+    /// Number of entries of the list of servers that the gateway visited.
     pub(super) visited: u64,
-    /// Messages sent, one for each receiver.
+    /// Number of messages sent, one for each receiver.
     pub(super) messages: u64,
-    /// Bytes of these messages, without headers.
+    /// Bytes of all messages sent, without headers.
     pub(super) bytes: u64,
-    /// Bytes of the longest message.
+    /// Length of the longest message in bytes.
     pub(super) longest_message: u64,
-    /// Events handled.
+    /// Number of events handled.
     pub(super) events: u64,
 }
 
 impl Cost {
-    /// Adds another cost.
+    /// Adds another cost to this one.
     pub(super) fn add(&mut self, other: Cost) {
         self.cpu_time_us += other.cpu_time_us;
         self.allocations += other.allocations;
@@ -35,7 +35,7 @@
         self.events += other.events;
     }
 
-    /// Adds a message that is sent to a number of gateways.
+    /// Adds a message that is sent to the given number of gateways.
     pub(super) fn add_message(&mut self, receivers: u64, bytes: &[u8]) {
         let length = bytes.len() as u64;
         self.messages += receivers;
@@ -44,8 +44,8 @@
     }
 }
 
-/// Gives a gateway an event at a time, and measures what that costs. The messages among the actions are not
-/// counted yet.
+/// Passes an event to a gateway at the time `now`, and measures the cost. The messages among the
+/// resulting actions are not counted yet.
 pub(super) fn measure_event(
     gateway: &mut Gateway,
     now: Timestamp,
@@ -67,8 +67,8 @@
     }
 }
 
-/// Bytes that are allocated and not freed, by the whole process: between two calls only the gateway that is measured
-/// may allocate.
+/// Returns the bytes that the whole process has allocated and not freed: between two calls, only
+/// the gateway that is measured may allocate.
 pub(super) fn live_bytes() -> u64 {
     let stats = INSTRUMENTED_SYSTEM.stats();
     stats
@@ -76,7 +76,8 @@
         .saturating_sub(stats.bytes_deallocated) as u64
 }
 
-/// Whether this program counts its allocations: only one with the counting allocator does.
+/// Returns whether this program counts its allocations; only a program with the counting allocator
+/// does.
 pub(super) fn is_counting_allocations() -> bool {
     let before = INSTRUMENTED_SYSTEM.stats().allocations;
     drop(std::hint::black_box(Box::new(0u64)));
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of which two gateways are measured: its settings, its servers and its customers.
+//! The fleet that the two measured gateways belong to: its settings, its servers and its customers.
 
 use super::sizes::FleetSizes;
 use anyhow::{Context, Result};
@@ -11,25 +11,26 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// A millisecond.
 pub(super) const MILLISECOND: Duration = Duration::from_millis(1);
-/// Interval of the control ticks of the decision library.
+/// Interval between control ticks of the decision library.
 pub(super) const CONTROL_TICK: Duration = Duration::from_millis(500);
-/// When measured gateways start.
+/// Time at which the two gateways start.
 pub(super) const START: Timestamp = Timestamp::from_micros(5_000_000);
-/// How long a client waits; long enough for requests that stay open.
+/// Time for which a client waits; long enough that open requests stay open.
 pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_secs(3_600);
-/// Minimum number of customers that take turns in sending requests: enough that gateways need not throttle their lease
-/// requests. Where more requests stay open, each has a customer of its own.
+/// Minimum number of customers that take turns in sending requests: enough that gateways need not
+/// throttle their lease requests. If more requests stay open, each open request has a customer of
+/// its own.
 pub(super) const MIN_ACTIVE_CUSTOMERS: u64 = 64;
-/// Zones of the fleet.
+/// Number of zones of the fleet.
 const ZONE_COUNT: u32 = 29;
-/// Customer numbers have 33 bits at most, by the protocol.
+/// Exclusive upper limit of customer ids, which have at most 33 bits by the protocol.
 pub(super) const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
-/// The two gateways.
+/// Ids of the two gateways.
 pub(super) const GATEWAY_IDS: [GatewayId; 2] = [GatewayId(0), GatewayId(1)];
 
-/// Settings of a fleet with two classes of requests and one plan, whose quota no customer here uses up.
+/// Returns the settings of a gateway in a fleet with two classes of requests and one plan, whose
+/// quota no customer here uses up.
 pub(super) fn settings(gateway: GatewayId, gateways: u32) -> Settings {
     Settings {
         gateway_id: gateway,
@@ -69,7 +70,7 @@
     }
 }
 
-/// A plan whose quota has a single owner.
+/// Returns a plan whose quota has a single owner.
 fn plan() -> Plan {
     Plan {
         rate: 20.0,
@@ -82,7 +83,7 @@
     }
 }
 
-/// A list of servers with ids as random as hashes, evenly distributed over all zones.
+/// Draws a list of servers evenly distributed over all zones. Their ids are random, as hashes are.
 pub(super) fn draw_endpoints(rng: &mut ChaCha8Rng, servers: u64) -> Vec<Endpoint> {
     let endpoint = |number: u64| Endpoint {
         server: ServerId(rng.random()),
@@ -95,17 +96,17 @@
     (0..servers).map(endpoint).collect()
 }
 
-/// A customer, and the first of the gateways that its requests arrive through.
+/// A customer, and the first of the gateways at which its requests arrive.
 #[derive(Clone, Copy)]
 pub(super) struct Customer {
-    /// The customer.
+    /// Id of the customer.
     pub(super) id: CustomerId,
-    /// The first of its gateways.
+    /// First of the consecutive gateways at which its requests arrive.
     pub(super) first_gateway: GatewayId,
 }
 
-/// Draws customers whose quotas this gateway owns: the first gateway of each is chosen by how far its owner is from
-/// that.
+/// Draws customers whose quotas the gateway `owner` owns: each customer's first gateway is chosen
+/// such that its quota owner, at a known distance after the first gateway, is `owner`.
 pub(super) fn draw_customers(
     rng: &mut ChaCha8Rng,
     sizes: FleetSizes,
@@ -125,10 +126,12 @@
     Ok(customers)
 }
 
-/// How many gateways after the first of its gateways a customer's quota owner is; 0 where quotas have no owners.
+/// Returns the distance from the first gateway of a customer to its quota owner, in gateways; 0 if
+/// quotas have no owners.
 fn owner_offset(customer: CustomerId, sizes: FleetSizes) -> Result<u32> {
     let settings = settings(GATEWAY_IDS[0], sizes.gateways);
-    let mut gateway = Gateway::new(1, settings, START).context("a gateway that shows the owner")?;
+    let mut gateway = Gateway::new(1, settings, START)
+        .context("cannot create the gateway that determines the quota owner")?;
     let event = Event::RequestReceived {
         id: RequestId("probe".into()),
         class: ClassId(0),
--- a/crates/fleet-lab/src/scaling/gateway_pair/member.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair/member.rs
@@ -7,21 +7,21 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// A gateway, its customers and its timer.
+/// A gateway with its customers and its timer.
 pub(super) struct Member {
-    /// The decision library.
+    /// Decision library of the gateway.
     pub(super) gateway: Gateway,
-    /// Customers that take turns in sending requests to it.
+    /// Customers that take turns in sending requests to the gateway.
     pub(super) customers: Vec<Customer>,
-    /// When its next timer fires.
+    /// Time at which the gateway's next timer fires.
     pub(super) timer_at: Timestamp,
 }
 
 impl Member {
-    /// Draws a gateway whose customers' quotas the other one owns.
+    /// Draws a gateway whose customers' quotas the gateway `owner` owns.
     ///
     /// # Errors
-    /// If the gateway can't be made.
+    /// Returns an error if the gateway cannot be created.
     pub(super) fn draw(
         rng: &mut ChaCha8Rng,
         sizes: FleetSizes,
--- a/crates/fleet-lab/src/scaling/gateway_pair/mod.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair/mod.rs
@@ -1,5 +1,6 @@
-//! Two gateways of one fleet, each the owner of the quotas of the other's customers, with servers that answer
-//! immediately. The first is measured; the second is its peer and has the same list, information and request rate.
+//! Two gateways of one fleet, each of which owns the quotas of the other's customers, with servers
+//! that answer immediately. The first gateway is measured; the second is its peer and has the same
+//! list of servers, information and request rate.
 
 mod member;
 mod preparation;
@@ -18,28 +19,28 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time between two requests at one gateway: 236 a second.
+/// Time between two requests at one gateway, for 236 requests per second.
 const REQUEST_INTERVAL: Duration = Duration::from_micros(1_000_000 / 236);
-/// Time that a server takes for a request.
+/// Service time of a request.
 const SERVICE_TIME: Duration = Duration::from_millis(3);
-/// The index of the gateway that is measured.
+/// Index of the gateway that is measured.
 pub(super) const MEASURED: usize = 0;
-/// The second byte of a datagram is its kind; this one answers a lease request.
+/// Kind of the datagrams that answer a lease request; the kind is the second byte of a datagram.
 const LEASE_GRANT_KIND: u8 = 2;
 
-/// An event for one of the gateways.
+/// An event that one of the gateways has yet to handle.
 struct PendingEvent {
-    /// The index of the gateway.
+    /// Index of the gateway.
     member: usize,
     event: Event,
 }
 
-/// What the first gateway's work has cost.
+/// Cost of the first gateway's work.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct MeasuredCosts {
-    /// Its own requests and timers.
+    /// Cost of the gateway's own requests and timers, including lease grants that it receives.
     pub(super) own: Cost,
-    /// Messages that its peer sent, other than answers.
+    /// Cost of messages from its peer other than lease grants.
     pub(super) peer_messages: Cost,
 }
 
@@ -52,9 +53,9 @@
 
 /// The two gateways and their clock.
 pub(super) struct GatewayPair {
-    /// The time.
+    /// Current time.
     pub(super) now: Timestamp,
-    /// The list of servers as the first gateway has it.
+    /// List of servers as the first gateway knows it.
     pub(super) endpoints: Vec<Endpoint>,
     rng: ChaCha8Rng,
     sizes: FleetSizes,
@@ -62,15 +63,16 @@
     pending: VecDeque<PendingEvent>,
     last_request_number: u64,
     costs: MeasuredCosts,
-    /// Attempts that the first gateway has sent; each is served.
+    /// Number of attempts that the first gateway has sent; each of them is served.
     served_attempts: u64,
 }
 
 impl GatewayPair {
-    /// Two gateways that know their servers, have met their customers, and have run for a while.
+    /// Creates two gateways that know their servers, have received requests of their customers, and
+    /// have run for a while.
     ///
     /// # Errors
-    /// If a gateway can't be made, or does not serve.
+    /// Returns an error if a gateway cannot be created or does not serve a request.
     pub(super) fn new(seed: u64, sizes: FleetSizes) -> Result<GatewayPair> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let endpoints = draw_endpoints(&mut rng, sizes.servers);
@@ -92,7 +94,7 @@
         Ok(pair)
     }
 
-    /// What the first gateway's work has cost since the last call.
+    /// Returns the cost of the first gateway's work since the last call.
     pub(super) fn take_costs(&mut self) -> MeasuredCosts {
         std::mem::take(&mut self.costs)
     }
@@ -101,7 +103,7 @@
         self.pending.push_back(PendingEvent { member, event });
     }
 
-    /// Enqueues a request of the next customer of a gateway.
+    /// Enqueues a request of the gateway's next customer.
     fn enqueue_request(&mut self, member: usize) {
         let customers = &self.members[member].customers;
         let customer = customers[(self.last_request_number as usize / 2) % customers.len()];
@@ -126,10 +128,12 @@
         }
     }
 
-    /// One request at each gateway, from its arrival to its answer, and the time to the next.
+    /// Sends one request to each gateway, delivers all events until the answers, and advances the
+    /// time to the next request.
     ///
     /// # Errors
-    /// If it is not served at the first: what was measured would be a rejection.
+    /// Returns an error if the first gateway does not serve its request: the measured cost would be
+    /// that of a rejection.
     pub(super) fn request(&mut self) -> Result<()> {
         let next_request_at = self.now + REQUEST_INTERVAL;
         let served_before = self.served_attempts;
@@ -144,7 +148,8 @@
         Ok(())
     }
 
-    /// Delivers all pending events, with the time that servers take.
+    /// Delivers all pending events, and lets the service time pass for attempts of the first
+    /// gateway.
     fn deliver(&mut self) {
         while let Some(PendingEvent { member, event }) = self.pending.pop_front() {
             if member == MEASURED && matches!(event, Event::AttemptFinished { .. }) {
@@ -155,7 +160,8 @@
         }
     }
 
-    /// Lets time pass until then, with the timers that fire meanwhile. What these cost is not part of a request.
+    /// Advances the time to `until` and fires the timers that are due by then. The first gateway's
+    /// own cost of these timers is not counted, as it is not part of a request.
     pub(super) fn advance(&mut self, until: Timestamp) {
         while let Some(member) = self
             .members
@@ -171,25 +177,26 @@
 
     fn deliver_unmeasured(&mut self) {
         while let Some(PendingEvent { member, event }) = self.pending.pop_front() {
-            // Usage counts to all peers are sent when they are due, not with a request.
+            // Usage counts are broadcast when they are due, independently of requests, so only the
+            // cost of receiving them is counted.
             let costs = self.handle_event(member, event);
             self.costs.peer_messages.add(costs.peer_messages);
         }
     }
 
-    /// Fires a gateway's timer now; returns what that costs.
+    /// Fires a gateway's timer now and returns the cost to the first gateway.
     pub(super) fn fire_timer(&mut self, member: usize) -> Cost {
         self.members[member].timer_at = Timestamp::MAX;
         self.handle_event(member, Event::TimerFired { token: 0 })
             .own
     }
 
-    /// When the first gateway's timer fires.
+    /// Returns the time at which the first gateway's timer fires.
     pub(super) fn next_timer(&self) -> Timestamp {
         self.members[MEASURED].timer_at
     }
 
-    /// Gives the first gateway a list of servers, or changes to it; returns what that costs.
+    /// Gives the first gateway a list of servers, or changes to the list, and returns the cost.
     pub(super) fn update_endpoints(
         &mut self,
         kind: EndpointUpdate,
@@ -199,7 +206,8 @@
             .own
     }
 
-    /// Draws a server that starts to drain, or becomes ready again.
+    /// Draws a server and changes its state: a ready server starts to drain, any other becomes
+    /// ready. Returns its new entry of the list.
     pub(super) fn change_endpoint(&mut self) -> Endpoint {
         let index = self.rng.random_range(0..self.endpoints.len());
         let endpoint = &mut self.endpoints[index];
@@ -210,7 +218,8 @@
         *endpoint
     }
 
-    /// Gives a gateway an event and carries out its actions; returns what that costs the first gateway.
+    /// Passes an event to a gateway and executes the resulting actions. Returns the cost to the
+    /// first gateway.
     fn handle_event(&mut self, member: usize, event: Event) -> MeasuredCosts {
         let is_unsolicited =
             matches!(&event, Event::PeerMessage { bytes, .. } if !is_lease_grant(bytes));
@@ -256,7 +265,7 @@
         }
     }
 
-    /// A server answers an attempt.
+    /// Enqueues the successful answer of a server to an attempt.
     fn serve(&mut self, member: usize, id: RequestId) {
         self.served_attempts += u64::from(member == MEASURED);
         let reported_load = Some(f64::from(self.rng.random_range(0..4u8)));
--- a/crates/fleet-lab/src/scaling/gateway_pair/preparation.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair/preparation.rs
@@ -6,7 +6,7 @@
 use gateway_core::{CustomerId, EndpointUpdate, Event};
 use std::time::Duration;
 
-/// Servers that the gateways may visit in all requests before the measurement.
+/// Number of server visits that all requests before the measurement may take together.
 const WARM_UP_VISITS: u64 = 1_000_000;
 /// Minimum number of requests before the measurement.
 const MIN_WARM_UP_REQUESTS: u64 = 40;
@@ -30,7 +30,7 @@
         for _ in 0..self.warm_up_requests() {
             self.request()?;
         }
-        // Both have a control tick now, so that none falls into what is measured afterwards.
+        // Both gateways have a control tick now, so that none falls into the measurement.
         self.now = self.now + CONTROL_TICK + MILLISECOND;
         for member in 0..self.members.len() {
             self.fire_timer(member);
@@ -41,13 +41,15 @@
         Ok(())
     }
 
-    /// Requests before the measurement: fewer where each is expensive.
+    /// Returns the number of requests before the measurement: fewer where each request is
+    /// expensive.
     fn warm_up_requests(&self) -> u64 {
         (WARM_UP_VISITS / self.sizes.servers.max(1))
             .clamp(MIN_WARM_UP_REQUESTS, MAX_WARM_UP_REQUESTS)
     }
 
-    /// Sends the first gateway one request of each other customer, with no time to serve it.
+    /// Sends the first gateway one request of each customer that does not take turns in sending
+    /// requests, with a timeout of 0, so that it is not served.
     fn send_requests_of_inactive_customers(&mut self) {
         let active_customers = self.members[MEASURED].customers.len() as u64;
         for number in 0..self.sizes.customers.saturating_sub(active_customers) {
@@ -63,12 +65,13 @@
         }
     }
 
-    /// Leaves as many requests open at the first gateway as there should be, without the one that is measured.
+    /// Leaves requests open at the first gateway: one fewer than the configured number, which
+    /// includes the request that is measured.
     fn leave_requests_open(&mut self) {
         for _ in 1..self.sizes.open_requests {
             self.enqueue_request(MEASURED);
             while let Some(PendingEvent { member, event }) = self.pending.pop_front() {
-                // No server answers meanwhile.
+                // Without the answers of servers, the requests stay open.
                 if !matches!(event, Event::AttemptFinished { .. }) {
                     self.handle_event(member, event);
                 }
--- a/crates/fleet-lab/src/scaling/measure/figures.rs
+++ b/crates/fleet-lab/src/scaling/measure/figures.rs
@@ -1,14 +1,14 @@
-//! The figures that measurements yield.
+//! The figures that measurements return.
 
 use crate::scaling::cost::{is_counting_allocations, Cost};
 use crate::scaling::report::Figure;
 
-/// A total divided by a number of units.
+/// Returns a total divided by a number of units.
 pub(super) fn per_unit(total: u64, count: u64) -> f64 {
     total as f64 / count.max(1) as f64
 }
 
-/// Figures of work that sends no message, for each of `count` repetitions.
+/// Returns the figures of work that sends no messages, for each of `count` repetitions.
 pub(super) fn local_figures(cost: Cost, count: u64) -> Vec<Figure> {
     let mut figures = vec![
         Figure {
@@ -29,7 +29,7 @@
     figures
 }
 
-/// Figures of work that sends messages, for each of `count` repetitions.
+/// Returns the figures of work that sends messages, for each of `count` repetitions.
 pub(super) fn message_figures(cost: Cost, count: u64) -> Vec<Figure> {
     let mut figures = local_figures(cost, count);
     figures.push(Figure {
@@ -47,7 +47,7 @@
     figures
 }
 
-/// Figures of memory, in all and for each of `count` units.
+/// Returns the figures of memory, in total and for each of `count` units.
 pub(super) fn memory_figures(bytes: u64, count: u64) -> Vec<Figure> {
     vec![
         Figure {
--- a/crates/fleet-lab/src/scaling/measure/list_text.rs
+++ b/crates/fleet-lab/src/scaling/measure/list_text.rs
@@ -1,4 +1,4 @@
-//! How long the text of a list of servers is.
+//! The length of a list of servers in the JSON of discovery.
 
 use crate::scaling::fleet::draw_endpoints;
 use crate::scaling::report::Figure;
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// A server in a list as the protocol defines it.
+/// An entry of the list, as defined by the protocol.
 #[derive(serde::Serialize)]
 struct HostEntry {
     host: String,
@@ -33,13 +33,13 @@
             block: endpoint.cell.0,
             health: "ready",
             share: endpoint.weight,
-            // Unix time in ms has thirteen digits.
+            // A Unix time in ms has thirteen digits.
             born_ms: 1_700_000_000_000,
         }
     }
 }
 
-/// A list of servers, or changes to it.
+/// A list of servers, or changes to the list.
 #[derive(serde::Serialize)]
 struct HostList<'a> {
     seq: u64,
@@ -47,7 +47,7 @@
     hosts: &'a [HostEntry],
 }
 
-/// The text of a list, whole and of one changed entry: bytes alone.
+/// Measures the length of the JSON of a whole list and of one changed entry, in bytes.
 pub(super) fn measure_list_text(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let endpoints = draw_endpoints(&mut ChaCha8Rng::seed_from_u64(seed), sizes.servers);
     let numbered = endpoints.iter().enumerate();
--- a/crates/fleet-lab/src/scaling/measure/memory.rs
+++ b/crates/fleet-lab/src/scaling/measure/memory.rs
@@ -1,4 +1,4 @@
-//! How much memory a gateway uses.
+//! The memory of a gateway.
 
 use super::figures::memory_figures;
 use crate::scaling::cost::{is_counting_allocations, live_bytes};
@@ -14,10 +14,10 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// When gateways whose memory is measured start.
+/// Time at which gateways whose memory is measured start and handle all events.
 const START: Timestamp = Timestamp::from_micros(500_000);
 
-/// A gateway with nothing but its settings, and its memory.
+/// A gateway without servers and customers, and the memory that it uses.
 struct FreshGateway {
     gateway: Gateway,
     bytes: u64,
@@ -34,7 +34,7 @@
     Ok(FreshGateway { gateway, bytes })
 }
 
-/// Memory that a list of servers takes.
+/// Measures the memory that a list of servers takes.
 pub(super) fn measure_server_memory(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let mut gateway = fresh_gateway(seed, sizes.gateways)?.gateway;
     let endpoints = draw_endpoints(&mut ChaCha8Rng::seed_from_u64(seed), sizes.servers);
@@ -55,7 +55,7 @@
     ))
 }
 
-/// Memory that customers take, each with one request that is rejected.
+/// Measures the memory that customers take, each with one request that is rejected.
 pub(super) fn measure_customer_memory(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let mut gateway = fresh_gateway(seed, sizes.gateways)?.gateway;
     let before = live_bytes();
@@ -80,7 +80,7 @@
     ))
 }
 
-/// Memory of a gateway without servers and customers.
+/// Measures the memory of a gateway without servers and customers.
 pub(super) fn measure_gateway_memory(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let bytes = fresh_gateway(seed, sizes.gateways)?.bytes;
     Ok(memory_figures(bytes, u64::from(sizes.gateways)))
--- a/crates/fleet-lab/src/scaling/measure/mod.rs
+++ b/crates/fleet-lab/src/scaling/measure/mod.rs
@@ -1,4 +1,4 @@
-//! The costs that are measured. Each run makes gateways of its own, so that repeats share nothing.
+//! The costs that are measured. Each run creates its own gateways, so that repeats share nothing.
 
 mod figures;
 mod list_text;
@@ -15,13 +15,13 @@
     measure_snapshot, measure_timer,
 };
 
-/// Something whose cost is measured.
+/// A cost that can be measured.
 pub(super) struct Measurement {
-    /// Its name on the command line.
+    /// Name of the measurement on the command line.
     pub(super) name: &'static str,
-    /// The dimensions in which the fleet grows.
+    /// Dimensions in which the fleet may grow.
     pub(super) dimensions: &'static [Dimension],
-    /// Measures it once, with a seed.
+    /// Measures the cost once, with the given seed and sizes.
     pub(super) run: fn(u64, FleetSizes) -> Result<Vec<Figure>>,
 }
 
--- a/crates/fleet-lab/src/scaling/measure/work.rs
+++ b/crates/fleet-lab/src/scaling/measure/work.rs
@@ -1,4 +1,5 @@
-//! What a gateway's work costs: its requests, messages, timers, control ticks and updates of the list of servers.
+//! The cost of a gateway's work: requests, messages, timers, control ticks and updates of the list
+//! of servers.
 
 use super::figures::{local_figures, message_figures};
 use crate::scaling::cost::Cost;
@@ -9,13 +10,15 @@
 use anyhow::{ensure, Result};
 use gateway_core::EndpointUpdate;
 
-/// Requests in a run. They take less than half of the latency objective in all: servers of requests that stay open
-/// for longer would look hung, which costs more than what is measured.
+/// Number of requests in a run. All of them together take less than half of the latency objective:
+/// otherwise servers of requests that stay open would look hung, which costs more than the measured
+/// work.
 const REQUESTS: u64 = 80;
-/// Timers, control ticks, changes and lists in a run.
+/// Number of timers, control ticks, changed entries or lists in a run.
 const REPETITIONS: u64 = 10;
 
-/// A request at the gateway at which it arrives: the request, the owner's lease, one attempt and its answer.
+/// Measures a request at the gateway at which it arrives: the request, the owner's lease, one
+/// attempt and its answer.
 pub(super) fn measure_request(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let mut pair = GatewayPair::new(seed, sizes)?;
     for _ in 0..REQUESTS {
@@ -24,7 +27,8 @@
     Ok(message_figures(pair.take_costs().own, REQUESTS))
 }
 
-/// A message of a peer other than an answer: a lease request, which is answered, or in a small fleet usage counts.
+/// Measures a message of a peer other than a lease grant: a lease request, which is answered, or,
+/// in a small fleet, usage counts.
 pub(super) fn measure_datagram(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let mut pair = GatewayPair::new(seed, sizes)?;
     for _ in 0..REQUESTS {
@@ -32,11 +36,11 @@
     }
     pair.advance(pair.now + CONTROL_TICK);
     let cost = pair.take_costs().peer_messages;
-    ensure!(cost.events > 0, "no datagram came");
+    ensure!(cost.events > 0, "the peer sent no datagram");
     Ok(message_figures(cost, cost.events))
 }
 
-/// One changed entry of the list: a server that starts to drain or becomes ready again.
+/// Measures one changed entry of the list: a server that starts to drain or becomes ready again.
 pub(super) fn measure_endpoint_change(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let mut pair = GatewayPair::new(seed, sizes)?;
     let mut cost = Cost::default();
@@ -47,7 +51,7 @@
     Ok(local_figures(cost, REPETITIONS))
 }
 
-/// The whole list again, with one change.
+/// Measures a snapshot of the whole list that contains one change.
 pub(super) fn measure_snapshot(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let mut pair = GatewayPair::new(seed, sizes)?;
     let mut cost = Cost::default();
@@ -59,9 +63,10 @@
     Ok(local_figures(cost, REPETITIONS))
 }
 
-/// A timer between two control ticks, while requests are open.
+/// Measures a timer between two control ticks while requests are open.
 pub(super) fn measure_timer(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
-    // One more request stays open than elsewhere, where one is under way: none arrives here.
+    // One more request stays open than in the other measurements, where the measured request is
+    // open too: no request arrives here.
     let sizes = FleetSizes {
         open_requests: sizes.open_requests + 1,
         ..sizes
@@ -75,7 +80,7 @@
     Ok(local_figures(cost, REPETITIONS))
 }
 
-/// A control tick while no request is open.
+/// Measures a control tick while no request is open.
 pub(super) fn measure_control_tick(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let mut pair = GatewayPair::new(
         seed,
--- a/crates/fleet-lab/src/scaling/mod.rs
+++ b/crates/fleet-lab/src/scaling/mod.rs
@@ -1,8 +1,9 @@
-//! `fleet-lab scaling`: what the decision library costs as the fleet grows. Each cost is measured over a range of sizes,
-//! with its statistics over some repeats.
+//! `fleet-lab scaling`: measures the cost of the decision library as the fleet grows. Each cost is
+//! measured over a range of sizes, with statistics over several repeats.
 //!
-//! Processor time is that of the measuring thread alone, so that other work on the machine influences it little. What
-//! can be counted without a clock is counted as well: messages, bytes, allocations, live memory.
+//! Processor time is that of the measuring thread alone, so that other work on the machine has
+//! little influence on it. Figures that need no clock are counted as well: messages, bytes,
+//! allocations and live memory.
 
 mod args;
 mod cost;
@@ -22,16 +23,18 @@
 use anyhow::Context;
 use plan::{show_progress, MeasurementPlan};
 
-/// Measures what was asked for, prints it, and writes it to the files that were asked for.
+/// Measures the costs that the arguments ask for, prints the results, and writes them to the files
+/// that the arguments name.
 ///
 /// # Errors
-/// [`Failure::InvalidArguments`], or [`Failure::Failed`] if a file could not be written or a gateway did not work.
+/// Returns [`Failure::InvalidArguments`], or [`Failure::Failed`] if a file could not be written or
+/// a gateway did not work.
 pub fn run(args: &Args) -> Result<(), Failure> {
     let plan = MeasurementPlan::new(args).map_err(Failure::InvalidArguments)?;
     let report = measure(args, &plan)?;
     if report.curves.is_empty() {
         let problem = format!(
-            "nothing that was named has a size of {} or less",
+            "no selected cost has a selected dimension with a size of at most {}",
             plan.max_size
         );
         return Err(Failure::InvalidArguments(problem));
@@ -69,10 +72,11 @@
 fn write_files(args: &Args, report: &Report) -> anyhow::Result<()> {
     if let Some(path) = &args.json {
         let text = serde_json::to_string_pretty(report)?;
-        std::fs::write(path, text + "\n").with_context(|| format!("{}", path.display()))?;
+        std::fs::write(path, text + "\n")
+            .with_context(|| format!("cannot write {}", path.display()))?;
     }
     if let Some(path) = &args.plot {
-        plot::draw(report, path).with_context(|| format!("{}", path.display()))?;
+        plot::draw(report, path).with_context(|| format!("cannot write {}", path.display()))?;
     }
     Ok(())
 }
--- a/crates/fleet-lab/src/scaling/plan.rs
+++ b/crates/fleet-lab/src/scaling/plan.rs
@@ -1,4 +1,4 @@
-//! What is measured, and the measurement of one cost over one dimension.
+//! The plan of the measurements, and the measurement of one cost over one dimension.
 
 use super::args::Args;
 use super::measure::Measurement;
@@ -9,23 +9,23 @@
 
 /// Largest size with `--quick`.
 const QUICK_MAX_SIZE: u64 = 1_000;
-/// Repeats with `--quick`.
+/// Maximum number of repeats with `--quick`.
 const QUICK_REPEATS: u64 = 2;
 
-/// What is measured, derived from valid arguments.
+/// Seed, repeats and sizes of the measurements, derived from valid arguments.
 pub(super) struct MeasurementPlan {
     /// Seed of the first repeat.
     pub(super) seed: u64,
-    /// Repeats of each point.
+    /// Number of repeats of each point.
     pub(super) repeats: u64,
     /// Largest size in any dimension.
     pub(super) max_size: u64,
-    /// The sizes in all dimensions but the one that grows.
+    /// Sizes in all dimensions but the one in which the fleet grows.
     pub(super) base: FleetSizes,
 }
 
 impl MeasurementPlan {
-    /// The plan that arguments describe, or why they describe none.
+    /// Returns the plan that the arguments describe, or the reason why they are invalid.
     pub(super) fn new(args: &Args) -> Result<MeasurementPlan, String> {
         args.validate()?;
         let gateways_per_customer = args
@@ -97,11 +97,11 @@
     }
 }
 
-/// Shows on a terminal what is being measured, in place of what was shown before.
+/// Shows what is being measured on a terminal, in place of the previous text.
 pub(super) fn show_progress(text: &str) {
     let mut stderr = std::io::stderr();
     if stderr.is_terminal() {
-        // Progress that cannot be shown is no reason to stop.
+        // Errors are ignored, because the measurement can continue without showing its progress.
         let _ = write!(stderr, "\r\x1b[K{text}").and_then(|()| stderr.flush());
     }
 }
--- a/crates/fleet-lab/src/scaling/plot.rs
+++ b/crates/fleet-lab/src/scaling/plot.rs
@@ -1,4 +1,4 @@
-//! Processor time over size, as an SVG picture.
+//! Plots of processor time over size as SVG.
 
 use super::report::{CostCurve, Report, Statistics};
 use anyhow::{anyhow, Result};
@@ -8,28 +8,28 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// Width of one panel, pixels.
+/// Width of one panel, in pixels.
 const PANEL_WIDTH: u32 = 560;
-/// Height of one panel, pixels.
+/// Height of one panel, in pixels.
 const PANEL_HEIGHT: u32 = 380;
-/// Panels side by side.
+/// Number of panels in a row.
 const COLUMNS: usize = 2;
 
 /// A chart with two logarithmic axes.
 type LogarithmicChart<'a> =
     ChartContext<'a, SVGBackend<'a>, Cartesian2d<LogCoord<f64>, LogCoord<f64>>>;
 
-/// Processor time at one size.
+/// Processor time at one size of the fleet.
 struct TimePoint {
     size: f64,
-    /// µs.
+    /// Processor time in µs.
     time: Statistics,
 }
 
-/// One curve, as far as it has processor times above 0, which a logarithmic axis can show.
+/// One curve without the points whose processor time is 0, which a logarithmic axis cannot show.
 struct TimeCurve<'a> {
     curve: &'a CostCurve,
-    /// One or more.
+    /// Points of the curve; at least one.
     points: Vec<TimePoint>,
 }
 
@@ -59,18 +59,18 @@
     }
 }
 
-/// A range with room around some positive values.
+/// Returns a range that contains all of the positive values, with some room at both ends.
 fn padded(values: impl Iterator<Item = f64> + Clone) -> Range<f64> {
     let minimum = values.clone().fold(f64::MAX, f64::min);
     let maximum = values.fold(0.0, f64::max);
     minimum * 0.8..maximum * 1.25
 }
 
-/// Draws a panel for each curve that has a processor time: medians as a line, each with its minimum and maximum,
-/// and logarithmic axes.
+/// Draws a panel with logarithmic axes for each curve that has a processor time: medians as a line,
+/// and a range from minimum to maximum at each median.
 ///
 /// # Errors
-/// If no curve has a processor time, or the file can't be written.
+/// Returns an error if no curve has a processor time, or the file cannot be written.
 pub(super) fn draw(report: &Report, path: &Path) -> Result<()> {
     let curves: Vec<TimeCurve> = report.curves.iter().filter_map(TimeCurve::new).collect();
     if curves.is_empty() {
@@ -87,7 +87,7 @@
 }
 
 fn drawing_error(error: impl std::fmt::Display) -> anyhow::Error {
-    anyhow!("drawing: {error}")
+    anyhow!("drawing failed: {error}")
 }
 
 fn draw_panel(panel: &DrawingArea<SVGBackend, Shift>, time_curve: &TimeCurve) -> Result<()> {
@@ -114,7 +114,8 @@
     draw_points(&mut chart, &time_curve.points)
 }
 
-/// Draws medians as a line with circles, and the extent of each as a vertical line.
+/// Draws medians as a line with circles, and the range from minimum to maximum at each median as a
+/// vertical line.
 fn draw_points(chart: &mut LogarithmicChart, points: &[TimePoint]) -> Result<()> {
     let medians = points.iter().map(|point| (point.size, point.time.median));
     chart
--- a/crates/fleet-lab/src/scaling/report.rs
+++ b/crates/fleet-lab/src/scaling/report.rs
@@ -1,29 +1,29 @@
-//! What was measured: as a table, and as JSON.
+//! Results of the measurements, as a table and as JSON.
 
 use super::sizes::{Dimension, FleetSizes};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One figure of one run.
+/// One figure of one repeat.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Figure {
-    /// Its name, which ends with its unit.
+    /// Name of the figure, which ends with its unit.
     pub(super) name: &'static str,
-    /// Its value.
+    /// Value in the unit that the name ends with.
     pub(super) value: f64,
 }
 
-/// All figures of one command.
+/// Results of one run of `fleet-lab scaling`.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Seed of the first repeat; each further one has the next.
+    /// Seed of the first repeat; each further repeat has the next seed.
     pub seed: u64,
-    /// Repeats of each point.
+    /// Number of repeats of each point.
     pub repeats: u64,
-    /// The sizes in all dimensions but the one that grows.
+    /// Sizes in all dimensions but the one in which the fleet grows.
     pub base: FleetSizes,
-    /// Each cost over each dimension.
+    /// One curve for each cost and dimension.
     #[serde(rename = "slopes")]
     pub curves: Vec<CostCurve>,
 }
@@ -33,17 +33,17 @@
 pub struct CostCurve {
     /// Name of the measurement.
     pub name: String,
-    /// The dimension in which the fleet grows.
+    /// Dimension in which the fleet grows.
     #[serde(rename = "over")]
     pub dimension: Dimension,
-    /// In the order of their sizes.
+    /// Points of the curve, in the order of their sizes.
     pub points: Vec<CostPoint>,
 }
 
 /// The cost at one size.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct CostPoint {
-    /// The size.
+    /// Size of the fleet in the dimension of the curve.
     pub size: u64,
     /// Statistics by the name of their figure, which ends with its unit.
     pub figures: BTreeMap<String, Statistics>,
@@ -69,16 +69,16 @@
 /// Statistics of one figure over all repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Statistics {
-    /// The middle value; of an even number of values the upper of the two.
+    /// Median; for an even number of values, the upper of the two middle values.
     pub median: f64,
-    /// The minimum.
+    /// Minimum.
     pub min: f64,
-    /// The maximum.
+    /// Maximum.
     pub max: f64,
 }
 
 impl Statistics {
-    /// The statistics of some values; `None` if there are none.
+    /// Computes the statistics of some values; returns `None` if there are none.
     pub fn of(mut values: Vec<f64>) -> Option<Statistics> {
         values.sort_by(f64::total_cmp);
         let min = *values.first()?;
@@ -91,7 +91,7 @@
     }
 }
 
-/// What all curves have in common; each curve prints itself.
+/// Prints what all curves have in common; each curve prints itself.
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let FleetSizes {
@@ -146,8 +146,8 @@
     Ok(())
 }
 
-/// The exponent of the size with which a figure grows from one point to the next: 0 is constant, 1 is linear. `None`
-/// if that is undefined, as a figure is 0.
+/// Returns the exponent of the size with which a figure grows from one point to the next: 0 means
+/// constant, 1 linear. Returns `None` if the exponent is undefined because a figure is 0.
 fn growth_exponent(before: &CostPoint, after: &CostPoint, name: &str) -> Option<f64> {
     let growth = after.figures.get(name)?.median / before.figures.get(name)?.median;
     let exponent = growth.ln() / (after.size as f64 / before.size as f64).ln();
--- a/crates/fleet-lab/src/scaling/sizes.rs
+++ b/crates/fleet-lab/src/scaling/sizes.rs
@@ -8,24 +8,24 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Dimension {
-    /// Servers listed.
+    /// Listed servers.
     Servers,
-    /// Customers that a gateway has met.
+    /// Customers that have sent requests to the gateway.
     Customers,
     /// Gateways in the fleet.
     Gateways,
-    /// Gateways that a customer's requests arrive through.
+    /// Gateways at which a customer's requests arrive.
     #[serde(rename = "spread")]
     #[value(name = "spread")]
     GatewaysPerCustomer,
-    /// Requests open at the gateway.
+    /// Open requests at the gateway.
     #[serde(rename = "open")]
     #[value(name = "open")]
     OpenRequests,
 }
 
 impl Dimension {
-    /// The sizes that are measured.
+    /// Returns the sizes at which costs are measured.
     pub(super) fn sizes(self) -> &'static [u64] {
         match self {
             Dimension::Servers => &[14, 60, 200, 1_000, 5_000, 20_000, 110_000],
@@ -51,22 +51,22 @@
 /// The sizes of a fleet as one gateway sees it.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct FleetSizes {
-    /// Servers listed.
+    /// Number of listed servers.
     pub servers: u64,
-    /// Customers that a gateway has met.
+    /// Number of customers that have sent requests to the gateway.
     pub customers: u64,
-    /// Gateways in the fleet.
+    /// Number of gateways in the fleet.
     pub gateways: u32,
-    /// Gateways that a customer's requests arrive through; all if there are fewer.
+    /// Number of gateways at which a customer's requests arrive; values above `gateways` mean all.
     #[serde(rename = "spread")]
     pub gateways_per_customer: u32,
-    /// Requests open at the gateway.
+    /// Number of open requests at the gateway.
     #[serde(rename = "open")]
     pub open_requests: u64,
 }
 
 impl FleetSizes {
-    /// The same fleet with another size in one dimension.
+    /// Returns the sizes of the same fleet with another size in one dimension.
     pub(super) fn with(self, dimension: Dimension, size: u64) -> FleetSizes {
         let size_u32 = u32::try_from(size).unwrap_or(u32::MAX);
         match dimension {
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Gateways that a customer's requests really arrive through.
+    /// Returns the number of gateways at which a customer's requests arrive, which is at most the
+    /// number of gateways in the fleet.
     pub(super) fn effective_gateways_per_customer(&self) -> u32 {
         self.gateways_per_customer.min(self.gateways)
     }
