--- a/crates/fleet-lab/tests/hybrid/invariant_checker.rs
+++ b/crates/fleet-lab/tests/hybrid/invariant_checker.rs
@@ -1,4 +1,4 @@
-//! The invariants on scripted requests.
+//! The invariant checks on scripted requests.
 
 use fleet_lab::hybrid::invariant_checker::{
     SocketInvariantChecker, ANSWER_GRACE, SOCKET_TOLERANCE,
@@ -15,11 +15,12 @@
 const MICROSECOND: Duration = Duration::from_micros(1);
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// When checkers are made and most requests are sent.
+/// Time at which checkers are created and most requests are sent.
 const START: Timestamp = Timestamp::EPOCH;
 const FAILED: ReceivedAnswer = ReceivedAnswer::Genuine(FinalAnswer::Failed);
 
-/// One customer with ten units a second and twenty at once, and a tolerance of five.
+/// Returns a checker with one customer, whose quota is 10 units per second with a burst of 20 units
+/// and a tolerance of 5 units.
 fn new_checker() -> SocketInvariantChecker {
     let quota = Quota {
         rate: 10.0,
@@ -61,7 +62,7 @@
 fn result_of(checker: &SocketInvariantChecker, invariant: &str) -> InvariantResult {
     let mut results = checker.check().into_iter();
     let result = results.find(|result| result.invariant.contains(invariant));
-    result.unwrap_or_else(|| panic!("an invariant on {invariant}"))
+    result.unwrap_or_else(|| panic!("no result for an invariant on {invariant}"))
 }
 
 #[test]
@@ -78,7 +79,7 @@
     assert_eq!(
         violations(&checker, "quotas"),
         0,
-        "the burst and the tolerance"
+        "the burst and the tolerance may be used"
     );
     let refilled = START + Duration::from_millis(100);
     record_sent_request(&mut checker, refilled, "filled", 1, 1.0);
@@ -86,7 +87,7 @@
     assert_eq!(
         violations(&checker, "quotas"),
         0,
-        "what has been refilled meanwhile"
+        "refilled units may be used"
     );
     record_sent_request(&mut checker, refilled, "over", 0, 0.5);
     assert_eq!(
@@ -153,7 +154,7 @@
         SERVER,
         EndpointState::Draining,
     );
-    // The first time counts.
+    // The grace period starts when the node first receives the state.
     checker.endpoint_received(
         START + 2_000 * MICROSECOND,
         GatewayId(0),
@@ -184,7 +185,11 @@
     );
     record_sent_request(&mut checker, START, "back", 0, 1.0);
     checker.attempt_arrived(Timestamp::from_micros(u64::MAX / 2), "back", SERVER);
-    assert_eq!(violations(&checker, "leaves"), 1, "it is ready again");
+    assert_eq!(
+        violations(&checker, "leaves"),
+        1,
+        "the server is ready again"
+    );
 }
 
 #[test]
--- a/crates/fleet-lab/tests/hybrid/report.rs
+++ b/crates/fleet-lab/tests/hybrid/report.rs
@@ -10,9 +10,10 @@
 const REJECTED: ReceivedAnswer = ReceivedAnswer::Genuine(FinalAnswer::Rejected);
 const FAILED: ReceivedAnswer = ReceivedAnswer::Genuine(FinalAnswer::Failed);
 
-/// What nodes of one kind did with 400 requests, of which every other one was rejected.
+/// Returns the totals of nodes that were sent 400 requests, served every other one and rejected the
+/// rest.
 fn totals(messages: u64, wait: Duration) -> NodeTotals {
-    let mut totals = NodeTotals::new().expect("waits can be counted");
+    let mut totals = NodeTotals::new().expect("histogram of waits should be created");
     for number in 0..400 {
         let answer = if number % 2 == 0 { SERVED } else { REJECTED };
         totals.count(Some(answer), wait);
@@ -33,12 +34,12 @@
     assert_eq!(
         problems(&even, &totals(3000, Duration::from_millis(50))).len(),
         2,
-        "messages and bytes"
+        "messages and bytes differ"
     );
     assert_eq!(
         problems(&totals(1000, Duration::from_millis(150)), &even).len(),
         2,
-        "both waits"
+        "both waits differ"
     );
     let mut failing = totals(1000, Duration::from_millis(50));
     for _ in 0..1200 {
@@ -49,15 +50,11 @@
     assert_eq!(
         problems(&even, &failing).len(),
         3,
-        "served, rejected and failed"
+        "the fractions of served, rejected and failed requests differ"
     );
     let mut long = totals(1000, Duration::from_millis(50));
     long.too_long = 1;
-    assert_eq!(
-        problems(&even, &long).len(),
-        1,
-        "a datagram that is too long"
-    );
+    assert_eq!(problems(&even, &long).len(), 1, "one datagram is too long");
     assert!(
         problems(
             &totals(0, Duration::from_millis(50)),
--- a/crates/fleet-lab/tests/hybrid/runs.rs
+++ b/crates/fleet-lab/tests/hybrid/runs.rs
@@ -3,14 +3,17 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// The edge node's program, as it was last built for release.
+/// Returns the path of the edge node's program from the last release build.
 fn edge_node_program() -> PathBuf {
-    let test = std::env::current_exe().expect("this test's own path");
-    let target = test.ancestors().nth(3).expect("a target folder");
+    let test = std::env::current_exe().expect("path of this test should be known");
+    let target = test
+        .ancestors()
+        .nth(3)
+        .expect("test should be in a target folder");
     let program = target.join("release/edge-node");
     assert!(
         program.is_file(),
-        "{} is missing: `cargo build --release` builds it",
+        "{} is missing; build it with `cargo build --release`",
         program.display()
     );
     program
@@ -18,19 +21,19 @@
 
 fn run_hybrid(arguments: &[&str]) -> Output {
     let program = edge_node_program();
-    let program = program.to_str().expect("a plain path");
+    let program = program.to_str().expect("path should be UTF-8");
     let mut command = Command::new(env!("CARGO_BIN_EXE_fleet-lab"));
     command
         .args(["hybrid", "--program", program])
         .args(arguments)
         .output()
-        .expect("it runs")
+        .expect("fleet-lab should start")
 }
 
-/// Makes a short run. Returns its figures, with which its exit status has to agree.
+/// Makes a short run, checks that its exit status agrees with its report, and returns the report.
 fn run_briefly(arguments: &[&str]) -> serde_json::Value {
-    let report_file = tempfile::NamedTempFile::new().expect("a file");
-    let path = report_file.path().to_str().expect("a plain path");
+    let report_file = tempfile::NamedTempFile::new().expect("temporary file should be created");
+    let path = report_file.path().to_str().expect("path should be UTF-8");
     let size = [
         "--real",
         "2",
@@ -45,12 +48,12 @@
     ];
     let output = run_hybrid(&[&size[..], arguments].concat());
     let stderr = String::from_utf8_lossy(&output.stderr);
-    let text = std::fs::read_to_string(path).expect("figures");
+    let text = std::fs::read_to_string(path).expect("report file should be readable");
     let report: serde_json::Value =
-        serde_json::from_str(&text).unwrap_or_else(|_| panic!("no figures: {stderr}"));
+        serde_json::from_str(&text).unwrap_or_else(|_| panic!("no report: {stderr}"));
     let has_difference = report["rows"]
         .as_array()
-        .expect("rows")
+        .expect("rows should be an array")
         .iter()
         .any(|row| row["agrees"] == false);
     let has_violation = invariants(&report)
@@ -65,7 +68,9 @@
 }
 
 fn invariants(report: &serde_json::Value) -> &[serde_json::Value] {
-    report["rules"].as_array().expect("rules")
+    report["rules"]
+        .as_array()
+        .expect("rules should be an array")
 }
 
 fn assert_no_violation(report: &serde_json::Value) {
@@ -74,14 +79,18 @@
     }
     assert!(report["requests"]
         .as_array()
-        .expect("both")
+        .expect("requests should be an array")
         .iter()
         .all(|count| count.as_u64() > Some(0)));
 }
 
-/// The counts agree. Waits are not compared, as they depend on the machine that the test runs on.
+/// Asserts that the counts agree. Waits are not compared, because they depend on the machine that
+/// the test runs on.
 fn assert_counts_agree(report: &serde_json::Value) {
-    let rows = report["rows"].as_array().expect("rows").iter();
+    let rows = report["rows"]
+        .as_array()
+        .expect("rows should be an array")
+        .iter();
     let counted = rows.filter(|row| {
         row["what"]
             .as_str()
@@ -104,7 +113,7 @@
         invariants(&report)
             .iter()
             .all(|invariant| invariant["looked_at"].as_u64() > Some(0)),
-        "each invariant was checked: {report}"
+        "each invariant should be checked: {report}"
     );
 }
 
@@ -127,17 +136,17 @@
     let idempotency = invariants(&report).iter().find(is_idempotency_result);
     let repeated = idempotency
         .and_then(|result| result["seen"].as_str())
-        .expect("what ran again");
+        .expect("result should say how many requests ran repeatedly");
     let failed = report["rows"]
         .as_array()
-        .expect("rows")
+        .expect("rows should be an array")
         .iter()
         .find(|row| row["what"] == "failed share");
-    let failed = failed.expect("a share that failed");
+    let failed = failed.expect("report should have the failed share");
     let has_failures = failed["real"]["value"] != 0.0 || failed["hollow"]["value"] != 0.0;
     assert!(
         has_failures || !repeated.starts_with("0 "),
-        "the unresponsive server got requests: {report}"
+        "the unresponsive server should receive requests: {report}"
     );
 }
 
@@ -169,7 +178,7 @@
     let missing = Command::new(env!("CARGO_BIN_EXE_fleet-lab"))
         .args(["hybrid", "--program", "/nowhere/edge-node"])
         .output()
-        .expect("it runs");
+        .expect("fleet-lab should start");
     let stderr = String::from_utf8_lossy(&missing.stderr);
     assert_eq!(
         (missing.status.code(), stderr.lines().count()),
@@ -184,7 +193,7 @@
     let output = Command::new(other)
         .args(["hybrid", "--program", other, "--seconds", "1"])
         .output()
-        .expect("it runs");
+        .expect("fleet-lab should start");
     let stderr = String::from_utf8_lossy(&output.stderr);
     assert_eq!(
         (output.status.code(), stderr.lines().count()),
--- a/crates/fleet-lab/tests/scaling.rs
+++ b/crates/fleet-lab/tests/scaling.rs
@@ -1,11 +1,11 @@
-//! `fleet-lab scaling` from outside: its counts are bounded, its reports can be read back, and invalid arguments end
-//! with exit status 2.
+//! `fleet-lab scaling` as a command: its counts are bounded, its reports can be read back, and it
+//! exits with status 2 if arguments are invalid.
 
 use fleet_lab::scaling::{CostCurve, Dimension, Report};
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// Arguments that are written as one line.
+/// Splits a line of arguments at whitespace.
 fn split_arguments(line: &str) -> Vec<&str> {
     line.split_whitespace().collect()
 }
@@ -15,26 +15,26 @@
         .arg("scaling")
         .args(args)
         .output()
-        .expect("the lab runs")
+        .expect("fleet-lab should start")
 }
 
-/// A file of this test alone.
+/// Returns the path of an output file, whose name is used by one test only.
 fn output_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
-/// Runs the lab and reads what it wrote.
+/// Runs the command with the given arguments, and returns the report that it writes as JSON.
 fn run_and_read_report(name: &str, args: &str) -> Report {
     let path = output_path(name);
-    let json = path.to_str().expect("a plain path");
+    let json = path.to_str().expect("path should be UTF-8");
     let run = run_scaling(&[&split_arguments(args)[..], &["--json", json]].concat());
     assert!(
         run.status.success(),
         "{}",
         String::from_utf8_lossy(&run.stderr)
     );
-    let text = std::fs::read_to_string(&path).expect("the file is written");
-    serde_json::from_str(&text).expect("it reads back")
+    let text = std::fs::read_to_string(&path).expect("report file should be readable");
+    serde_json::from_str(&text).expect("report should be valid JSON")
 }
 
 fn find_curve<'a>(report: &'a Report, name: &str, dimension: Dimension) -> &'a CostCurve {
@@ -43,10 +43,10 @@
         .curves
         .iter()
         .find(is_named)
-        .expect("it was measured")
+        .expect("curve should have been measured")
 }
 
-/// The greatest value of a figure over all sizes and repeats.
+/// Returns the greatest value of a figure over all sizes and repeats.
 fn maximum(curve: &CostCurve, figure: &str) -> f64 {
     curve
         .points
@@ -65,7 +65,8 @@
         assert_eq!(curve.points.len(), 4, "14, 60, 200 and 1,000 servers");
         for point in &curve.points {
             let messages = point.figures["messages"];
-            // Units on lease need no lease request; a lease request is always answered.
+            // Requests that are covered by units on lease need no lease request; a lease request is
+            // always answered.
             let min_messages = if name == "request" { 0.1 } else { 1.0 };
             assert!(
                 messages.min >= min_messages && messages.max <= 1.0,
@@ -80,11 +81,11 @@
         }
         assert!(
             maximum(curve, "longest_bytes") <= 256.0,
-            "a datagram has room for 256 bytes"
+            "a datagram is at most 256 bytes long"
         );
         assert!(
             maximum(curve, "sent_bytes") <= 64.0,
-            "a lease request or its grant, with six health reports"
+            "a lease request or its grant, with six health reports, is at most 64 bytes long"
         );
         assert!(
             maximum(curve, "allocations") <= 32.0,
@@ -92,7 +93,7 @@
             maximum(curve, "allocations")
         );
     }
-    // Small fleets have no leases; their usage counts are broadcast when they are due.
+    // Small fleets have no leases; their usage counts are broadcast when due, not with a request.
     let curve = find_curve(&report, "request", Dimension::Gateways);
     for point in &curve.points {
         let lease_requests = point.figures["messages"].median;
@@ -109,8 +110,8 @@
     }
 }
 
-/// The gateway visits the servers that it uses or gets health reports of, seven in so large a fleet, not all that are
-/// listed.
+/// A gateway visits the servers that it uses or receives health reports of, seven in a fleet of
+/// this size, but not all listed servers.
 #[test]
 fn visited_servers_stay_bounded_as_list_grows() {
     let measurements = "--only request --only datagram --only entry --only tick --over servers";
@@ -127,7 +128,7 @@
             points
                 .iter()
                 .find(|point| point.size == size)
-                .expect("it")
+                .expect("size should have been measured")
                 .figures["visited"]
                 .max
         };
@@ -137,7 +138,10 @@
             visited(1_000),
             visited(5_000)
         );
-        assert!(visited(5_000) > 0.0, "{name}: it is counted");
+        assert!(
+            visited(5_000) > 0.0,
+            "{name}: visited servers should be counted"
+        );
     }
 }
 
@@ -169,7 +173,8 @@
             point.figures["list_bytes"].median,
             point.figures["entry_bytes"].median,
         );
-        // The frame around the entries is part of both, but only once in the list.
+        // The JSON object around the entries is part of both lengths, but only once in that of the
+        // list.
         let (minimum, maximum) = (0.7 * entry * point.size as f64, entry * point.size as f64);
         assert!(
             (minimum..maximum).contains(&list),
@@ -182,7 +187,7 @@
 #[test]
 fn plot_is_svg_with_panel_for_each_curve() {
     let path = output_path("plot.svg");
-    let plot = path.to_str().expect("a plain path");
+    let plot = path.to_str().expect("path should be UTF-8");
     let run = run_scaling(
         &[
             &split_arguments("--only entry --only list --repeats 1 --most 200")[..],
@@ -195,7 +200,7 @@
         "{}",
         String::from_utf8_lossy(&run.stderr)
     );
-    let svg = std::fs::read_to_string(path).expect("the file is written");
+    let svg = std::fs::read_to_string(path).expect("plot file should be readable");
     assert!(svg.starts_with("<svg") && svg.trim_end().ends_with("</svg>"));
     for panel in ["entry over servers", "list over servers"] {
         assert!(svg.contains(panel), "{panel}");
@@ -247,7 +252,7 @@
 #[test]
 fn plot_without_processor_time_exits_with_status_1() {
     let path = output_path("none.svg");
-    let plot = path.to_str().expect("a plain path");
+    let plot = path.to_str().expect("path should be UTF-8");
     let run = run_scaling(
         &[
             &split_arguments("--only memory-gateways --repeats 1 --most 60")[..],
