--- a/crates/edge-node/tests/edge/endpoints.rs
+++ b/crates/edge-node/tests/edge/endpoints.rs
@@ -91,7 +91,7 @@
     node.reload(|text| text.replacen('{', "", 1));
     // Waits for each reload to be logged. A signal that is handled late would read the next version
     // of the file, and the address would change twice.
-    node.wait_for_log("the old configuration stays");
+    node.wait_for_log("configuration rejected, the current one stays in effect");
     assert_eq!(requests.next_server(), "s-1");
     node.reload(|text| format!("{{{text}"));
     node.wait_for_log("reloaded");
