--- a/crates/fleet-lab/src/simulate/fault_timing.rs
+++ b/crates/fleet-lab/src/simulate/fault_timing.rs
@@ -21,7 +21,8 @@
     }
 }
 
-/// Fraction of the simulation by which each fault has ended.
+/// Fraction of the simulation by which every fault with a [`FaultWindow`] has ended. Drains and
+/// restarts are not bounded by it.
 pub(super) const LATEST_END_FRACTION: f64 = 0.8;
 /// Span of a surge, in which the demand of all customers rises.
 pub(super) const SURGE: FaultWindow = FaultWindow::new(0.25, 10);
