--- a/crates/gateway-core/src/policy/dispatch.rs
+++ b/crates/gateway-core/src/policy/dispatch.rs
@@ -5,8 +5,9 @@
 //!    order in which they were queued ([`dispatch_order`]).
 //! 2. A first attempt is skipped while the customer's own limits do not allow it.
 //! 3. A request of the lowest class is skipped while that class is at its in-flight limit.
-//! 4. All other requests are sent if load balancing finds a server for them
-//!    ([`DispatchPass::decide`]).
+//! 4. Any other request is sent if load balancing finds a server for it.
+//!
+//! [`DispatchPass::decide`] applies rules 2 and 3.
 
 use super::in_flight_limit::InFlightLimit;
 use super::priority::remaining_priority;
@@ -16,8 +17,8 @@
 use crate::state::request::Request;
 use crate::types::{ClassId, RequestId};
 
-/// Returns the queued requests in descending order of their remaining priority. `queued` is in the
-/// order of the queue, which requests of the same priority keep.
+/// Returns the ids of the queued requests in descending order of remaining priority. Requests of
+/// the same priority keep their order in `queued`, which is the order of the queue.
 pub(crate) fn dispatch_order<'a>(
     context: Context<'_>,
     queued: impl Iterator<Item = (&'a RequestId, &'a Request)>,
@@ -31,13 +32,13 @@
 
 /// Decision on a queued request.
 pub(crate) enum DispatchDecision {
-    /// The request is sent if there is a server for it.
+    /// The request is sent if load balancing finds a server for it.
     Send,
     /// The request is skipped: its customer's own limits do not allow a first attempt yet. The
-    /// servers do not cause this delay, so it must not count as latency, which would tighten the
-    /// in-flight limit.
+    /// delay must not count as latency, because the servers do not cause it: counted as latency, it
+    /// would lower the in-flight limit.
     SkipForQuota,
-    /// The request is skipped: its class, the lowest, is at its in-flight limit.
+    /// The request is skipped: it belongs to the lowest class, which is at its in-flight limit.
     SkipForInFlightLimit,
 }
 
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Decides whether a queued request is sent now.
+    /// Decides whether a queued request is sent now or skipped.
     pub(crate) fn decide(
         &self,
         context: Context<'_>,
@@ -72,8 +73,8 @@
         limit: &mut InFlightLimit,
         quotas: &mut QuotaState,
     ) -> DispatchDecision {
-        // Evaluated before the quota check for each request of the lowest class, because `allows`
-        // accumulates pacing tokens.
+        // Evaluated for every request of the lowest class, also for those that the quota check
+        // skips, because `allows` accumulates pacing tokens.
         let is_limited = self.is_of_lowest_class(request)
             && !limit.allows(
                 self.lowest_class_in_flight,
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Records that an attempt of a request of this class is being sent.
+    /// Records that an attempt is being sent. An attempt of the lowest class counts as in flight
+    /// from now on, and consumes a pacing token.
     pub(crate) fn record_attempt_sent(&mut self, class: ClassId, limit: &mut InFlightLimit) {
         if class == self.lowest_class {
             self.lowest_class_in_flight += 1.0;
--- a/crates/gateway-core/src/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/src/policy/fuzzy_controller.rs
@@ -3,10 +3,11 @@
 //! objectives.
 //!
 //! The rules, in the order in which they apply at each control tick:
-//! 1. The limit starts at the first control tick at which a controlled class misses its objective.
+//! 1. There is no limit until the first control tick at which a controlled class misses its
+//!    objective.
 //! 2. Two rule bases infer the change of the limit from the error and the change of the error: one
-//!    gives its direction and size, the other gives alpha, the fraction of it that is made
-//!    ([`infer_change`]).
+//!    gives the direction and size of the change, the other gives alpha, the fraction of the change
+//!    that is applied ([`infer_change`]).
 //! 3. The limit stays between a minimum, which lets some attempts of the lowest class through, and
 //!    a maximum near the number of attempts in flight.
 //!
@@ -30,8 +31,7 @@
 
 /// Interval between control ticks. The paper uses 4 s, which is longer than bursts of load here.
 pub(crate) const TICK_PERIOD: Duration = Duration::from_millis(500);
-/// Latency ratio that the controller steers to (D): the controlled classes just meet their latency
-/// objectives.
+/// Setpoint of the latency ratio (D): the controlled classes just meet their latency objectives.
 const TARGET_LATENCY_RATIO: f64 = 1.0;
 /// Input gain of the error: scales an error of 1 to the outermost level.
 const ERROR_GAIN: f64 = 1.0;
@@ -42,18 +42,16 @@
 /// Output gain in use (`KΔu`), as a fraction of the attempts in flight: three times
 /// [`OUTPUT_GAIN_AT_FULL_ALPHA`], as the design prescribes.
 const OUTPUT_GAIN: f64 = 3.0 * OUTPUT_GAIN_AT_FULL_ALPHA;
-/// Smallest sum of the limits of all gateways, in attempts.
+/// Minimum sum of the limits of all gateways, in attempts.
 const MIN_FLEET_LIMIT_ATTEMPTS: f64 = 6.0;
-/// Maximum lead of the limits of all gateways together over the attempts recently in flight, in
-/// attempts.
-const MAX_FLEET_LEAD_ATTEMPTS: f64 = 12.0;
-/// Maximum lead of a limit over the attempts recently in flight, as a fraction of all attempts in
-/// flight.
-const MAX_LEAD_FRACTION: f64 = 0.5;
-/// Largest limit without the lead, as a multiple of the lowest class's recent peak in flight.
+/// Headroom in the maximum limit, summed over all gateways, in attempts.
+const FLEET_HEADROOM_ATTEMPTS: f64 = 12.0;
+/// Headroom in the maximum limit of a gateway with many attempts in flight, as a fraction of them.
+const HEADROOM_FRACTION: f64 = 0.5;
+/// Maximum limit without the headroom, as a multiple of the lowest class's recent peak in flight.
 const MAX_LIMIT_PEAK_RATIO: f64 = 2.0;
-/// Smallest base of a change of the limit, as a fraction of the minimum limit. The base is
-/// otherwise the number of attempts in flight.
+/// Minimum number of attempts to which a change of the limit is proportional, as a fraction of the
+/// minimum limit. A change is proportional to the number of attempts in flight if that is larger.
 const MIN_STEP_BASE_FRACTION: f64 = 0.5;
 /// Outermost output level of the rule base for the change.
 const LARGEST_CHANGE_LEVEL: i32 = 3;
@@ -89,12 +87,12 @@
 pub struct Inference {
     /// Change Δu, from -1 to 1; a positive change lowers the limit.
     pub change: f64,
-    /// Alpha (α), the fraction of the change that is made, from 0 to 1.
+    /// Alpha (α), the fraction of the change that is applied, from 0 to 1.
     pub alpha: f64,
 }
 
-/// Infers both outputs from the error and its change. The inputs are scaled so that 1 is the
-/// outermost level; larger inputs count as 1.
+/// Infers both outputs from the error and its change. The inputs are scaled so that -1 and 1 are
+/// the outermost levels; inputs beyond them are clamped.
 pub fn infer_change(error: f64, error_change: f64) -> Inference {
     Inference {
         change: infer(change_rule, error, error_change, LARGEST_CHANGE_LEVEL),
@@ -106,17 +104,17 @@
 #[derive(Default)]
 pub(crate) struct FuzzyController {
     limit: InFlightLimit,
-    /// Error at the last control tick with a known latency ratio, e(k−1); `None` before the first
-    /// such control tick.
+    /// Error at the last control tick with a known latency ratio, e(k−1); `None` if the ratio has
+    /// been unknown so far.
     last_error: Option<f64>,
-    /// Largest number of attempts of the lowest class in flight at this control tick and the one
-    /// before.
+    /// Number of attempts of the lowest class in flight at the last control tick; during a control
+    /// tick, the larger of the numbers at that and at the previous control tick.
     peak_in_flight: f64,
 }
 
 impl FuzzyController {
-    /// Returns whether the lowest class is limited, which holds once a controlled class has missed
-    /// its objective.
+    /// Returns whether the lowest class is limited: a controlled class has missed its objective
+    /// since the gateway started.
     pub(crate) fn is_limiting(&self) -> bool {
         self.limit.maximum().is_some()
     }
@@ -128,8 +126,8 @@
 
     /// Adjusts the limit at one control tick.
     ///
-    /// `latency_ratio` is the worst of the controlled classes; while it is unknown, the limit stays
-    /// unchanged. `fleet_fraction` is this gateway's fraction of the fleet.
+    /// `latency_ratio` is the worst latency ratio of the controlled classes; while it is unknown,
+    /// the limit does not change. `fleet_fraction` is this gateway's fraction of the fleet.
     pub(crate) fn tick(
         &mut self,
         latency_ratio: Option<f64>,
@@ -160,17 +158,18 @@
         let base = fleet
             .total_in_flight()
             .max(minimum * MIN_STEP_BASE_FRACTION);
-        let maximum = self.largest_limit(fleet, fleet_fraction).max(minimum);
+        let maximum = self.maximum_limit(fleet, fleet_fraction).max(minimum);
         self.limit
             .set_maximum((limit - reduction * base).clamp(minimum, maximum));
     }
 
-    /// Returns the largest useful limit, in attempts. A limit far above the number of attempts in
-    /// flight would need many control ticks before it limits anything again (integral wind-up).
-    fn largest_limit(&self, fleet: &FleetEstimates, fleet_fraction: f64) -> f64 {
-        let lead = (MAX_FLEET_LEAD_ATTEMPTS * fleet_fraction)
-            .max(fleet.total_in_flight() * MAX_LEAD_FRACTION);
-        self.peak_in_flight.max(fleet.lowest_class_in_flight()) * MAX_LIMIT_PEAK_RATIO + lead
+    /// Returns the maximum limit, in attempts. From far above the number of attempts in flight, it
+    /// would take many control ticks to lower the limit to where it has an effect (integral
+    /// wind-up).
+    fn maximum_limit(&self, fleet: &FleetEstimates, fleet_fraction: f64) -> f64 {
+        let headroom = (FLEET_HEADROOM_ATTEMPTS * fleet_fraction)
+            .max(fleet.total_in_flight() * HEADROOM_FRACTION);
+        self.peak_in_flight.max(fleet.lowest_class_in_flight()) * MAX_LIMIT_PEAK_RATIO + headroom
     }
 }
 
--- a/crates/gateway-core/src/policy/load_balancing/cost.rs
+++ b/crates/gateway-core/src/policy/load_balancing/cost.rs
@@ -9,10 +9,10 @@
 const CROSS_ZONE_PENALTY_SLOTS: f64 = 30.0;
 /// In-flight slots added for the server of the previous attempt.
 const SAME_SERVER_PENALTY_SLOTS: f64 = 4.0;
-/// Penalty added to a server's cost factor at a failure rate of 1, so that a server that fails fast
-/// does not look fast.
+/// Amount added to a server's penalty factor at a failure rate of 1. Without this penalty, a server
+/// that fails fast would look fast.
 const FAILURE_PENALTY: f64 = 4.0;
-/// Penalty added to a server's cost factor if no attempt reaches its zone.
+/// Amount added to a server's penalty factor if no attempt reaches its zone.
 const UNREACHABLE_ZONE_PENALTY: f64 = 20.0;
 /// Cost of a server whose probe is due: lower than any other, so that the probe is sent.
 pub(super) const PROBE_COST: f64 = 0.0;
@@ -21,19 +21,19 @@
     /// Returns the load-balancing cost of a server for a request, in µs:
     ///
     /// ```text
-    /// cost = slots * latency * penalties
+    /// cost = slots * latency * penalty_factor
     /// slots = in_flight + 1
     ///     + CROSS_ZONE_PENALTY_SLOTS * cross_zone_cost
     ///     + SAME_SERVER_PENALTY_SLOTS
-    /// penalties = 1
+    /// penalty_factor = 1
     ///     + FAILURE_PENALTY * failure_rate
     ///     + UNREACHABLE_ZONE_PENALTY * unreachable_fraction
     /// ```
     ///
-    /// `latency` is the expected latency per concurrent request in µs. The cross-zone term counts
-    /// only for a server in another zone, the same-server term only for the server of the previous
+    /// `latency` is the expected latency per concurrent request in µs. The cross-zone term applies
+    /// only to a server in another zone, the same-server term only to the server of the previous
     /// attempt. `unreachable_fraction` is the fraction of the attempts into the server's zone that
-    /// found no connection.
+    /// could not connect.
     pub(super) fn cost(
         &self,
         request: &Request,
@@ -44,9 +44,10 @@
             + 1.0
             + CROSS_ZONE_PENALTY_SLOTS * self.cross_zone_cost(server)
             + same_server_penalty_slots(request, server);
-        let failing = server.class_health(request.class()).failure_rate() * FAILURE_PENALTY;
-        let penalties = 1.0 + failing + unreachable_fraction * UNREACHABLE_ZONE_PENALTY;
-        slots * self.estimates.expected_latency_us(server) * penalties
+        let failure_penalty = server.class_health(request.class()).failure_rate() * FAILURE_PENALTY;
+        let penalty_factor =
+            1.0 + failure_penalty + unreachable_fraction * UNREACHABLE_ZONE_PENALTY;
+        slots * self.estimates.expected_latency_us(server) * penalty_factor
     }
 
     /// Returns the cross-zone cost of a server; 0 in the gateway's own zone.
@@ -69,8 +70,8 @@
     }
 }
 
-/// Returns the first server of the lowest cost. `cost` is called once for each server, in the order
-/// of `servers`.
+/// Returns the first of the servers with the lowest cost. `cost` is called once for each server, in
+/// the order of `servers`, because it may draw random numbers.
 pub(super) fn lowest_cost_server(
     servers: &[&Server],
     mut cost: impl FnMut(&Server) -> f64,
--- a/crates/gateway-core/src/policy/quota_sharing/gossip.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/gossip.rs
@@ -1,14 +1,14 @@
-//! Quota sharing in a small fleet: each gateway broadcasts its usage, and decides on requests by
-//! its own token buckets.
+//! Quota sharing in a small fleet: each gateway broadcasts its usage, and admits requests by its
+//! own token buckets.
 //!
 //! The rules, in the order in which they apply to a request:
 //! 1. [`on_arrival`]: a request is rejected if its customer's account holds too few units.
 //! 2. [`allows_first_attempt`]: a queued request waits while a hard limit or a concurrency limit is
 //!    reached.
 //! 3. [`UsageBroadcasts`]: on a timer, this gateway notifies its peers of the units that it has
-//!    forwarded.
-//! 4. [`merge_usage`]: the units that a peer has forwarded are drained from the accounts of the
-//!    customers.
+//!    forwarded for each customer.
+//! 4. [`merge_usage`]: the units that a peer has forwarded for a customer are drained from the
+//!    customer's account at this gateway.
 
 use super::account::{observe_incarnation, PARTITION_SILENCE};
 use crate::message::UsageCounts;
@@ -24,19 +24,20 @@
 use crate::units::Units;
 use std::time::Duration;
 
-/// Time in seconds for which the peers' usage is reserved, because they may have forwarded as much
-/// without this gateway having been notified yet.
+/// Delay, in seconds, with which this gateway is assumed to be notified of peers' usage. As many
+/// units as peers forward in that time are reserved for them.
 const USAGE_DELAY_SECONDS: f64 = 0.5;
-/// Largest accepted probability, weighted with the cost of exceeding the limit, that a first
-/// attempt exceeds the customer's limit on attempts in flight.
+/// Upper bound of the accepted risk that a first attempt exceeds the customer's limit on attempts
+/// in flight. The risk is the probability, multiplied by 1 plus the plan's over-quota cost.
 const MAX_CONCURRENCY_RISK: f64 = 0.2;
 /// Shortest time between two broadcasts of usage.
 const MIN_BROADCAST_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for which the usage of a customer is repeated after it last rose, because messages may be
-/// lost.
+/// Time for which broadcasts repeat a customer's usage after its last increase, because messages
+/// may be lost.
 pub(crate) const USAGE_LIFETIME: Duration = Duration::from_secs(1);
 
-/// Decides on a request that has just arrived, by the tokens in its customer's account.
+/// Decides on a request that has just arrived, by its deadline and by the tokens in its customer's
+/// account.
 pub(super) fn on_arrival(
     context: Context<'_>,
     account: &mut CustomerAccount,
@@ -52,9 +53,9 @@
     }
 }
 
-/// Returns whether the account holds too few units for a request, after a reserve for peers' usage
-/// that this gateway has not been notified of yet. The reserve comes only from the peers' part of
-/// the burst, because the even part of this gateway is its own.
+/// Returns whether the account holds too few units for a request once units are reserved for
+/// peers' usage that this gateway has not been notified of yet. At most the peers' part of the
+/// burst is reserved, because peers have no claim to this gateway's even part.
 fn is_quota_exceeded(
     context: Context<'_>,
     account: &mut CustomerAccount,
@@ -87,12 +88,11 @@
     is_below_concurrency_limit(context, account, plan)
 }
 
-/// Returns whether one more attempt is likely to stay within the plan's limit on attempts in
-/// flight.
+/// Returns whether one more attempt stays within this gateway's even part of the plan's limit on
+/// attempts in flight, and is likely to stay within the whole limit.
 ///
-/// This gateway stays within its even part of the limit. The number of attempts that peers have in
-/// flight is unknown; it is modelled as a Poisson variable whose mean is the peers' usage in units
-/// per second times the mean latency.
+/// The number of attempts that peers have in flight is unknown; it is modelled as a Poisson
+/// variable whose mean is the peers' usage in units per second times the mean latency.
 fn is_below_concurrency_limit(
     context: Context<'_>,
     account: &mut CustomerAccount,
@@ -118,8 +118,8 @@
 /// Schedule of the usage broadcasts of this gateway.
 #[derive(Clone, Copy)]
 pub(crate) struct UsageBroadcasts {
-    /// Time between two broadcasts; `None` if there are no peers or the settings allow no messages
-    /// between gateways.
+    /// Time between two broadcasts; `None` if this gateway sends none, because there are no peers
+    /// or the settings allow no messages between gateways.
     interval: Option<Duration>,
 }
 
@@ -144,8 +144,8 @@
     }
 }
 
-/// Merges a peer's usage: the units that it has forwarded since its last message are drained from
-/// the accounts of the customers that this gateway knows.
+/// Merges a peer's usage: the units that the peer has forwarded since its last message are drained
+/// from the customers' accounts at this gateway. Customers without an account here are ignored.
 pub(crate) fn merge_usage(
     quotas: &mut QuotaState,
     settings: &Settings,
