--- a/crates/gateway-core/src/state/quota/owned.rs
+++ b/crates/gateway-core/src/state/quota/owned.rs
@@ -15,7 +15,7 @@
 /// The parameters from which an owned quota is created.
 #[derive(Clone, Copy)]
 pub(crate) struct OwnedQuotaConfig<'a> {
-    /// The plan that the customer's first lease request names.
+    /// The plan named by the first lease request for the customer.
     pub(crate) plan_id: PlanId,
     /// The limits of the plan.
     pub(crate) plan: &'a Plan,
@@ -42,20 +42,20 @@
     hard_limit: HardLimitBucket,
     /// When the quota and the hard limit were last refilled.
     refilled_at: Timestamp,
-    /// When a lease request was last received.
+    /// When a lease request was last received; the epoch if never.
     last_used_at: Timestamp,
-    /// The leases of other gateways.
+    /// The latest lease granted to each gateway.
     ledger: LeaseLedger,
-    /// The permits in use, of the plan's limit on attempts in flight.
+    /// The concurrency permits in use.
     permits: ConcurrencyPermits,
-    /// Lease requests per second, as a sum with exponential decay over about a second.
+    /// Lease requests per second: a sum that decays exponentially with a time constant of 1 s.
     lease_request_rate: f64,
-    /// Probability, from 0 to 1, with which the customer's requests may ask quota owners.
+    /// Probability, from 0 to 1, with which a request of the customer may ask a quota owner.
     lease_request_probability: f64,
 }
 
 impl OwnedQuota {
-    /// Creates an owned quota that is full, with an empty bucket for the hard limit.
+    /// Creates an owned quota with a full token bucket and an empty bucket for the hard limit.
     pub(crate) fn new(now: Timestamp, config: OwnedQuotaConfig<'_>) -> Self {
         let burst_capacity =
             (config.plan.burst * config.quota_fraction).max(config.max_request_units);
@@ -78,7 +78,7 @@
         self.plan
     }
 
-    /// Prepares for a lease request that was received: reclaims the units that its sender returns,
+    /// Prepares for the decision on a lease request: reclaims the units that its sender returns,
     /// refills up to now, and releases expired permits. Returns the seconds since the previous
     /// refill.
     pub(crate) fn begin_lease_request(
@@ -117,13 +117,13 @@
         self.hard_limit.tokens()
     }
 
-    /// Charges units of a request that uses them immediately.
+    /// Takes units from the owned parts of the quota and of the hard limit.
     pub(crate) fn consume(&mut self, units: Units) {
         self.quota.take(units);
         self.hard_limit.take(units);
     }
 
-    /// Grants a lease. Its units count as used until they are returned.
+    /// Grants a lease. The leased units count as used, except those that the gateway returns later.
     pub(crate) fn grant_lease(&mut self, to: GatewayId, sequence: u16, units: Units) {
         self.consume(units);
         self.ledger.grant(to, sequence, units);
@@ -152,14 +152,15 @@
         self.permits.release(holder);
     }
 
-    /// Counts a lease request that was received `seconds` after the previous one. Returns the rate
-    /// of lease requests, averaged over about a second.
+    /// Counts a lease request, and returns the rate of lease requests per second. `seconds` is the
+    /// time over which the previous rate decays.
     pub(crate) fn record_lease_request(&mut self, seconds: f64) -> f64 {
         self.lease_request_rate = self.lease_request_rate * (-seconds).exp() + 1.0;
         self.lease_request_rate
     }
 
-    /// Returns the probability with which the customer's requests may ask quota owners.
+    /// Returns the probability, from 0 to 1, with which a request of the customer may ask a quota
+    /// owner.
     pub(crate) fn lease_request_probability(&self) -> f64 {
         self.lease_request_probability
     }
@@ -174,8 +175,8 @@
         self.lease_request_probability = (self.lease_request_probability + gain).min(1.0);
     }
 
-    /// Returns whether the owned quota can be evicted without gain or loss: it has long been
-    /// unused, is full, and no permits are in use.
+    /// Returns whether the owned quota may be evicted: it has been unused for [`MIN_IDLE`], no
+    /// permits are in use, and a refill up to now fills the quota and the hard limit.
     pub(crate) fn is_idle(&mut self, now: Timestamp, plan: &Plan) -> bool {
         if now.duration_since(self.last_used_at) < MIN_IDLE {
             return false;
--- a/crates/gateway-core/src/state/servers/class_health.rs
+++ b/crates/gateway-core/src/state/servers/class_health.rs
@@ -3,11 +3,11 @@
 use crate::statistics::update_mean;
 use crate::time::Timestamp;
 
-/// Fixed-point value of a failure rate of 1, for sums over all servers: integer sums accumulate no
-/// rounding error.
+/// Fixed-point representation of a failure rate of 1. Failure rates are summed over all servers as
+/// fixed-point values, because integer sums accumulate no rounding error.
 pub(super) const FAILURE_RATE_SCALE: f64 = (1u64 << 32) as f64;
 
-/// The health of a server with one class of requests.
+/// A server's failure rate, ejection and newest observation for one class of requests.
 #[derive(Clone, Default)]
 pub(crate) struct ClassHealth {
     /// Exponentially weighted mean of failures (1) and successes (0).
@@ -18,7 +18,7 @@
     pub(super) next_probe_at: Option<Timestamp>,
     /// When the newest observation was made, by this gateway or a peer; the epoch if never.
     pub(super) observed_at: Timestamp,
-    /// The values under which the server index currently holds this health.
+    /// The values of this health as the server index currently has them.
     pub(super) indexed: IndexedHealth,
 }
 
@@ -48,12 +48,14 @@
         self.next_probe_at.is_some()
     }
 
-    /// Ejects the server. If it is ejected already, the time of its next probe does not change.
+    /// Ejects the server, which may be probed from `next_probe_at` on. The next probe of a server
+    /// that is already ejected is not postponed.
     pub(crate) fn eject(&mut self, next_probe_at: Timestamp) {
         self.next_probe_at = self.next_probe_at.or(Some(next_probe_at));
     }
 
-    /// Ejects the server. If it is ejected already, the time of its next probe is replaced.
+    /// Sets the time from which the next probe may be sent, and ejects the server unless it is
+    /// ejected already.
     pub(crate) fn schedule_probe(&mut self, next_probe_at: Timestamp) {
         self.next_probe_at = Some(next_probe_at);
     }
@@ -64,7 +66,7 @@
     }
 
     /// Records that an attempt was sent. If the server is ejected, the attempt is a probe, and the
-    /// next probe may be sent at `next_probe_at`.
+    /// next probe may be sent from `next_probe_at` on.
     pub(super) fn record_probe(&mut self, next_probe_at: Timestamp) {
         if self.is_ejected() {
             self.next_probe_at = Some(next_probe_at);
@@ -97,7 +99,7 @@
     }
 }
 
-/// The values under which the server index holds a server's health with one class.
+/// The values of a server's health with one class that the server index has.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct IndexedHealth {
     pub(super) next_probe_at: Option<Timestamp>,
--- a/crates/gateway-core/src/state/servers/fleet_estimates.rs
+++ b/crates/gateway-core/src/state/servers/fleet_estimates.rs
@@ -6,11 +6,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Placeholder for the mean before the first sample, which replaces it with a weight of 1. The
-/// sample thus passes through the same arithmetic, with the same rounding, as later samples.
+/// Placeholder for an unknown mean latency ratio. The first sample is merged into it with a weight
+/// of 1, which yields the sample itself, rounded in the same way as later means.
 const PLACEHOLDER_RATIO: f64 = -1.0;
 
-/// Running means over the fleet, and over the attempts that this gateway has in flight.
+/// Estimates of latency, load, reachability and throughput over the fleet, and the mean number of
+/// attempts that this gateway has in flight.
 #[derive(Default)]
 pub(crate) struct FleetEstimates {
     mean_latency_us: f64,
@@ -19,19 +20,19 @@
     load_factor: Option<f64>,
     lowest_class_in_flight: f64,
     total_in_flight: f64,
-    /// By class: the mean latency ratio; `None` while unknown.
+    /// Mean latency ratio of each class, indexed by class; `None` while unknown.
     latency_ratios: Vec<Option<f64>>,
-    /// Answers per second at one gateway.
+    /// Mean number of answers per second at one gateway.
     throughput: f64,
-    /// Answers at this gateway since the last control tick.
+    /// Number of answers at this gateway since the last control tick.
     answers_since_tick: f64,
-    /// By zone: the fraction of attempts that could not connect.
+    /// Fraction of the attempts into each zone that could not connect.
     unreachable_by_zone: BTreeMap<ZoneId, f64>,
 }
 
 impl FleetEstimates {
-    /// Creates the estimates before the first observation. `initial_latency_us` is the initial
-    /// estimate of the latency per concurrent request.
+    /// Creates estimates without observations. `initial_latency_us` is the initial mean latency,
+    /// median latency per concurrent request, and service time, in µs.
     pub(crate) fn new(classes: usize, initial_latency_us: f64) -> Self {
         FleetEstimates {
             mean_latency_us: initial_latency_us,
@@ -57,12 +58,12 @@
         self.median_latency_us
     }
 
-    /// Returns the service time in µs: the time that a server with free capacity takes.
+    /// Returns the service time in µs: the time that a server without load takes to answer.
     pub(crate) fn service_time_us(&self) -> f64 {
         self.service_time_us
     }
 
-    /// Merges a sample of the service time, by `weight`.
+    /// Merges a sample of the service time into the mean, by `weight`.
     pub(crate) fn observe_service_time(&mut self, sample_us: f64, weight: f64) {
         update_mean(&mut self.service_time_us, sample_us, weight);
     }
@@ -88,7 +89,8 @@
         self.total_in_flight
     }
 
-    /// Merges the current numbers of attempts in flight: of the lowest class, and of all classes.
+    /// Merges this gateway's current numbers of attempts in flight into their means, by `weight`:
+    /// `lowest` of the lowest class and `total` of all classes.
     pub(crate) fn observe_in_flight(&mut self, lowest: f64, total: f64, weight: f64) {
         update_mean(&mut self.lowest_class_in_flight, lowest, weight);
         update_mean(&mut self.total_in_flight, total, weight);
@@ -100,7 +102,8 @@
     }
 
     /// Returns the largest latency ratio of the controlled classes, which are all classes other
-    /// than `lowest`; if there is only one class, its latency ratio. `None` while unknown.
+    /// than `lowest`; a class that is the only one counts as controlled. `None` while all these
+    /// ratios are unknown.
     pub(crate) fn worst_latency_ratio(&self, lowest: ClassId) -> Option<f64> {
         let is_only_class = self.latency_ratios.len() == 1;
         let ratios = self.latency_ratios.iter().enumerate();
@@ -136,7 +139,7 @@
         self.throughput
     }
 
-    /// Merges the throughput of a peer, in answers per second.
+    /// Merges a peer's throughput, in answers per second, into the mean, by `weight`.
     pub(crate) fn merge_throughput(&mut self, per_second: f64, weight: f64) {
         update_mean(&mut self.throughput, per_second, weight);
     }
@@ -146,15 +149,16 @@
         self.answers_since_tick += 1.0;
     }
 
-    /// Merges this gateway's throughput since the last control tick, which was `period` ago, and
-    /// resets the count of answers.
+    /// Merges this gateway's throughput since the last control tick, which was `period` ago, into
+    /// the mean, by `weight`, and resets the count of answers.
     pub(crate) fn merge_own_throughput(&mut self, period: Duration, weight: f64) {
         let per_second = self.answers_since_tick / period.as_seconds();
         update_mean(&mut self.throughput, per_second, weight);
         self.answers_since_tick = 0.0;
     }
 
-    /// Merges whether an attempt into a zone could connect.
+    /// Merges whether an attempt into a zone was unable to connect into the zone's unreachable
+    /// fraction, by `weight`.
     pub(crate) fn observe_zone(&mut self, zone: ZoneId, is_unreachable: bool, weight: f64) {
         let fraction = self.unreachable_by_zone.entry(zone).or_default();
         update_mean(fraction, f64::from(u8::from(is_unreachable)), weight);
--- a/crates/gateway-core/src/state/servers/ranked_set.rs
+++ b/crates/gateway-core/src/state/servers/ranked_set.rs
@@ -1,11 +1,12 @@
-//! An ordered set that can be iterated from a rank. It is stored in chunks that are short enough
-//! for each insertion or removal to move the items of one chunk.
+//! An ordered set that can be iterated from a rank. The items are stored in chunks of limited
+//! length, because an insertion or removal moves the items of one chunk.
 
 /// Maximum number of items in one chunk.
 const MAX_CHUNK: usize = 2_048;
 
 /// A set in ascending order. Finding a rank takes time linear in the number of chunks; an insertion
-/// or removal also moves the items of one chunk.
+/// or removal moves at most the items of one chunk, and the list of chunks if it adds or removes a
+/// chunk.
 pub(crate) struct RankedSet<T> {
     /// Sorted chunks in ascending order; no chunk is empty.
     chunks: Vec<Vec<T>>,
@@ -26,7 +27,7 @@
         let mut all: Vec<T> = items.into_iter().collect();
         all.sort_unstable();
         all.dedup();
-        // Chunks start half full, so that the next insertions do not split them.
+        // Chunks start half full, so that the first insertions do not split them.
         RankedSet {
             len: all.len(),
             chunks: all.chunks(MAX_CHUNK / 2).map(<[T]>::to_vec).collect(),
@@ -40,7 +41,7 @@
         self.len
     }
 
-    /// Returns the index of the chunk that contains an item, or to which it would be added.
+    /// Returns the index of the chunk that contains an item, or to which the item would be added.
     fn chunk_index_of(&self, item: &T) -> usize {
         let starts_at_or_before = |chunk: &Vec<T>| chunk.first().is_some_and(|first| first <= item);
         self.chunks
@@ -48,7 +49,7 @@
             .saturating_sub(1)
     }
 
-    /// Adds an item, unless it is in the set already.
+    /// Adds an item. Does nothing if the set contains the item already.
     pub(crate) fn insert(&mut self, item: T) {
         let chunk_index = self.chunk_index_of(&item);
         let Some(chunk) = self.chunks.get_mut(chunk_index) else {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Removes an item, if it is in the set.
+    /// Removes an item. Does nothing if the set does not contain the item.
     pub(crate) fn remove(&mut self, item: &T) {
         let chunk_index = self.chunk_index_of(item);
         let Some(chunk) = self.chunks.get_mut(chunk_index) else {
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Iterates over all items in order from `rank`, wrapping around.
+    /// Iterates over all items once, in ascending order from `rank` (counted from 0) to the end and
+    /// then from the start.
     pub(crate) fn iter_from(&self, rank: usize) -> impl Iterator<Item = T> + '_ {
         let mut chunk_index = 0;
         let mut offset = rank.min(self.len);
--- a/crates/gateway-core/src/state/servers/server.rs
+++ b/crates/gateway-core/src/state/servers/server.rs
@@ -16,20 +16,22 @@
     pub(super) in_flight: u32,
     /// Estimated latency per concurrent request in µs; 0 while unknown.
     latency_us: f64,
-    /// When the newest sample of the latency was observed, by this gateway or a peer.
+    /// When the newest sample of the latency was observed, by this gateway or a peer; before the
+    /// first sample, when the server was added.
     latency_observed_at: Timestamp,
     /// When the server last answered a request of any class; the epoch if never.
     answered_at: Timestamp,
     /// The health with each class, indexed by class.
     pub(super) health: Vec<ClassHealth>,
-    /// Credit for attempts that may be sent while the server warms up.
+    /// Number of attempts that may be sent while the server warms up.
     pub(super) slow_start_credit: SlowStartCredit,
     /// Number of requests in flight that the server reported most recently; `None` if it never did.
     reported_load: Option<f64>,
-    /// When that load was reported.
+    /// When `reported_load` was reported; the epoch if never.
     load_reported_at: Timestamp,
+    /// Number of consecutive attempts that could not connect.
     consecutive_connect_failures: u32,
-    /// The end of the connect backoff; the epoch if there is none.
+    /// When the connect backoff ends; the epoch if there is none.
     connect_backoff_until: Timestamp,
     /// When this gateway last used the server, or received a health report on it.
     pub(super) last_used_at: Timestamp,
@@ -46,7 +48,7 @@
 }
 
 impl Server {
-    /// Creates a server of which only the entry on the endpoint list is known.
+    /// Creates a server that has not been observed yet.
     pub(crate) fn unknown(endpoint: Endpoint, now: Timestamp, classes: usize) -> Self {
         Server {
             endpoint,
@@ -57,7 +59,8 @@
         }
     }
 
-    /// Sets the number of attempts in flight. They do not end when the server's process restarts.
+    /// Returns the server with a number of attempts in flight, which a server that has restarted
+    /// keeps: its attempts are in flight until their ends are reported.
     pub(super) fn with_in_flight(self, in_flight: u32) -> Self {
         Server { in_flight, ..self }
     }
@@ -87,12 +90,12 @@
         &self.health[class.0]
     }
 
-    /// Returns the server's health with a class, for changes.
+    /// Returns the server's health with a class, to be updated.
     pub(crate) fn class_health_mut(&mut self, class: ClassId) -> &mut ClassHealth {
         &mut self.health[class.0]
     }
 
-    /// Iterates over the server's health with each class, for changes.
+    /// Iterates over the server's health with each class, to be updated.
     pub(crate) fn iter_health_mut(&mut self) -> impl Iterator<Item = (ClassId, &mut ClassHealth)> {
         let health = self.health.iter_mut().enumerate();
         health.map(|(class, health)| (ClassId(class), health))
@@ -103,8 +106,9 @@
         self.health.iter().any(ClassHealth::is_ejected)
     }
 
-    /// Records that an attempt was sent. It takes slow-start credit; if the server is ejected for
-    /// the class, it is also a probe, and the next probe may be sent at `next_probe_at`.
+    /// Records that an attempt was sent, which takes slow-start credit. If the server is ejected
+    /// for the class, the attempt is a probe, and the next probe may be sent from `next_probe_at`
+    /// on.
     pub(crate) fn record_attempt_sent(&mut self, class: ClassId, next_probe_at: Timestamp) {
         self.in_flight += 1;
         self.slow_start_credit.take_attempt();
@@ -159,8 +163,8 @@
         self.latency_us = decayed.unwrap_or(0.0);
     }
 
-    /// Merges a sample of the latency per concurrent request. If there is no estimate yet,
-    /// `initial_us` is used in its place.
+    /// Merges a sample of the latency per concurrent request, observed at `at`, into the estimate,
+    /// by `weight`. `initial_us` is the estimate before the first sample.
     pub(crate) fn observe_latency(
         &mut self,
         at: Timestamp,
@@ -168,13 +172,13 @@
         weight: f64,
         initial_us: f64,
     ) {
-        let before_us = self.observed_latency_us().unwrap_or(initial_us);
-        self.latency_us = before_us + (sample_us - before_us) * weight;
+        let previous_us = self.observed_latency_us().unwrap_or(initial_us);
+        self.latency_us = previous_us + (sample_us - previous_us) * weight;
         self.latency_observed_at = self.latency_observed_at.max(at);
     }
 
-    /// Merges a peer's health report if it is newer than the newest observation; returns whether it
-    /// was newer.
+    /// Merges a peer's health report on a class if the report is newer than the newest observation
+    /// with that class. Returns whether the report was merged.
     pub(crate) fn merge_report(
         &mut self,
         now: Timestamp,
@@ -208,8 +212,8 @@
         self.reported_load.filter(|_| is_recent)
     }
 
-    /// Records the number of requests in flight that the server reported at `at`. A report older
-    /// than the newest is ignored.
+    /// Records the number of requests in flight that the server reported at `at`. A report that is
+    /// older than the newest one is ignored.
     pub(crate) fn observe_load(&mut self, at: Timestamp, load: Option<f64>) {
         if load.is_some() && at >= self.load_reported_at {
             self.reported_load = load;
@@ -217,7 +221,8 @@
         }
     }
 
-    /// Returns the load factor: requests in flight, plus one, per unit of the server's weight.
+    /// Returns the load factor: requests in flight, plus one, per unit of the server's weight. A
+    /// weight below 1 counts as 1.
     pub(crate) fn load_factor(&self, in_flight: f64) -> f64 {
         (in_flight + 1.0) / self.endpoint.weight.max(1.0)
     }
@@ -243,7 +248,7 @@
     }
 
     /// Records whether an attempt could connect. The backoff doubles with each consecutive connect
-    /// failure, and ends with a successful connect.
+    /// failure, up to `max_doublings` times, and ends with a successful connect.
     pub(crate) fn observe_connect(
         &mut self,
         now: Timestamp,
@@ -260,8 +265,9 @@
         }
     }
 
-    /// Records whether an attempt of a class failed. For the other classes, the sample is merged
-    /// with the fraction `other_class_fraction` of the weight.
+    /// Merges into the failure rate of a class, by `weight`, whether an attempt failed. In the
+    /// failure rates of the other classes, the attempt counts with the fraction
+    /// `other_class_fraction` of the weight.
     pub(crate) fn observe_failure(
         &mut self,
         class: ClassId,
@@ -285,7 +291,8 @@
         self.slow_start_credit.covers_attempt()
     }
 
-    /// Returns the minimum fraction of its capacity that the server has reached: 1 once it is warm.
+    /// Returns the minimum fraction of its full capacity that the server has. It rises linearly
+    /// over the warm-up period, from `warm_up_from` to 1; without a start time it is 1.
     pub(crate) fn warm_up_fraction(&self, rules: &ServerRules, now: Timestamp) -> f64 {
         let Some(started_at) = self.endpoint.started_at else {
             return 1.0;
@@ -294,13 +301,13 @@
         (rules.warm_up_from + (1.0 - rules.warm_up_from) * progress).min(1.0)
     }
 
-    /// Returns whether the server has completed its warm-up and has all of its capacity.
+    /// Returns whether the server has completed its warm-up.
     pub(crate) fn is_warm(&self, rules: &ServerRules, now: Timestamp) -> bool {
         self.warm_up_fraction(rules, now) >= 1.0
     }
 }
 
-/// Returns the fraction of an observation that remains after `elapsed_us`.
+/// Returns the weight, from 0 to 1, that an observation still has after `elapsed_us`.
 fn remaining_fraction(elapsed_us: f64, half_life_us: f64) -> f64 {
     0.5f64.powf(elapsed_us / half_life_us)
 }
