--- a/crates/gateway-core/tests/policy/outlier_detection.rs
+++ b/crates/gateway-core/tests/policy/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! Servers that stall or cannot be reached receive no requests, while the other servers of their
-//! zone still do.
+//! Tests that servers that stall or cannot be reached receive no requests, while the other servers
+//! of their zone still do.
 
 use crate::common::*;
 use gateway_core::*;
@@ -10,19 +10,19 @@
         .any(|action| matches!(action, Action::CancelAttempt { .. }))
 }
 
-/// A gateway that had no CPU for a while first reads the answers that have arrived, before it
-/// considers a server stalled.
+/// A timer fires late if the gateway itself had no CPU for a while. Answers may then wait unread,
+/// so the gateway must not yet consider the server stalled.
 #[test]
-fn late_timer_ejects_no_server() {
+fn late_timer_cancels_no_attempt() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
     gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 9 * S);
     assert_eq!(gateway.in_flight.len(), 1);
     gateway.now += 1500 * MS;
-    let late = gateway.handle(Event::TimerFired { token: 0 });
-    assert!(!cancels_attempt(&late));
+    let actions_of_late_timer = gateway.handle(Event::TimerFired { token: 0 });
+    assert!(!cancels_attempt(&actions_of_late_timer));
     assert!(
         cancels_attempt(&gateway.advance(50 * MS)),
-        "the server is still stalled at the next timer"
+        "the next timer cancels the attempt at the stalled server"
     );
 }
 
@@ -46,11 +46,12 @@
     assert_ne!(second, stalled, "the retry goes to another server");
 }
 
-/// A hung machine takes no connection, so its probes fail as if its link were cut. These failures
-/// must not keep requests away from its whole zone.
+/// A machine that hangs accepts no connections, so probes of it fail as if the link to its zone
+/// were cut. These failures must not keep requests away from the other servers of the zone.
 #[test]
 fn probes_of_hung_server_do_not_count_against_its_zone() {
     const HUNG: ServerId = ServerId(0);
+    /// The other server in the zone of the hung server.
     const NEIGHBOUR: ServerId = ServerId(2);
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
     let mut to_neighbour = 0;
@@ -75,12 +76,12 @@
     }
     assert!(
         to_neighbour > 60,
-        "{to_neighbour} of 300 requests went to the healthy server of that zone"
+        "only {to_neighbour} of 300 requests were sent to the healthy server of the zone"
     );
 }
 
-/// Connect backoff keeps requests away from servers that take no connection, even if most servers
-/// are unreachable, and no request fails because of them.
+/// Connect backoff keeps requests away from servers that accept no connections, even if most
+/// servers are unreachable, so that at most 3 of 100 requests fail because of them.
 #[test]
 fn large_fleet_backs_off_from_unreachable_servers() {
     let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), S, 10);
@@ -103,6 +104,6 @@
     // on.
     assert!(
         served >= 97 && unreachable <= 36,
-        "{served} requests were served, {unreachable} attempts found no connection"
+        "{served} of 100 requests were served, {unreachable} attempts could not connect"
     );
 }
--- a/crates/gateway-core/tests/unit/server_table.rs
+++ b/crates/gateway-core/tests/unit/server_table.rs
@@ -1,5 +1,5 @@
-//! Comparison of the server table with a reference model that retains every server and scans all
-//! servers for each sum.
+//! Comparison of the server table with a reference model that tracks every listed server and scans
+//! all servers for each result.
 
 use super::*;
 use crate::settings::{Class, EndpointDiscovery, Idempotency, Permissions, ServerRules};
@@ -15,12 +15,12 @@
 const CLASSES: usize = 2;
 const MAX_IDLE: Duration = Duration::from_micros(50);
 const WARM_UP: Duration = Duration::from_micros(40);
-/// Maximum age of the observations that are compared.
+/// Maximum age of the observations that `observed_after` is asked for.
 const OBSERVED_WITHIN: Duration = Duration::from_micros(30);
 
 type CheckResult = Result<(), TestCaseError>;
 
-/// An operation on the table, or time passing.
+/// A step of a test case: an operation on the table, or a wait.
 #[derive(Clone, Debug)]
 enum Step {
     Update(EndpointUpdate, Vec<Endpoint>),
@@ -92,7 +92,7 @@
     ]
 }
 
-/// The compared part of a server's health with one class.
+/// The part of a server's health with one class that is compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct ReferenceHealth {
     failure_rate: f64,
@@ -145,7 +145,7 @@
     }
 }
 
-/// Reference model of the table: every server that was ever listed and is not evicted.
+/// Reference model of the table: every server that was ever listed and has not been evicted.
 #[derive(Default)]
 struct ReferenceTable {
     full_scan_limit: usize,
@@ -161,7 +161,7 @@
         self.ready().map(|server| server.endpoint.server).collect()
     }
 
-    /// Iterates over the health of the ready servers with a class.
+    /// Iterates over the ready servers and their health with a class.
     fn health_of(&self, class: usize) -> impl Iterator<Item = (ServerId, ReferenceHealth)> + '_ {
         self.ready()
             .map(move |server| (server.endpoint.server, server.health[class]))
@@ -312,7 +312,7 @@
         class: usize,
         observed: ReferenceHealth,
     ) -> CheckResult {
-        // The table need not retain a server that is not ready and was never used.
+        // The table may have dropped a server that is not ready and was never used.
         let Some(mut server) = self.table.get_or_track(self.now, id) else {
             return Ok(());
         };
@@ -340,9 +340,9 @@
         }
     }
 
-    /// Removes servers from the reference that the table has evicted. The table need not retain a
-    /// server that is not ready and was never used, not even its start time. Checks that only
-    /// servers without attempts in flight and without observations were evicted.
+    /// Removes from the reference the servers that are not ready and that the table has evicted.
+    /// Checks that these servers had no attempts in flight and no observations. The table retains
+    /// nothing of an evicted server, not even its start time.
     fn drop_evicted(&mut self) -> CheckResult {
         let table = &self.table;
         let is_evicted = |server: &&ReferenceServer| {
