--- a/crates/fleet-lab/src/simulate/engine/attempts.rs
+++ b/crates/fleet-lab/src/simulate/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: their way from a gateway to a server, and their results.
+//! Attempts: transmission from a gateway to a server, and transmission of the result back.
 
 use super::queue::{AttemptKey, AttemptResult, SimulationEvent};
 use super::Engine;
@@ -45,8 +45,8 @@
         )
     }
 
-    /// Sends an attempt of an open request to a server. An attempt that the invariant checker does
-    /// not permit is not carried out.
+    /// Sends an attempt of an open request to a server. An attempt to a server that the gateway
+    /// does not know, or that the invariant checker does not permit, is dropped.
     pub(super) fn send_attempt(
         &mut self,
         gateway: GatewayId,
@@ -77,8 +77,8 @@
         self.transmit_attempt(server, job);
     }
 
-    /// Schedules the arrival of an attempt at its server, or its failure if a partition keeps its
-    /// gateway from connecting.
+    /// Schedules the arrival of an attempt at its server. If a partition separates the gateway from
+    /// the server, schedules the failure of the attempt after the connect timeout instead.
     fn transmit_attempt(&mut self, server: usize, job: Job) {
         if self.is_partitioned(job.gateway, server) {
             let at = self.now + self.experiment.resolved.connect_timeout;
@@ -92,8 +92,8 @@
         );
     }
 
-    /// Returns the index of a server that the gateway knows. An attempt to any other server is
-    /// reported as a violation.
+    /// Returns the index of the server to which a gateway sends an attempt. If the gateway has
+    /// never received the server from discovery, records a violation and returns `None`.
     fn known_server_index(&mut self, gateway: GatewayId, id: ServerId) -> Option<usize> {
         let index = self.server_indices.get(&id).copied();
         if index.is_some() && self.discovery.knows_server(gateway, id) {
@@ -103,7 +103,8 @@
         None
     }
 
-    /// Reports an attempt to the invariant checker. Returns whether it may be carried out.
+    /// Passes an attempt to the invariant checker, and counts the attempt if it crosses zones.
+    /// Returns whether the invariant checker permits the attempt.
     fn check_sent_attempt(
         &mut self,
         gateway: GatewayId,
@@ -131,7 +132,7 @@
         self.schedule(at, SimulationEvent::AttemptFinished { attempt, result });
     }
 
-    /// Calls a server with the current time, and handles the events that the call produces.
+    /// Runs `call` on a server at the current time, and handles the events that `call` appends.
     pub(super) fn with_server(
         &mut self,
         server: usize,
@@ -180,8 +181,8 @@
         }
     }
 
-    /// Schedules the arrival of an attempt's result at its gateway. If a partition separates them,
-    /// the gateway gets no result until the attempt times out.
+    /// Schedules the arrival of an attempt's result at its gateway. If a partition separates the
+    /// server from the gateway, the result is lost, and the attempt ends when it times out.
     fn transmit_result(&mut self, server: usize, job: &Job, result: AttemptResult) {
         if self.is_partitioned(job.gateway, server) {
             return;
@@ -192,7 +193,8 @@
         self.schedule(self.now + delay, event);
     }
 
-    /// Ends an attempt and tells its gateway the outcome, unless the attempt has already ended.
+    /// Ends an attempt, unless it has already ended. Delivers the outcome to the gateway that sent
+    /// the attempt, unless the gateway was killed since.
     pub(super) fn finish_attempt(&mut self, attempt: AttemptKey, result: AttemptResult) {
         let AttemptKey { request, number } = attempt;
         let AttemptResult {
--- a/crates/fleet-lab/src/simulate/engine/gateways.rs
+++ b/crates/fleet-lab/src/simulate/engine/gateways.rs
@@ -42,7 +42,7 @@
     }
 
     /// Delivers an event to a gateway that is up, and carries out the resulting actions. No action
-    /// causes another event immediately, so this does not recurse.
+    /// causes another event immediately, so this method is not called recursively.
     pub(super) fn deliver_event(&mut self, id: GatewayId, event: Event) {
         let mut actions = std::mem::take(&mut self.action_buffer);
         if let Some(module) = &mut self.gateways[id.0 as usize].module {
--- a/crates/fleet-lab/src/simulate/engine/requests.rs
+++ b/crates/fleet-lab/src/simulate/engine/requests.rs
@@ -59,8 +59,8 @@
         self.deliver_event(gateway, event);
     }
 
-    /// Picks the gateway for a request; `None` if the front end picks a gateway that is down but
-    /// not yet known to be down.
+    /// Picks the gateway for a request; `None` if the front end knows that all gateways of the
+    /// customer are down, or picks a gateway that is down but not yet known to be down.
     fn pick_gateway(&mut self, request: &ClientRequest) -> Option<GatewayId> {
         let (now, gateways) = (self.now, &self.gateways);
         let is_known_down = |id: GatewayId| {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Schedules the retry that a client makes after an error, if any.
+    /// Schedules the retry of a client after an error, if the client retries.
     pub(super) fn schedule_retry(&mut self, request: &ClientRequest, error: ClientError) {
         if let Some(retry) = self.clients.retry(self.now, request, error) {
             self.schedule(retry.at, SimulationEvent::Retry(Box::new(retry.request)));
--- a/crates/fleet-lab/src/simulate/engine/state.rs
+++ b/crates/fleet-lab/src/simulate/engine/state.rs
@@ -14,7 +14,8 @@
     pub(super) incarnation: u32,
     /// Zone of the gateway.
     pub(super) zone: ZoneId,
-    /// Time from which the front end knows that the gateway is down, if it is.
+    /// Time at which the front end learns of the latest kill of the gateway. Ignored while the
+    /// gateway is up.
     pub(super) down_noticed_at: Timestamp,
 }
 
@@ -51,7 +52,7 @@
 pub(super) struct FinishedAttempt {
     /// Run of the gateway that sent the attempt.
     pub(super) run: GatewayRun,
-    /// Whether its result is the final answer of the request.
+    /// Whether the result of the attempt is the final answer of the request.
     pub(super) is_final_answer: bool,
     /// Whether the request has a final answer or another end.
     pub(super) is_answered: bool,
@@ -74,7 +75,8 @@
         timeout.map_or(self.deadline, |timeout| self.deadline.min(now + timeout))
     }
 
-    /// Ends an attempt; returns `None` if it had already ended.
+    /// Ends an attempt. A success is the final answer of a request without one. Returns `None` if
+    /// the attempt had already ended.
     pub(super) fn finish_attempt(
         &mut self,
         number: AttemptNumber,
--- a/crates/fleet-lab/src/simulate/experiment.rs
+++ b/crates/fleet-lab/src/simulate/experiment.rs
@@ -15,8 +15,8 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Settings of an experiment for which none are given: two classes, and three plans of which one
-/// has a hard limit.
+/// Settings of an experiment whose configuration contains no settings: two classes, and three
+/// plans, one of which has a hard limit.
 const DEFAULT_SETTINGS: &str = include_str!("settings.json");
 /// Maximum number of gateways, which have two-byte numbers in messages.
 const MAX_GATEWAYS: u32 = 65_535;
@@ -143,7 +143,7 @@
     Err(Failure::InvalidArguments(problem.into()))
 }
 
-/// Returns two servers for every three gateways, but at least two.
+/// Returns the default number of servers: two for every three gateways, but at least two.
 fn default_servers(gateways: u32) -> u32 {
     (u64::from(gateways) * 2).div_ceil(3).max(2) as u32
 }
@@ -236,8 +236,8 @@
         }
     }
 
-    /// Draws a ready endpoint in the zone of this number modulo the number of zones. `started_at`
-    /// is `None` for a warm server.
+    /// Draws a ready endpoint in the zone with the number `zone` modulo the number of zones.
+    /// `started_at` is `None` for a warm server.
     fn draw(&mut self, zone: u32, started_at: Option<Timestamp>) -> Endpoint {
         let zone = zone % self.zones;
         let mut id = self.rng.random_range(1..1 << 32);
--- a/crates/fleet-lab/src/simulate/fault.rs
+++ b/crates/fleet-lab/src/simulate/fault.rs
@@ -7,7 +7,7 @@
 pub(super) enum Fault {
     /// No fault.
     Calm,
-    /// The demand of all customers rises by half, and two customers flood.
+    /// The demand of all customers rises by half, and one or two customers flood.
     Burst,
     /// One in eight servers accepts requests and completes none.
     Hang,
--- a/crates/fleet-lab/src/simulate/fault_schedule.rs
+++ b/crates/fleet-lab/src/simulate/fault_schedule.rs
@@ -18,7 +18,7 @@
     SlowServer {
         /// Server that becomes slow.
         server: ServerId,
-        /// Factor by which they take longer; 1 restores the normal speed.
+        /// Factor that multiplies the execution time; 1 restores the normal speed.
         factor: f64,
     },
     /// A new server starts cold.
@@ -47,7 +47,7 @@
 /// All faults of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct FaultSchedule {
-    /// Changes to servers and gateways; those of the same time happen in this order.
+    /// Changes to servers and gateways. Changes at the same time are made in this order.
     pub actions: Vec<ScheduledAction>,
     /// Network partitions.
     pub partitions: Partitions,
@@ -55,7 +55,7 @@
     pub discovery_outages: Vec<TimeSpan>,
     /// Spans in which the demand of all customers is multiplied by a factor.
     pub surges: Vec<TemporaryValue>,
-    /// Span in which two customers add a fraction of the total demand within the quotas.
+    /// Span in which one or two customers add a fraction of the total demand within the quotas.
     pub flood: Option<TemporaryValue>,
     /// Span in which a fraction of all messages is lost.
     pub message_loss: Option<TemporaryValue>,
--- a/crates/fleet-lab/src/simulate/fault_scheduler.rs
+++ b/crates/fleet-lab/src/simulate/fault_scheduler.rs
@@ -1,5 +1,6 @@
-//! Draws the schedule of the requested faults. Spans are bounded by the duration of the simulation,
-//! so that a short simulation includes their end too.
+//! Draws the schedule of the requested faults. Hangs, slowness, surges, floods, partitions and
+//! discovery outages end before the simulation does, so that a short simulation includes the
+//! recovery too.
 
 use super::fault::Fault;
 use super::fault_schedule::{FaultAction, FaultSchedule, ScheduledAction};
@@ -20,28 +21,30 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A fault of individual servers affects one in this many servers.
-const AFFECTED_ONE_OF: usize = 8;
-/// A rolling replacement replaces one in this many servers.
-const REPLACED_ONE_OF: usize = 2;
-/// Factor by which executions on slow servers take longer.
+/// Number of servers out of which a hang, slowness, a discovery outage or a restart affects one.
+const AFFECTED_ONE_IN: usize = 8;
+/// Number of servers out of which a rolling replacement replaces one.
+const REPLACED_ONE_IN: usize = 2;
+/// Execution time on a slow server, as a multiple of the normal time.
 const SLOWDOWN_RATIO: f64 = 6.0;
-/// Number of gateways that are killed out of ten.
-const KILLED_OF_TEN: usize = 7;
+/// Number of gateways that are killed for every ten gateways of the fleet.
+const KILLED_PER_TEN: usize = 7;
 
-/// Draws the endpoint of a new server from a zone number and a start time.
+/// Creates the endpoint of a new server in the zone with the given number, which starts at the
+/// given time; without a start time, the server is warm.
 pub(super) type NewEndpoint<'a> = dyn FnMut(u32, Option<Timestamp>) -> Endpoint + 'a;
 
-/// Draws the faults of one simulation into a schedule.
+/// Draws the times and targets of the faults of one simulation.
 pub(super) struct FaultScheduler<'a> {
     rng: &'a mut Rng,
-    /// Time in which clients send new requests.
+    /// Time for which clients send new requests, from the start of the simulation.
     duration: Duration,
     gateways: u32,
     zones: u32,
     new_endpoint: &'a mut NewEndpoint<'a>,
-    /// Servers at the start that no fault affects so far.
+    /// Initial servers that no scheduled fault affects yet, in random order.
     unaffected: std::vec::IntoIter<Endpoint>,
+    /// Number of initial servers.
     server_count: usize,
     schedule: FaultSchedule,
 }
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Draws the schedule of a set of faults.
+    /// Draws and returns the schedule of a set of faults.
     pub(super) fn schedule(mut self, faults: &BTreeSet<Fault>) -> FaultSchedule {
         for fault in faults {
             match fault {
@@ -102,7 +105,7 @@
 
     fn schedule_hang(&mut self) {
         let hang = self.fault_span(HANG);
-        for endpoint in self.take_servers(AFFECTED_ONE_OF) {
+        for endpoint in self.take_servers(AFFECTED_ONE_IN) {
             let action = FaultAction::HangServer {
                 server: endpoint.server,
                 until: hang.end,
@@ -113,7 +116,7 @@
 
     fn schedule_slowness(&mut self) {
         let slowness = self.fault_span(SLOWNESS);
-        for endpoint in self.take_servers(AFFECTED_ONE_OF) {
+        for endpoint in self.take_servers(AFFECTED_ONE_IN) {
             let server = endpoint.server;
             self.add_action(
                 slowness.start,
@@ -133,7 +136,7 @@
     }
 
     fn schedule_rolling_replacement(&mut self) {
-        for endpoint in self.take_servers(REPLACED_ONE_OF) {
+        for endpoint in self.take_servers(REPLACED_ONE_IN) {
             let at = draw_timestamp(
                 self.rng,
                 self.time_at(FIRST_REPLACEMENT_FRACTION)..self.time_at(LAST_REPLACEMENT_FRACTION),
@@ -147,7 +150,7 @@
     fn schedule_gateway_kills(&mut self) {
         let mut gateways: Vec<u32> = (0..self.gateways).collect();
         gateways.shuffle(self.rng);
-        gateways.truncate(self.gateways as usize * KILLED_OF_TEN / 10);
+        gateways.truncate(self.gateways as usize * KILLED_PER_TEN / 10);
         let killed_at = self.time_at(KILL_FRACTION);
         for gateway in gateways.into_iter().map(GatewayId) {
             let restarted_at =
@@ -171,7 +174,7 @@
         let outage = self.fault_span(DISCOVERY_OUTAGE);
         self.schedule.discovery_outages.push(outage);
         let drained_at = outage.start + OUTAGE_TO_DRAIN;
-        for endpoint in self.take_servers(AFFECTED_ONE_OF) {
+        for endpoint in self.take_servers(AFFECTED_ONE_IN) {
             self.add_drain(drained_at, endpoint.server);
         }
     }
@@ -184,7 +187,7 @@
 
     fn schedule_server_restarts(&mut self) {
         let stopped_at = self.time_at(SERVER_STOP_FRACTION);
-        for endpoint in self.take_servers(AFFECTED_ONE_OF) {
+        for endpoint in self.take_servers(AFFECTED_ONE_IN) {
             self.add_action(stopped_at, FaultAction::StopServer(endpoint.server));
             let restarted_at =
                 stopped_at + duration_from_seconds(self.rng.random_range(SERVER_DOWN_SECONDS));
@@ -197,7 +200,8 @@
         START + Duration::from_micros_f64(self.duration.as_micros_f64() * fraction)
     }
 
-    /// Returns the span of a fault, shortened to end by [`LATEST_END_FRACTION`].
+    /// Returns the span of a fault, which ends at [`LATEST_END_FRACTION`] of the simulation at the
+    /// latest.
     fn fault_span(&self, window: FaultWindow) -> TimeSpan {
         let start = self.time_at(window.start_fraction);
         TimeSpan {
@@ -206,11 +210,12 @@
         }
     }
 
-    /// Takes one in `one_of` of all servers, as far as there are servers that no fault affects yet.
-    fn take_servers(&mut self, one_of: usize) -> Vec<Endpoint> {
+    /// Returns one in `one_in` of all initial servers, rounded up, and marks them as affected.
+    /// Returns fewer if too few unaffected servers are left.
+    fn take_servers(&mut self, one_in: usize) -> Vec<Endpoint> {
         self.unaffected
             .by_ref()
-            .take(self.server_count.div_ceil(one_of))
+            .take(self.server_count.div_ceil(one_in))
             .collect()
     }
 
--- a/crates/fleet-lab/src/simulate/fault_timing.rs
+++ b/crates/fleet-lab/src/simulate/fault_timing.rs
@@ -22,13 +22,13 @@
 }
 
 /// Fraction of the simulation by which every fault with a [`FaultWindow`] has ended. Drains and
-/// restarts are not bounded by it.
+/// restarts may end later.
 pub(super) const LATEST_END_FRACTION: f64 = 0.8;
 /// Span of a surge, in which the demand of all customers rises.
 pub(super) const SURGE: FaultWindow = FaultWindow::new(0.25, 10);
 /// Demand during a surge, as a multiple of the usual demand.
 pub(super) const SURGE_RATIO: f64 = 1.5;
-/// Span of a flood by two customers.
+/// Span of a flood by one or two customers.
 pub(super) const FLOOD: FaultWindow = FaultWindow::new(0.35, 12);
 /// Demand that the flooding customers add together, as a fraction of all demand within the quotas.
 pub(super) const FLOOD_FRACTION: f64 = 0.3;
@@ -50,11 +50,11 @@
 pub(super) const PARTITION_LOSS_FRACTION: f64 = 0.1;
 /// Span of an outage of discovery.
 pub(super) const DISCOVERY_OUTAGE: FaultWindow = FaultWindow::new(0.25, 8);
-/// Time from the start of a discovery outage to the drains in it, which no gateway learns of before
-/// the outage ends.
+/// Time from the start of a discovery outage to the drains during the outage. No gateway learns of
+/// these drains before the outage ends.
 pub(super) const OUTAGE_TO_DRAIN: Duration = Duration::from_millis(100);
 /// Time from a server's drain to the end of its process. Without an outage of discovery, all
-/// gateways have learned of the drain long before.
+/// gateways learn of the drain long before the process ends.
 pub(super) const DRAIN_TO_STOP: Duration = Duration::from_secs(8);
 /// Fraction of the simulation after which a cold server is added.
 pub(super) const COLD_START_FRACTION: f64 = 0.2;
