--- a/crates/fleet-lab/src/world/clients.rs
+++ b/crates/fleet-lab/src/world/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: the arrival times, sizes, classes and deadlines of their requests, their retries after
-//! an error, and clients that disconnect.
+//! Clients: the arrival times, sizes, classes and deadlines of their requests, and when clients
+//! disconnect or retry after an error.
 
 use super::client_request::{ClientError, ClientRequest, ClientRetry};
 use super::customers::{draw_customers, Customer};
@@ -13,18 +13,19 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Fraction of the requests that are of the first class; the other classes have equal parts of the
-/// rest.
+/// Fraction of the requests that are of the first class; the rest is divided equally among the
+/// other classes.
 const FIRST_CLASS_FRACTION: f64 = 0.64;
 /// Fraction of requests whose client disconnects at a random time in the first half of the maximum
 /// deadline, if it has no answer by then.
 const DISCONNECT_FRACTION: f64 = 0.02;
 /// Fraction of requests whose actual size is drawn independently of the estimate.
 const MISESTIMATED_FRACTION: f64 = 0.2;
-/// Pause of a client before its retry if the error advised none.
+/// Time from an error to the client's retry, if the error does not advise a time.
 const RETRY_PAUSE: Range<Duration> = Duration::from_millis(10)..Duration::from_millis(200);
-/// Number of customers that take part in a flood.
-const FLOODING_CUSTOMERS: usize = 2;
+/// Number of equal parts into which the demand of a flood is divided. Each part is added to the
+/// demand of a customer that is drawn at random, so that one customer may have both parts.
+const FLOOD_PARTS: usize = 2;
 
 /// The clients of all customers.
 pub struct Clients {
@@ -42,18 +43,19 @@
 /// The demand of all clients together.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// Mean requests per second within the quotas of all customers.
+    /// Mean demand within the quotas, in requests per second of all customers together.
     pub rate: f64,
-    /// Maximum time that a client waits for an answer, retries included.
+    /// Maximum time for which a client waits for an answer, including the time of a retry.
     pub max_deadline: Duration,
-    /// Spans in which all customers multiply their demand by the value.
+    /// Spans in which the usual demand of every customer is multiplied by the value.
     pub surges: Vec<TemporaryValue>,
-    /// Span in which two customers together add this fraction of `rate` to the demand.
+    /// Span in which one or two customers together add the value, as a fraction of `rate`, to the
+    /// demand.
     pub flood: Option<TemporaryValue>,
 }
 
 impl Clients {
-    /// Draws customers of each plan until they account for the plan's equal part of the demand.
+    /// Draws the customers: for each plan as many as its equal part of the demand requires.
     pub fn new(mut rng: Rng, now: Timestamp, settings: &Settings, demand: &Demand) -> Clients {
         let mut customers = Vec::new();
         for plan in 0..settings.plans.len() {
@@ -66,9 +68,9 @@
             ));
         }
         if let Some(flood) = demand.flood {
-            for _ in 0..FLOODING_CUSTOMERS {
+            for _ in 0..FLOOD_PARTS {
                 let index = rng.random_range(0..customers.len());
-                customers[index].join_flood(demand.rate * flood.value / FLOODING_CUSTOMERS as f64);
+                customers[index].join_flood(demand.rate * flood.value / FLOOD_PARTS as f64);
             }
         }
         let classes = settings.classes.iter();
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Draws the time at which a customer's next request arrives; `None` if its rate is 0.
+    /// Draws the time at which a customer's next request arrives; `None` if the customer's rate
+    /// is 0.
     pub fn next_arrival(&mut self, now: Timestamp, customer: usize) -> Option<Timestamp> {
         let active_surges = self.surges.iter().filter(|surge| surge.span.contains(now));
         let surge: f64 = active_surges.map(|surge| surge.value).product();
@@ -132,15 +135,15 @@
         ClassId(class.min(last))
     }
 
-    /// Draws how long a client waits for the answer to one request: half to all of the time until
-    /// its deadline.
+    /// Draws the time for which a client waits for the answer to one request: between half and all
+    /// of the time until the client's deadline.
     pub fn draw_timeout(&mut self, now: Timestamp, request: &ClientRequest) -> Duration {
         let remaining = request.deadline.duration_since(now);
         Duration::from_micros_f64(remaining.as_micros_f64() * self.rng.random_range(0.5..1.0))
     }
 
-    /// Draws the gateway that receives a request, among those of its customer that are not
-    /// excluded.
+    /// Draws the gateway that receives a request, among the customer's gateways that are not
+    /// excluded; `None` if all of them are excluded.
     pub fn pick_gateway(
         &mut self,
         now: Timestamp,
@@ -152,16 +155,17 @@
         customer.pick_gateway(&mut self.rng, now, gateways, is_excluded)
     }
 
-    /// Returns the retry that a client makes after an error, if any. A client retries at most once,
-    /// after the advised time if the rejection has one. A request that is not idempotent is only
-    /// sent again if it cannot have run.
+    /// Returns the retry that a client makes after an error; `None` if the client does not retry. A
+    /// client retries at most once, before its deadline and before it disconnects. It waits for the
+    /// time that the rejection advises, or otherwise for a random time. It repeats a request whose
+    /// class is not idempotent only if the request cannot have run.
     pub fn retry(
         &mut self,
         now: Timestamp,
         request: &ClientRequest,
         error: ClientError,
     ) -> Option<ClientRetry> {
-        let is_harmless = self.idempotent[request.class.0] || error != ClientError::Failed;
+        let may_be_repeated = self.idempotent[request.class.0] || error != ClientError::Failed;
         let pause = match error {
             ClientError::Rejected {
                 retry_after: Some(advice),
@@ -172,7 +176,7 @@
         let is_connected = request
             .disconnect_at
             .is_none_or(|disconnect_at| at < disconnect_at);
-        if !is_harmless || request.retries > 0 || at >= request.deadline || !is_connected {
+        if !may_be_repeated || request.retries > 0 || at >= request.deadline || !is_connected {
             return None;
         }
         let request = ClientRequest {
--- a/crates/fleet-lab/src/world/customer_account.rs
+++ b/crates/fleet-lab/src/world/customer_account.rs
@@ -5,10 +5,11 @@
 use super::START;
 use gateway_core::{CustomerId, PlanId, Settings, Timestamp};
 
-/// Tolerance of a hard limit, as a fraction of its capacity; at least the largest request is
-/// tolerated.
+/// Units that are tolerated beyond a hard limit, as a fraction of the capacity of the limit. The
+/// tolerance is at least the size of the largest request.
 const HARD_LIMIT_TOLERANCE_FRACTION: f64 = 0.1;
-/// Minimum fraction of available tokens at which a quota counts as half unused.
+/// Minimum fraction of the capacity of a quota that is available if the quota counts as half
+/// unused.
 const HALF_UNUSED_FRACTION: f64 = 0.5;
 
 /// A customer and its plan.
@@ -24,21 +25,22 @@
 pub(super) struct Charge {
     /// Whether neither the quota nor the concurrency permits are exceeded.
     pub(super) is_within_quota: bool,
-    /// Use of the hard limit relative to the limit; `None` if there is no limit.
+    /// Use of the hard limit relative to the limit; `None` if the plan has no hard limit.
     pub(super) hard_limit_excess: Option<Excess>,
 }
 
-/// The limits of one customer.
+/// The limits of one customer, and how much of each is used.
 pub(super) struct CustomerAccount {
     /// Id of the customer.
     pub(super) id: CustomerId,
     /// Plan of the customer.
     pub(super) plan: PlanId,
-    /// Tokens left of the quota; `None` if the plan has no quota.
+    /// Remaining tokens of the quota; `None` if the plan has no quota.
     quota: Option<TokenBucket>,
     hard_limit: Option<UsageLimit>,
-    /// Units beyond the hard limit that are tolerated.
+    /// Units that are tolerated beyond the hard limit.
     hard_limit_tolerance: f64,
+    /// Number of concurrency permits; `None` if the plan does not limit concurrency.
     max_concurrent: Option<u32>,
     attempts_in_flight: u32,
 }
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Charges the units of a request when its first attempt is sent.
+    /// Charges the units of a request when its first attempt is sent. The hard limit is always
+    /// charged; the quota only if a concurrency permit and enough tokens are left.
     pub(super) fn charge(&mut self, now: Timestamp, units: f64) -> Charge {
         let has_permit = self
             .max_concurrent
@@ -82,16 +85,16 @@
         }
     }
 
-    /// Corrects a charge once the actual size of the request is known: `units` is the difference to
-    /// the estimate, negative if fewer units were used.
+    /// Corrects the charge to the quota once the actual size of a request is known. `units` is the
+    /// actual size minus the estimate. The charge to the hard limit is not corrected.
     pub(super) fn correct(&mut self, now: Timestamp, units: f64) {
         if let Some(quota) = &mut self.quota {
             quota.take(now, units);
         }
     }
 
-    /// Returns whether at least half of the quota is unused and covers the `units` of a request;
-    /// `false` if there is no quota.
+    /// Returns whether at least half of the quota is unused and the unused part covers a request of
+    /// `units` units; `false` if the plan has no quota.
     pub(super) fn is_half_unused(&mut self, now: Timestamp, units: f64) -> bool {
         let Some(quota) = &mut self.quota else {
             return false;
--- a/crates/fleet-lab/src/world/customers.rs
+++ b/crates/fleet-lab/src/world/customers.rs
@@ -8,14 +8,15 @@
 use rand::Rng as _;
 use std::ops::Range;
 
-/// Requests per second of a customer whose plan has no quota, taken as its quota.
+/// Rate that replaces the quota in the demand of a customer whose plan has no quota, in requests
+/// per second.
 const UNLIMITED_RATE_PER_SECOND: f64 = 5.0;
-/// How long a customer prefers the same one of its gateways, in seconds.
+/// Time for which a customer prefers the same gateway, in seconds.
 const PREFERENCE_SECONDS: Range<f64> = 7.8..22.0;
 /// Range of customer ids, which have 33 bits in the protocol.
 const CUSTOMER_IDS: Range<u64> = 1..1 << 33;
-/// Gateways of the fleet per gateway that a customer may use. The result is limited to
-/// [`MIN_GATEWAY_LIMIT`]..=[`MAX_GATEWAY_LIMIT`].
+/// Number of gateways in the fleet for each gateway that a customer may use. The resulting limit on
+/// a customer's gateways lies in [`MIN_GATEWAY_LIMIT`]..=[`MAX_GATEWAY_LIMIT`].
 const FLEET_GATEWAYS_PER_CUSTOMER_GATEWAY: u32 = 20;
 /// Lower bound of the limit on the number of a customer's gateways.
 const MIN_GATEWAY_LIMIT: u32 = 4;
@@ -44,7 +45,7 @@
     pub first_gateway: GatewayId,
     /// Number of gateways that the customer uses.
     pub gateway_count: u32,
-    /// Requests per second that use the whole quota.
+    /// Requests of mean size per second that use up the quota.
     quota_rate: f64,
     pattern: DemandPattern,
     phase: Phase,
@@ -77,8 +78,8 @@
     }
 
     /// Draws the gateway that receives a request, among the customer's gateways that are not
-    /// excluded. The probability of a gateway is inversely proportional to its rank, which is 1 for
-    /// the preferred gateway.
+    /// excluded; `None` if all of them are excluded. The probability of a gateway is inversely
+    /// proportional to its rank, which is 1 for the preferred gateway.
     pub(super) fn pick_gateway(
         &mut self,
         rng: &mut Rng,
@@ -165,7 +166,7 @@
     }
 }
 
-/// Returns the requests per second that use the whole quota of a customer of a plan.
+/// Returns the requests of mean size per second that use up the quota of a customer of a plan.
 fn quota_rate(settings: &Settings, plan: PlanId) -> f64 {
     let quota = settings.plans[plan.0].rate;
     if quota > 0.0 {
--- a/crates/fleet-lab/src/world/datagrams.rs
+++ b/crates/fleet-lab/src/world/datagrams.rs
@@ -63,7 +63,7 @@
     pub loss: f64,
     /// Fraction of messages that is lost within a span; the greater of the two fractions applies.
     pub temporary_loss: Option<TemporaryValue>,
-    /// Messages per second that a gateway accepts; further ones are dropped.
+    /// Messages per second that a gateway accepts; further messages are dropped.
     pub accepted_per_second: f64,
 }
 
@@ -87,7 +87,7 @@
 /// Counts of sent, received, lost and dropped messages.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    /// Messages that reached a gateway, dropped messages included, by gateway.
+    /// Messages that reached a gateway that was up, dropped messages included, by gateway.
     pub received: Vec<MessageCounts>,
     /// Messages sent, one for each receiver.
     pub sent: u64,
@@ -100,7 +100,7 @@
 /// The simulated network between gateways.
 pub struct Datagrams {
     conditions: NetworkConditions,
-    /// Messages that a gateway still accepts, by receiver.
+    /// Number of further messages that each gateway accepts, by gateway.
     accept_budgets: Vec<TokenBucket>,
     rng: Rng,
     /// Counts of all messages so far.
--- a/crates/fleet-lab/src/world/demand_pattern.rs
+++ b/crates/fleet-lab/src/world/demand_pattern.rs
@@ -6,14 +6,14 @@
 use gateway_core::Timestamp;
 use rand::Rng as _;
 
-/// Ratio of demand to quota between two peaks of a pattern.
+/// Ratio of demand to quota between the peaks of a sustained or bursty pattern.
 const BETWEEN_BURSTS_RATIO: f64 = 0.4;
 /// Mean ratio of demand within the quota to the quota, for a customer with long phases beyond the
 /// quota.
 const MEAN_SUSTAINED_RATIO: f64 = 0.7;
 /// Mean ratio of demand within the quota to the quota, for a customer with short bursts.
 const MEAN_BURSTY_RATIO: f64 = 0.5;
-/// Probability that a customer steadily uses nearly its quota.
+/// Probability that a customer steadily uses nearly its whole quota.
 const NEAR_QUOTA_CUMULATIVE_PROBABILITY: f64 = 0.17;
 /// Cumulative probability up to and including customers with long phases beyond their quota.
 const SUSTAINED_CUMULATIVE_PROBABILITY: f64 = 0.26;
@@ -58,8 +58,8 @@
 
     /// Draws the phase that follows the last one.
     pub(super) fn next_phase(self, rng: &mut Rng, now: Timestamp, last: Phase) -> Phase {
-        // The initial phase ends at `START` and is followed by a quiet one, so that bursts begin at
-        // different times and not at the start of the simulation.
+        // The initial phase ends at `START`. For a bursty customer, the phase after it is quiet
+        // too, so that bursts begin at different times and not at the start of the simulation.
         let is_started = last.until > START;
         let (is_peak, seconds) = match self {
             DemandPattern::Steady(_) => (false, 20.0..30.0),
--- a/crates/fleet-lab/src/world/discovery.rs
+++ b/crates/fleet-lab/src/world/discovery.rs
@@ -28,7 +28,7 @@
     Update(Event),
     /// The gateway's call to discovery fails.
     CallFailed,
-    /// Discovery cannot be reached: the poll has to be repeated at this time.
+    /// The gateway cannot reach discovery. The poll has to be repeated at this time.
     RetryAt(Timestamp),
     /// The gateway has already received all changes.
     NoChange,
@@ -120,13 +120,13 @@
     }
 
     /// Returns the time since which a gateway has known that a server is draining or gone; `None`
-    /// if it does not.
+    /// if the gateway knows of no drain.
     pub fn draining_since(&self, gateway: GatewayId, server: ServerId) -> Option<Timestamp> {
         self.draining[gateway.0 as usize].since(server)
     }
 
-    /// Returns a snapshot of the endpoint list as a gateway last received it, for the restart of
-    /// the gateway.
+    /// Returns a snapshot of the endpoint list as a gateway last received it. The gateway starts
+    /// and restarts with this list.
     pub fn last_snapshot(&self, gateway: GatewayId) -> Event {
         let mut known = BTreeMap::new();
         for endpoint in &self.endpoint_log[..self.received[gateway.0 as usize]] {
--- a/crates/fleet-lab/src/world/draining.rs
+++ b/crates/fleet-lab/src/world/draining.rs
@@ -13,7 +13,7 @@
 
 impl DrainingServers {
     /// Records a server's state that the gateway has received from discovery. Returns whether the
-    /// gateway learns from it that the server is draining or gone.
+    /// gateway first learns from this state that the server is draining or gone.
     pub fn state_received(
         &mut self,
         now: Timestamp,
@@ -30,7 +30,7 @@
     }
 
     /// Returns the time since which the gateway has known that a server is draining or gone; `None`
-    /// if it does not.
+    /// if the gateway knows of no drain.
     pub fn since(&self, server: ServerId) -> Option<Timestamp> {
         self.since.get(&server).copied()
     }
--- a/crates/fleet-lab/src/world/invariant_checker/answers.rs
+++ b/crates/fleet-lab/src/world/invariant_checker/answers.rs
@@ -1,4 +1,4 @@
-//! Checks of final answers and of the other ends of a request.
+//! Checks of final answers, and records of requests that end without a final answer.
 
 use super::InvariantChecker;
 use crate::world::client_request::ClientRequest;
@@ -54,14 +54,14 @@
     fn count_rejected(&mut self, now: Timestamp, number: RequestNumber, request: &ClientRequest) {
         let record = &self.requests[number.0 as usize];
         let was_sent = !record.attempts.is_empty();
-        let is_harmless = record.may_be_rejected(self.idempotency(request));
+        let may_be_rejected = record.may_be_rejected(self.idempotency(request));
         let account = &mut self.accounts[request.customer];
         let is_half_unused = account.is_half_unused(now, request.estimated_units);
         self.count(now, request, |counts| {
             counts.rejected += 1;
             counts.rejected_within_quota += u64::from(!was_sent && is_half_unused);
         });
-        if !is_harmless {
+        if !may_be_rejected {
             let problem = format!("request {} refused, which may have run", number.0);
             self.record_violation(now, Invariant::Idempotency, problem);
         }
@@ -84,7 +84,7 @@
     }
 
     /// Records that the time for a final answer is over, which is a violation if the request is
-    /// still open. Returns whether it was open.
+    /// still open. Returns whether the request was open.
     pub fn answer_overdue(&mut self, now: Timestamp, number: RequestNumber) -> bool {
         let Some(request) = self.close(number) else {
             return false;
--- a/crates/fleet-lab/src/world/invariant_checker/attempts.rs
+++ b/crates/fleet-lab/src/world/invariant_checker/attempts.rs
@@ -1,4 +1,4 @@
-//! Checks of attempts: when a gateway may send an attempt, and how often a request may run.
+//! Checks of attempts: whether a gateway may send an attempt, and how often a request may run.
 
 use super::{InvariantChecker, SentAttempt};
 use crate::world::client_request::ClientRequest;
@@ -11,8 +11,9 @@
 use std::time::Duration;
 
 impl InvariantChecker {
-    /// Records and checks an attempt that a gateway sends. Returns whether the attempt may be
-    /// carried out: not if the request is closed or its attempts are used up.
+    /// Records and checks an attempt that a gateway sends. Returns `false`, and records no attempt,
+    /// if no client sent the request, the request is closed, or all permitted attempts have been
+    /// sent.
     pub fn attempt_sent(&mut self, now: Timestamp, sent: SentAttempt) -> bool {
         if !self.check_request_is_open(now, &sent) {
             return false;
@@ -36,8 +37,8 @@
         true
     }
 
-    /// Records that a gateway sent an attempt to a server that it does not know, which is a
-    /// violation.
+    /// Records a violation: a gateway sent an attempt to a server that discovery never listed to
+    /// the gateway.
     pub fn sent_to_unlisted_server(
         &mut self,
         now: Timestamp,
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Charges a request's first attempt to the quota and the hard limit of its customer.
+    /// Charges a request to the quota and the hard limit of its customer when the first attempt is
+    /// sent, and checks the hard limit.
     fn charge(&mut self, now: Timestamp, request: &ClientRequest, wait: Duration) {
         let units = request.estimated_units;
         let account = &mut self.accounts[request.customer];
@@ -112,8 +114,8 @@
         }
     }
 
-    /// Records that an attempt began to run at a server, and checks that a non-idempotent request
-    /// runs only once.
+    /// Records that an attempt began to run at a server, and checks that the request, if it is
+    /// non-idempotent, has not run before.
     pub fn execution_started(&mut self, now: Timestamp, number: RequestNumber) {
         let record = &mut self.requests[number.0 as usize];
         record.execution_started();
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Records the outcome of an attempt, of which its gateway is about to learn.
+    /// Records the outcome of an attempt, just before the gateway learns of the outcome.
     pub fn attempt_finished(
         &mut self,
         number: RequestNumber,
--- a/crates/fleet-lab/src/world/invariant_checker/mod.rs
+++ b/crates/fleet-lab/src/world/invariant_checker/mod.rs
@@ -1,5 +1,5 @@
-//! The invariant checker of the simulation, with records of its own of every request and customer.
-//! It does not use the internals of the decision library, and sees the true state without delay.
+//! The invariant checker of the simulation. It keeps its own records of every request and customer,
+//! does not use the internals of the decision library, and sees the true state without delay.
 //!
 //! - `attempts` checks what gateways send: only requests of clients, not after the request's end,
 //!   and in keeping with idempotency, drains and hard limits.
@@ -23,7 +23,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Simulated time after a request's deadline until which its final answer counts as in time.
+/// Simulated time after a client's timeout within which a final answer still counts as in time.
 /// `hybrid` allows more, since its processes may have to wait for a CPU.
 pub const ANSWER_GRACE: Duration = Duration::from_millis(8);
 /// If more than this fraction of the calls came from gateways that knew of the start, the crash of
@@ -41,8 +41,8 @@
     pub request: RequestNumber,
     /// Endpoint of the server to which the attempt is sent.
     pub server: Endpoint,
-    /// Time since which the gateway has known that the server is draining or gone; `None` if it
-    /// does not.
+    /// Time since which the gateway has known that the server is draining or gone; `None` if the
+    /// gateway knows of no drain.
     pub draining_since: Option<Timestamp>,
 }
 
@@ -59,7 +59,8 @@
 }
 
 impl InvariantChecker {
-    /// Creates a checker for customers, to which requests refer by their index in `customers`.
+    /// Creates a checker without records. Requests refer to customers by their index in
+    /// `customers`.
     ///
     /// # Errors
     /// An error if the histogram of waits cannot be created.
@@ -102,7 +103,7 @@
         self.statistics.count(now, request.class, plan, count);
     }
 
-    /// Returns whether and how the class of a request permits repetition.
+    /// Returns the idempotency of the class of a request.
     fn idempotency(&self, request: &ClientRequest) -> Idempotency {
         self.settings.classes[request.class.0].idempotency
     }
@@ -119,8 +120,8 @@
         RequestNumber(self.requests.len() as u64 - 1)
     }
 
-    /// Records the crash of an overloaded cold server, which is a violation if most of the calls
-    /// came from gateways that knew of its start.
+    /// Records the crash of an overloaded cold server, which is a violation if more than two
+    /// thirds of the calls came from gateways that knew of its start.
     pub fn server_crashed(&mut self, now: Timestamp, server: ServerId, load: ColdStartLoad) {
         if load.start_known_fraction > MAX_START_KNOWN_FRACTION {
             let ColdStartLoad { calls, budget, .. } = load;
--- a/crates/fleet-lab/src/world/load_report.rs
+++ b/crates/fleet-lab/src/world/load_report.rs
@@ -27,11 +27,11 @@
     }
 
     /// Returns the load to report. If the last measurement has expired, the load is measured again
-    /// as the number of requests in flight.
-    pub(super) fn current(&mut self, now: Timestamp, in_flight_requests: usize) -> f64 {
+    /// as the number of attempts that run or are queued.
+    pub(super) fn current(&mut self, now: Timestamp, attempts_in_flight: usize) -> f64 {
         if now >= self.expires_at {
             self.expires_at = now + self.interval;
-            self.load = in_flight_requests as f64;
+            self.load = attempts_in_flight as f64;
         }
         self.load
     }
--- a/crates/fleet-lab/src/world/machine.rs
+++ b/crates/fleet-lab/src/world/machine.rs
@@ -5,13 +5,13 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Capacity of each server, the same for all servers of a simulation.
+/// Hardware of each server, the same for all servers of a simulation.
 #[derive(Clone, Debug)]
 pub struct Machine {
     /// Number of requests that run concurrently.
     pub cores: u32,
-    /// Maximum number of requests in flight, running or queued; further ones are rejected without
-    /// running.
+    /// Maximum number of requests in flight, running or queued; further requests are rejected
+    /// without running.
     pub slots: usize,
     /// Execution time of a request on a warm core, uniformly distributed.
     pub work: Range<Duration>,
--- a/crates/fleet-lab/src/world/request_counts.rs
+++ b/crates/fleet-lab/src/world/request_counts.rs
@@ -26,7 +26,8 @@
     /// Requests whose gateway was killed first.
     #[serde(rename = "died")]
     pub gateway_killed: u64,
-    /// Requests that no gateway accepted because the chosen gateway was down.
+    /// Requests that no gateway accepted, because the chosen gateway or all gateways of the
+    /// customer were down.
     #[serde(rename = "unreached")]
     pub unreachable: u64,
 }
--- a/crates/fleet-lab/src/world/request_record.rs
+++ b/crates/fleet-lab/src/world/request_record.rs
@@ -1,5 +1,5 @@
-//! The record of one request with its attempts, its executions and its end, and what the
-//! idempotency of its class permits after its attempts.
+//! The record of one request: its attempts, its executions and its end. For simulated requests,
+//! also whether the idempotency of the class permits a further attempt or a rejection.
 
 use super::client_request::ClientRequest;
 use gateway_core::{DeduplicationScope, Endpoint, Idempotency, Timestamp};
@@ -12,7 +12,7 @@
     pub request: Request,
     /// Time at which the client sent the request.
     pub arrived_at: Timestamp,
-    /// Attempts of the request, in the order in which they were sent.
+    /// Attempts of the request, in the order in which they were observed.
     pub attempts: Vec<Attempt>,
     is_open: bool,
     answers_after_end: u32,
@@ -89,20 +89,22 @@
     pub(super) is_proved_unexecuted: bool,
 }
 
-/// The record of a simulated request. Only in the simulation does the checker see what a gateway
-/// learns of an attempt, and can tell whether the gateway may send the next one; the checker of
-/// `hybrid`, which observes sockets, has to rely on executions.
+/// The record of a simulated request. In the simulation, the checker sees the outcome of each
+/// attempt as the gateway learns it, and can therefore tell whether the gateway may send another
+/// attempt. The checker of `hybrid` observes sockets and does not see outcomes, so it has to rely
+/// on executions.
 pub(super) type SimulatedRequestRecord = RequestRecord<ClientRequest, AttemptRecord>;
 
 impl SimulatedRequestRecord {
-    /// Returns the first attempt that may have run.
+    /// Returns the first attempt that may have run; `None` if no attempt can have run.
     fn possibly_executed(&self) -> Option<&AttemptRecord> {
         self.attempts
             .iter()
             .find(|attempt| !attempt.is_proved_unexecuted)
     }
 
-    /// Returns whether the request may be sent to a server after its earlier attempts.
+    /// Returns whether the idempotency of the request permits an attempt at a server after the
+    /// earlier attempts.
     pub(super) fn may_be_sent(
         &self,
         now: Timestamp,
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Returns whether the request may be rejected after its earlier attempts. A rejection invites
-    /// the client to send the request again.
+    /// Returns whether the idempotency of the request permits a rejection after the earlier
+    /// attempts. A rejection invites the client to send the request again.
     pub(super) fn may_be_rejected(&self, idempotency: Idempotency) -> bool {
         if self.possibly_executed().is_none() {
             return true;
--- a/crates/fleet-lab/src/world/server_events.rs
+++ b/crates/fleet-lab/src/world/server_events.rs
@@ -25,7 +25,7 @@
 /// An event at a server.
 #[derive(Debug)]
 pub enum ServerEvent {
-    /// A request begins to run.
+    /// An attempt begins to run.
     Started {
         /// Number to pass to [`Server::complete`](super::servers::Server::complete).
         execution: u64,
@@ -34,7 +34,7 @@
         /// Attempt that begins to run.
         job: Job,
     },
-    /// A running request takes longer.
+    /// An execution is delayed because the server hangs.
     Delayed {
         /// Number to pass to [`Server::complete`](super::servers::Server::complete).
         execution: u64,
@@ -50,7 +50,7 @@
         /// Load report; `None` if the server does not answer.
         reported_load: Option<f64>,
     },
-    /// The server was cold and crashed from overload; the load is its highest one while it was
-    /// cold.
+    /// The server was cold and crashed from overload. Contains the highest load while the server
+    /// was cold.
     Crashed(ColdStartLoad),
 }
--- a/crates/fleet-lab/src/world/servers.rs
+++ b/crates/fleet-lab/src/world/servers.rs
@@ -1,5 +1,5 @@
-//! Servers: cores, a queue, load reports, the crash of an overloaded cold server, hangs and
-//! slowness.
+//! Simulated servers: execution on a limited number of cores, a queue, load reports, the crash of
+//! an overloaded cold server, hangs and slowness.
 
 use super::cold_start::{ColdCall, ColdStart, ColdStartLoad};
 use super::load_report::LoadReport;
@@ -26,19 +26,21 @@
     pub endpoint: Endpoint,
     machine: Machine,
     process: ProcessState,
+    /// Attempts that run, by execution number.
     running: BTreeMap<u64, Job>,
     queue: VecDeque<Job>,
+    /// Number of the latest execution.
     last_execution: u64,
-    /// The last span in which the server hangs.
+    /// Span of the latest hang; `None` if the server has not hung since its start.
     hang: Option<TimeSpan>,
-    /// Factor by which every execution takes longer.
+    /// Execution time of an attempt that starts now, as a multiple of the normal time.
     slowdown: f64,
     load_report: LoadReport,
     cold_start: ColdStart,
 }
 
 impl Server {
-    /// Creates an idle server that draws its interval of load reports.
+    /// Creates an idle server, and draws the interval at which it measures its load.
     pub fn new(rng: &mut Rng, endpoint: Endpoint, machine: Machine, rules: ServerRules) -> Server {
         let load_report = LoadReport::new(draw_duration(rng, &machine.report_interval));
         Server {
@@ -60,7 +62,8 @@
         self.process == ProcessState::Up
     }
 
-    /// Returns the highest load while the server was cold; `None` for a server that never was.
+    /// Returns the highest load relative to its budget while the server was cold; `None` if the
+    /// server has never started cold.
     pub fn highest_cold_load(&self) -> Option<ColdStartLoad> {
         self.endpoint
             .started_at
@@ -72,12 +75,13 @@
         self.process == ProcessState::Crashed
     }
 
-    /// Sets the factor by which every execution that begins from now on takes longer.
+    /// Sets the factor that multiplies the execution time of each attempt that starts from now on;
+    /// 1 restores the normal speed.
     pub fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = factor;
     }
 
-    /// Lets the server hang: until `until` it accepts requests but completes none.
+    /// Makes the server hang: until `until`, it accepts attempts but completes none.
     pub fn hang(&mut self, now: Timestamp, until: Timestamp) {
         self.hang = Some(TimeSpan {
             start: now,
@@ -85,7 +89,7 @@
         });
     }
 
-    /// Starts the server's process again, cold.
+    /// Starts the process of a stopped or crashed server again. The server is cold.
     pub fn restart(&mut self, now: Timestamp) {
         self.process = ProcessState::Up;
         self.endpoint.started_at = Some(now);
@@ -95,7 +99,8 @@
         self.cold_start.restart();
     }
 
-    /// Ends the server's process: the connections of all attempts in flight are lost.
+    /// Stops the server's process if it is up. All attempts that run or are queued end with a lost
+    /// connection.
     pub fn stop(&mut self, events: &mut Vec<ServerEvent>) {
         if self.is_up() {
             self.end_process(ProcessState::Stopped, events);
@@ -114,18 +119,18 @@
         }));
     }
 
-    /// Returns the number of requests that run or are queued.
-    fn in_flight_requests(&self) -> usize {
+    /// Returns the number of attempts that run or are queued.
+    fn attempts_in_flight(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
     fn reported_load(&mut self, now: Timestamp) -> Option<f64> {
-        let in_flight_requests = self.in_flight_requests();
-        Some(self.load_report.current(now, in_flight_requests))
+        let attempts_in_flight = self.attempts_in_flight();
+        Some(self.load_report.current(now, attempts_in_flight))
     }
 
-    /// Handles an attempt that arrives: queues or runs it, or ends it if the server is down, full
-    /// or overloaded.
+    /// Handles an attempt that arrives: runs or queues it, or ends it at once if the server is
+    /// down, has no free slot, or crashes because the attempt overloads it while it is cold.
     pub fn arrive(&mut self, now: Timestamp, job: Job, events: &mut Vec<ServerEvent>) {
         if !self.is_up() {
             events.push(ServerEvent::Finished {
@@ -137,7 +142,7 @@
             self.queue.push_back(job);
             self.end_process(ProcessState::Crashed, events);
             events.push(ServerEvent::Crashed(self.cold_start.highest_load()));
-        } else if self.in_flight_requests() >= self.machine.slots {
+        } else if self.attempts_in_flight() >= self.machine.slots {
             let reported_load = self.reported_load(now);
             events.push(ServerEvent::Finished {
                 job,
@@ -150,7 +155,8 @@
         }
     }
 
-    /// Records an attempt while the server is cold. Returns whether it overloads the server.
+    /// Records an attempt if the server is cold. Returns whether the calls now exceed the budget of
+    /// the server.
     fn record_cold_call(&mut self, now: Timestamp, job: &Job) -> bool {
         let call = ColdCall {
             at: now,
@@ -160,14 +166,14 @@
         self.cold_start.record_call(call, self.endpoint.started_at)
     }
 
-    /// Starts queued requests while there are idle cores.
+    /// Starts queued attempts while there are idle cores. Drops attempts that have expired.
     fn start_queued(&mut self, now: Timestamp, events: &mut Vec<ServerEvent>) {
         while self.running.len() < self.machine.cores as usize {
             let Some(job) = self.queue.pop_front() else {
                 return;
             };
             if job.expires_at <= now {
-                continue; // the gateway no longer waits for this attempt
+                continue; // The gateway no longer waits for this attempt.
             }
             let duration = self.execution_time(now, &job);
             let starts_at = self.hang.map_or(now, |hang| hang.end.max(now));
@@ -181,7 +187,7 @@
         }
     }
 
-    /// Returns the execution time of a request that starts now.
+    /// Returns the execution time of an attempt that starts now.
     fn execution_time(&self, now: Timestamp, job: &Job) -> Duration {
         let warm_up_fraction = self
             .cold_start
@@ -189,7 +195,8 @@
         Duration::from_micros_f64(job.work.as_micros_f64() * self.slowdown / warm_up_fraction)
     }
 
-    /// Completes a running request that is due, or delays it if the server hangs.
+    /// Completes the execution with the given number, which is due. If the server hangs, delays the
+    /// execution instead: the work that remained when the hang began is done after the hang.
     pub fn complete(&mut self, now: Timestamp, execution: u64, events: &mut Vec<ServerEvent>) {
         if let Some(hang) = self.hang.filter(|hang| hang.contains(now)) {
             if self.running.contains_key(&execution) {
@@ -212,7 +219,7 @@
         self.start_queued(now, events);
     }
 
-    /// Drops an attempt that is still queued, since its gateway no longer waits for it.
+    /// Drops an attempt that its gateway has cancelled, if the attempt is still queued.
     pub fn cancel(&mut self, request: RequestNumber, attempt: AttemptNumber) {
         self.queue
             .retain(|job| job.request != request || job.attempt != attempt);
--- a/crates/fleet-lab/src/world/token_bucket.rs
+++ b/crates/fleet-lab/src/world/token_bucket.rs
@@ -40,7 +40,8 @@
         self.tokens
     }
 
-    /// Removes `count` tokens if the bucket holds at least that many. Returns whether it did.
+    /// Removes `count` tokens if the bucket holds at least that many. Returns whether they were
+    /// removed.
     pub fn try_take(&mut self, now: Timestamp, count: f64) -> bool {
         let available = self.tokens(now) >= count;
         if available {
--- a/crates/fleet-lab/src/world/usage_limit.rs
+++ b/crates/fleet-lab/src/world/usage_limit.rs
@@ -1,5 +1,5 @@
-//! A limit on what a customer uses over all gateways together, and how far its use goes beyond the
-//! limit.
+//! A limit on the units that a customer uses over all gateways together, and the excess of that use
+//! over the limit.
 
 use super::token_bucket::TokenBucket;
 use gateway_core::Timestamp;
@@ -25,7 +25,7 @@
     }
 }
 
-/// A limit on units used, and the use of it.
+/// A limit on units, with a record of the units used.
 #[derive(Clone, Debug)]
 pub struct UsageLimit {
     bucket: TokenBucket,
