--- a/crates/fleet-lab/src/hybrid/customers.rs
+++ b/crates/fleet-lab/src/hybrid/customers.rs
@@ -4,7 +4,7 @@
 
 /// Multiplier that spreads consecutive customer numbers over the range of ids.
 const ID_MULTIPLIER: u64 = 0x9e37_79b1;
-/// Largest customer id: ids have 32 bits.
+/// Largest customer id of a run. Ids of a run have 32 bits; the protocol permits 33.
 const MAX_CUSTOMER_ID: u64 = 0xffff_ffff;
 /// Units of the largest request; all sizes from 1 unit up are equally likely.
 pub(super) const MAX_UNITS: u32 = 4;
--- a/crates/fleet-lab/src/hybrid/endpoint_registry.rs
+++ b/crates/fleet-lab/src/hybrid/endpoint_registry.rs
@@ -1,9 +1,9 @@
 //! The list of servers that discovery serves, with its versions.
 //!
 //! Nodes watch the list and know which version they have, as in production. In `world`, discovery
-//! itself keeps the version of every gateway, and has outages. What a gateway knows of draining
-//! servers is recorded by one type in both,
-//! [`DrainingServers`](crate::world::draining::DrainingServers).
+//! itself keeps track of the version that every gateway has, and has outages. `hybrid` and `world`
+//! use the same type, [`DrainingServers`](crate::world::draining::DrainingServers), to record what
+//! a gateway knows of draining servers.
 
 use super::server_faults::ListedState;
 use gateway_core::{CellId, Endpoint, EndpointState, ServerId, Timestamp, ZoneId};
@@ -112,8 +112,8 @@
         changed.map(RegisteredServer::endpoint).collect()
     }
 
-    /// Returns the entries that changed after the given version, in the JSON of the protocol. After
-    /// version 0, these are the whole list, which leaves out removed servers.
+    /// Returns the entries that changed after the given version, in the JSON of the protocol. For
+    /// version 0, returns the whole list without removed servers.
     pub(super) fn json_since(&self, version: u64) -> serde_json::Value {
         let is_whole = version == 0;
         let is_listed = |server: &&RegisteredServer| {
--- a/crates/fleet-lab/src/hybrid/environment.rs
+++ b/crates/fleet-lab/src/hybrid/environment.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 
 /// A monotonic clock that shows Unix time, since real and hollow nodes exchange timestamps. The
-/// simulation has no clock, because its time is that of the next event.
+/// simulation needs no clock, because its time is the time of the event that is handled.
 pub(super) struct Clock {
     started: Instant,
     /// Unix time when the clock started.
@@ -47,7 +47,7 @@
     pub(super) clock: Clock,
     /// Customers, their quotas and their demand.
     pub(super) scenario: Scenario,
-    /// Record of all requests, and the check of the invariants on it.
+    /// Records of all requests, on which the invariants are checked.
     pub(super) checker: RefCell<SocketInvariantChecker>,
     /// Simulated servers, by index.
     pub(super) servers: Vec<Server>,
--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -1,6 +1,6 @@
-//! A hollow node: the decision library with the lab in place of its sockets. It exchanges requests
-//! and attempts with clients and servers by function calls, and messages with other nodes,
-//! including real nodes, by datagrams.
+//! A hollow node: the decision library without a process of its own. A hollow node exchanges
+//! requests with clients and attempts with servers by function calls, and messages with other
+//! nodes, including real nodes, by datagrams.
 
 use super::customers::PlannedRequest;
 use super::environment::Environment;
@@ -138,13 +138,14 @@
                     node.handle_event(Event::TimerFired { token });
                 });
             }
-            // The node watches the list from its start on, and the lab shows no warnings.
+            // A hollow node watches the list from its start on, and its warnings are not shown.
             Action::WatchEndpoints | Action::Warn(_) => {}
         }
     }
 
-    /// Gives a request its final answer. A second answer would not reach the client, which already
-    /// has the first one, so every answer is recorded for the invariant checker.
+    /// Records a final answer with the invariant checker, and sends it to the client. A second
+    /// answer cannot reach the client, which has stopped waiting, but is recorded as well, so that
+    /// the invariant checker detects it.
     fn answer(&self, id: &RequestId, answer: FinalAnswer) {
         let now = self.environment.clock.now();
         self.environment
@@ -218,8 +219,8 @@
         Some(attempt)
     }
 
-    /// Sends an attempt to a server and returns its reply; `None` if the server or the request is
-    /// unknown.
+    /// Sends an attempt to a server and returns the server's reply; `None` if the server or the
+    /// request is unknown.
     async fn call_server(&self, id: &RequestId, server: ServerId) -> Option<AttemptReply> {
         let environment = &self.environment;
         let server = environment
--- a/crates/fleet-lab/src/hybrid/invariant_checker.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_checker.rs
@@ -1,11 +1,11 @@
-//! The invariant checker for runs over sockets: it records all requests and checks the invariants
-//! on the records. It has no input, no output and no clock.
+//! The invariant checker for runs over sockets, which records all requests and checks the
+//! invariants on the records. It performs no I/O and has no clock: callers pass in the time.
 //!
 //! Requests, usage limits and drains are recorded by the types of `world`, as in the simulation.
 //! The checks differ from those of [`crate::world::invariant_checker`], because less can be
-//! observed over sockets: attempts are seen only where they arrive and run, a request stays open
-//! when its client gives up, and neither the attempt outcomes that gateways learn nor the load of
-//! starting servers is seen.
+//! observed over sockets: an attempt is observed only when it arrives at a server and when the
+//! server accepts it, a request stays open when its client gives up, and neither the attempt
+//! outcomes that gateways learn nor the load of starting servers can be observed.
 
 use super::invariant_result::InvariantResult;
 use super::observed_request::{ObservedRequest, ReceivedAnswer, SentRequest};
@@ -18,31 +18,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after the client's timeout by which a final answer has to arrive: half a second plus
-/// [`SOCKET_TOLERANCE`]. The simulation allows far less, because its clock stands still while a
-/// gateway computes.
+/// Time after the client's timeout within which a final answer is still in time: half a second plus
+/// [`SOCKET_TOLERANCE`]. The simulation allows far less, because simulated time does not advance
+/// while a gateway computes.
 pub const ANSWER_GRACE: Duration = Duration::from_millis(550);
-/// Time by which every time limit is longer over sockets than in the simulation.
+/// Time that is added to the drain grace, and included in [`ANSWER_GRACE`], for delays that do not
+/// occur in the simulation.
 pub const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// The record of all requests of one run, and the check of the invariants on it.
+/// Records of all requests of one run, on which the invariants are checked.
 #[derive(Debug)]
 pub struct SocketInvariantChecker {
+    /// Time at which the tolerance of quotas begins to grow.
     started_at: Timestamp,
     drain_grace: DrainGrace,
     quotas: HashMap<CustomerId, QuotaUsage>,
     requests: HashMap<Arc<str>, ObservedRequest>,
     /// Servers that each node knows to be draining or gone.
     draining: HashMap<GatewayId, DrainingServers>,
+    /// Number of times that a node learned that a server is draining or gone.
     drains_received: u64,
+    /// Number of attempts to servers that the sending node knew to be draining or gone.
     attempts_while_draining: u64,
+    /// Number of those attempts that arrived after the drain grace.
     attempts_after_grace: u64,
+    /// Number of attempts and answers whose request no client sent.
     unknown_requests: u64,
     forged_answers: u64,
 }
 
 impl SocketInvariantChecker {
-    /// Creates a checker without records for customers with the given quotas.
+    /// Creates a checker that has recorded nothing; `quotas` holds the quota of each customer.
     pub fn new(
         now: Timestamp,
         drain_grace: Duration,
@@ -63,13 +69,13 @@
         }
     }
 
-    /// Marks the time at which the first clients arrive: from then on, the tolerance of quotas
-    /// grows.
+    /// Sets the time at which clients begin to send requests. The tolerance of quotas grows from
+    /// that time.
     pub fn start(&mut self, now: Timestamp) {
         self.started_at = now;
     }
 
-    /// Records that a client has sent a request. Ids must not be reused.
+    /// Records that a client has sent a request. The id must not belong to an earlier request.
     pub fn request_sent(&mut self, now: Timestamp, id: Arc<str>, request: SentRequest) {
         let record = RequestRecord::new(now, request);
         self.requests.insert(
@@ -113,14 +119,16 @@
         }
     }
 
-    /// Records that an attempt has started to run at its server.
+    /// Records that a server has accepted an attempt. The attempt counts as executed from then on,
+    /// even if it is queued first.
     pub fn execution_started(&mut self, id: &str) {
         if let Some(observed) = self.requests.get_mut(id) {
             observed.record.execution_started();
         }
     }
 
-    /// Records an answer to a request.
+    /// Records an answer to a request. An answer to an unknown request, a late or further answer,
+    /// and a forged answer are violations.
     pub fn answered(&mut self, now: Timestamp, id: &str, answer: ReceivedAnswer) {
         let Some(observed) = self.requests.get_mut(id) else {
             self.unknown_requests += 1;
@@ -148,7 +156,8 @@
         self.drains_received += u64::from(is_new_drain);
     }
 
-    /// Checks all invariants; to be called after all requests have ended.
+    /// Checks all invariants. A request that is still open counts as one without a final answer, so
+    /// this is to be called after all requests have ended.
     pub fn check(&self) -> Vec<InvariantResult> {
         vec![
             self.check_quotas(),
--- a/crates/fleet-lab/src/hybrid/invariant_result.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_result.rs
@@ -4,8 +4,9 @@
 use std::fmt;
 
 /// The result of checking one invariant. The simulation has
-/// [`Violations`](crate::world::invariant::Violations) instead, which hold times: the simulation
-/// checks at each event, whereas here some violations are known only at the end of the run.
+/// [`Violations`](crate::world::invariant::Violations) instead, with the times of violations: the
+/// simulation checks at each event, whereas over sockets some violations are known only at the end
+/// of the run.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct InvariantResult {
     /// Statement of the invariant, as the report prints it.
--- a/crates/fleet-lab/src/hybrid/load.rs
+++ b/crates/fleet-lab/src/hybrid/load.rs
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Adds the resources that a node has used between two measurements.
+    /// Adds the resources that a node has used between two measurements. Datagrams that are too
+    /// long are counted from the start of the node instead.
     fn add_usage(&mut self, node: &Node, before: &NodeUsage, after: &NodeUsage) {
         let totals = self.of(node);
         totals.cost_us += after.cost.saturating_sub(before.cost).as_secs_f64() * MICROS_PER_SECOND;
--- a/crates/fleet-lab/src/hybrid/node_settings.rs
+++ b/crates/fleet-lab/src/hybrid/node_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the nodes in the JSON of the deployment.
+//! Settings of the real and hollow nodes, in the JSON format that a deployment uses.
 
 use super::customers::{CLASSES, MAX_UNITS, PLANS};
 use super::plan_quotas::{PlanQuotas, ACCEPTED_MESSAGES_PER_SECOND};
@@ -8,10 +8,11 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Latency objective of all classes.
+/// Latency objective of each class.
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(1);
 
-/// Returns the settings of one node of a fleet.
+/// Returns the settings of the node `node` in a fleet of `fleet_size` nodes. The nodes differ only
+/// in their number.
 pub(super) fn node_settings(
     quotas: &PlanQuotas,
     fleet_size: u32,
--- a/crates/fleet-lab/src/hybrid/observed_request.rs
+++ b/crates/fleet-lab/src/hybrid/observed_request.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 /// A request as a client sends it over a socket. The simulation has another type,
-/// [`ClientRequest`](crate::world::client_request::ClientRequest), which also says what the client
-/// will do, because the simulation decides that beforehand, and which identifies the customer by
-/// index.
+/// [`ClientRequest`](crate::world::client_request::ClientRequest). That type identifies the
+/// customer by index, and also holds what the simulation draws in advance, such as the time at
+/// which the client disconnects.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
     /// Node at which the request arrives.
@@ -28,8 +28,8 @@
 pub enum ReceivedAnswer {
     /// A final answer to this request.
     Genuine(FinalAnswer),
-    /// A success response whose body no server produced for this request. Answers have no content
-    /// in the simulation, so this is checked only here.
+    /// A success response whose body no server produced for this request. Answers in the simulation
+    /// have no content, so only `hybrid` checks this.
     Forged,
 }
 
@@ -39,7 +39,7 @@
 pub(super) struct ObservedRequest {
     /// Record of the request, its attempts, executions and answers.
     pub(super) record: RequestRecord<SentRequest, ServerId>,
-    /// Whether an answer was late. The simulation closes a request by an event when its answer is
-    /// overdue; here nothing closes it, so an answer may still arrive.
+    /// Whether an answer was late. The simulation closes a request by an event when the answer is
+    /// overdue. Over sockets, an overdue request stays open, so a late answer may still arrive.
     pub(super) is_late: bool,
 }
--- a/crates/fleet-lab/src/hybrid/plan_quotas.rs
+++ b/crates/fleet-lab/src/hybrid/plan_quotas.rs
@@ -21,7 +21,7 @@
 /// Minimum interval between two broadcasts of usage counts, in seconds; the same value as in the
 /// decision library.
 const MIN_BROADCAST_INTERVAL_SECONDS: f64 = 0.2;
-/// Minimum interval between broadcasts of usage counts from which on quotas have owners, in
+/// Interval between two broadcasts of usage counts at and above which quotas have owners, in
 /// seconds; the same value as in the decision library.
 const MIN_LEASES_BROADCAST_INTERVAL_SECONDS: f64 = 0.5;
 /// Number of owners of a quota in a large fleet, not counting the standby owner.
--- a/crates/fleet-lab/src/hybrid/servers.rs
+++ b/crates/fleet-lab/src/hybrid/servers.rs
@@ -2,8 +2,8 @@
 //! HTTP; both share one queue.
 //!
 //! These servers run in real time as futures: dropping a future cancels its attempt, and a
-//! semaphore is the queue. The servers of `world` are state machines that announce when they are
-//! done, and they have a warm-up and crashes, which `hybrid` does not have.
+//! semaphore is the queue. The servers of `world` are state machines that return the time at which
+//! each execution is done, and they simulate warm-up and crashes, which `hybrid` does not.
 
 use super::invariant_checker::SocketInvariantChecker;
 use super::scenario::{MEAN_WORK_US, SERVER_COUNT, WORK_DEVIATION_FRACTION};
@@ -98,8 +98,9 @@
         self.mode.set(mode);
     }
 
-    /// Handles an attempt until its end. A caller that no longer waits drops the future, which
-    /// cancels the attempt.
+    /// Handles an attempt until its end. An accepted attempt is recorded as executed at once,
+    /// before it has a slot. A caller that no longer waits drops the future, which cancels the
+    /// attempt.
     pub(super) async fn handle_attempt(
         &self,
         checker: &RefCell<SocketInvariantChecker>,
