--- a/crates/fleet-lab/src/scaling/cost.rs
+++ b/crates/fleet-lab/src/scaling/cost.rs
@@ -1,21 +1,21 @@
-//! The cost of a gateway's work, and its measurement.
+//! The cost of the events that a gateway handles, and the measurement of that cost.
 
 use cpu_time::ThreadTime;
 use gateway_core::{Action, Event, Gateway, Timestamp};
 use stats_alloc::INSTRUMENTED_SYSTEM;
 
-/// Cost of some work of a gateway.
+/// Resources that a gateway has used to handle one or more events.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Cost {
-    /// Processor time of this thread, in µs.
+    /// Processor time of the measuring thread, in µs.
     pub(super) cpu_time_us: f64,
     /// Number of allocations.
     pub(super) allocations: u64,
-    /// Number of entries of the list of servers that the gateway visited.
+    /// Number of visits to entries of the gateway's list of servers.
     pub(super) visited: u64,
-    /// Number of messages sent, one for each receiver.
+    /// Number of messages sent, counted once per receiver.
     pub(super) messages: u64,
-    /// Bytes of all messages sent, without headers.
+    /// Bytes of all messages sent, without headers, counted once per receiver.
     pub(super) bytes: u64,
     /// Length of the longest message in bytes.
     pub(super) longest_message: u64,
@@ -24,7 +24,7 @@
 }
 
 impl Cost {
-    /// Adds another cost to this one.
+    /// Adds another cost to this cost. The longest message is the longest of both.
     pub(super) fn add(&mut self, other: Cost) {
         self.cpu_time_us += other.cpu_time_us;
         self.allocations += other.allocations;
@@ -35,7 +35,7 @@
         self.events += other.events;
     }
 
-    /// Adds a message that is sent to the given number of gateways.
+    /// Adds the cost of a message that is sent to `receivers` gateways.
     pub(super) fn add_message(&mut self, receivers: u64, bytes: &[u8]) {
         let length = bytes.len() as u64;
         self.messages += receivers;
@@ -44,8 +44,8 @@
     }
 }
 
-/// Passes an event to a gateway at the time `now`, and measures the cost. The messages among the
-/// resulting actions are not counted yet.
+/// Passes an event to a gateway at the time `now`, and returns the cost. The cost does not include
+/// the messages among the resulting actions; [`Cost::add_message`] adds them.
 pub(super) fn measure_event(
     gateway: &mut Gateway,
     now: Timestamp,
@@ -67,8 +67,9 @@
     }
 }
 
-/// Returns the bytes that the whole process has allocated and not freed: between two calls, only
-/// the gateway that is measured may allocate.
+/// Returns the number of bytes that the whole process has allocated and not freed. The difference
+/// between two calls is the memory of the measured gateway only if nothing else allocates
+/// meanwhile.
 pub(super) fn live_bytes() -> u64 {
     let stats = INSTRUMENTED_SYSTEM.stats();
     stats
@@ -76,8 +77,8 @@
         .saturating_sub(stats.bytes_deallocated) as u64
 }
 
-/// Returns whether this program counts its allocations; only a program with the counting allocator
-/// does.
+/// Returns whether this program counts its allocations, which requires that the counting allocator
+/// is its global allocator.
 pub(super) fn is_counting_allocations() -> bool {
     let before = INSTRUMENTED_SYSTEM.stats().allocations;
     drop(std::hint::black_box(Box::new(0u64)));
--- a/crates/fleet-lab/src/scaling/gateway_pair/mod.rs
+++ b/crates/fleet-lab/src/scaling/gateway_pair/mod.rs
@@ -1,6 +1,6 @@
 //! Two gateways of one fleet, each of which owns the quotas of the other's customers, with servers
-//! that answer immediately. The first gateway is measured; the second is its peer and has the same
-//! list of servers, information and request rate.
+//! that answer immediately. The first gateway is measured; the second gateway is its peer, with the
+//! same list of servers and the same request rate.
 
 mod member;
 mod preparation;
@@ -161,7 +161,7 @@
     }
 
     /// Advances the time to `until` and fires the timers that are due by then. The first gateway's
-    /// own cost of these timers is not counted, as it is not part of a request.
+    /// own cost of these timers is not counted, because the timers are not part of a request.
     pub(super) fn advance(&mut self, until: Timestamp) {
         while let Some(member) = self
             .members
@@ -206,8 +206,8 @@
             .own
     }
 
-    /// Draws a server and changes its state: a ready server starts to drain, any other becomes
-    /// ready. Returns its new entry of the list.
+    /// Draws a server and changes its state: a ready server starts to drain, any other server
+    /// becomes ready. Returns the server's new entry of the list.
     pub(super) fn change_endpoint(&mut self) -> Endpoint {
         let index = self.rng.random_range(0..self.endpoints.len());
         let endpoint = &mut self.endpoints[index];
--- a/crates/fleet-lab/src/scaling/measure/work.rs
+++ b/crates/fleet-lab/src/scaling/measure/work.rs
@@ -27,8 +27,8 @@
     Ok(message_figures(pair.take_costs().own, REQUESTS))
 }
 
-/// Measures a message of a peer other than a lease grant: a lease request, which is answered, or,
-/// in a small fleet, usage counts.
+/// Measures a message from the peer that is not a lease grant: a lease request, which is answered,
+/// or, in a small fleet, usage counts.
 pub(super) fn measure_datagram(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
     let mut pair = GatewayPair::new(seed, sizes)?;
     for _ in 0..REQUESTS {
@@ -65,8 +65,8 @@
 
 /// Measures a timer between two control ticks while requests are open.
 pub(super) fn measure_timer(seed: u64, sizes: FleetSizes) -> Result<Vec<Figure>> {
-    // One more request stays open than in the other measurements, where the measured request is
-    // open too: no request arrives here.
+    // In the other measurements, the measured request is one of the open requests. No request
+    // arrives here, so one more request has to stay open.
     let sizes = FleetSizes {
         open_requests: sizes.open_requests + 1,
         ..sizes
