--- a/crates/fleet-lab/tests/hybrid.rs
+++ b/crates/fleet-lab/tests/hybrid.rs
@@ -1,4 +1,5 @@
-//! `fleet-lab hybrid`: its invariants on scripted requests, and short runs with the edge node's real program.
+//! Tests of `fleet-lab hybrid`: the invariant checker on scripted requests, the comparison of
+//! figures, and short runs with the edge node's real program.
 
 #[path = "hybrid/invariant_checker.rs"]
 mod invariant_checker;
--- a/crates/fleet-lab/tests/hybrid/invariant_checker.rs
+++ b/crates/fleet-lab/tests/hybrid/invariant_checker.rs
@@ -1,4 +1,4 @@
-//! The invariant checks on scripted requests.
+//! Tests of the invariant checker for runs over sockets, on scripted requests.
 
 use fleet_lab::hybrid::invariant_checker::{
     SocketInvariantChecker, ANSWER_GRACE, SOCKET_TOLERANCE,
@@ -15,7 +15,7 @@
 const MICROSECOND: Duration = Duration::from_micros(1);
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// Time at which checkers are created and most requests are sent.
+/// Time at which each checker is created and most requests are sent.
 const START: Timestamp = Timestamp::EPOCH;
 const FAILED: ReceivedAnswer = ReceivedAnswer::Genuine(FinalAnswer::Failed);
 
@@ -38,6 +38,7 @@
     )
 }
 
+/// Records that a client of [`CUSTOMER`] has sent a non-idempotent request to a node.
 fn record_sent_request(
     checker: &mut SocketInvariantChecker,
     now: Timestamp,
@@ -55,14 +56,16 @@
     checker.request_sent(now, id.into(), request);
 }
 
-fn violations(checker: &SocketInvariantChecker, invariant: &str) -> u64 {
-    result_of(checker, invariant).violations
+/// Returns the number of violations of the invariant whose statement contains `statement_part`.
+fn violations(checker: &SocketInvariantChecker, statement_part: &str) -> u64 {
+    result_of(checker, statement_part).violations
 }
 
-fn result_of(checker: &SocketInvariantChecker, invariant: &str) -> InvariantResult {
+/// Returns the result for the invariant whose statement contains `statement_part`.
+fn result_of(checker: &SocketInvariantChecker, statement_part: &str) -> InvariantResult {
     let mut results = checker.check().into_iter();
-    let result = results.find(|result| result.invariant.contains(invariant));
-    result.unwrap_or_else(|| panic!("no result for an invariant on {invariant}"))
+    let result = results.find(|result| result.invariant.contains(statement_part));
+    result.unwrap_or_else(|| panic!("no invariant whose statement contains {statement_part:?}"))
 }
 
 #[test]
@@ -72,14 +75,14 @@
         let id = number.to_string();
         record_sent_request(&mut checker, START, &id, node, 5.0);
         checker.attempt_arrived(START, &id, SERVER);
-        // A further attempt of the same request consumes nothing.
+        // A second attempt of the same request consumes no units.
         checker.attempt_arrived(START, &id, SERVER);
     }
     assert_eq!(result_of(&checker, "quotas").checked, 1);
     assert_eq!(
         violations(&checker, "quotas"),
         0,
-        "the burst and the tolerance may be used"
+        "the burst plus the tolerance is permitted"
     );
     let refilled = START + Duration::from_millis(100);
     record_sent_request(&mut checker, refilled, "filled", 1, 1.0);
@@ -87,7 +90,7 @@
     assert_eq!(
         violations(&checker, "quotas"),
         0,
-        "refilled units may be used"
+        "units that were refilled since are permitted"
     );
     record_sent_request(&mut checker, refilled, "over", 0, 0.5);
     assert_eq!(
@@ -114,12 +117,12 @@
 #[test]
 fn missing_repeated_and_late_answers_are_violations() {
     let mut checker = new_checker();
-    let last_timely = START + TIMEOUT + ANSWER_GRACE;
+    let latest_in_time = START + TIMEOUT + ANSWER_GRACE;
     for (id, answers) in [
-        ("one", &[last_timely][..]),
+        ("one", &[latest_in_time][..]),
         ("none", &[]),
         ("two", &[START + MICROSECOND, START + 2 * MICROSECOND]),
-        ("late", &[last_timely + MICROSECOND]),
+        ("late", &[latest_in_time + MICROSECOND]),
     ] {
         record_sent_request(&mut checker, START, id, 0, 1.0);
         for at in answers {
@@ -154,7 +157,7 @@
         SERVER,
         EndpointState::Draining,
     );
-    // The grace period starts when the node first receives the state.
+    // The drain grace starts when the node first learns that the server is draining.
     checker.endpoint_received(
         START + 2_000 * MICROSECOND,
         GatewayId(0),
--- a/crates/fleet-lab/tests/hybrid/report.rs
+++ b/crates/fleet-lab/tests/hybrid/report.rs
@@ -1,4 +1,4 @@
-//! The comparison of real and hollow nodes.
+//! Tests of the comparison of real and hollow nodes.
 
 use fleet_lab::hybrid::node_totals::NodeTotals;
 use fleet_lab::hybrid::observed_request::ReceivedAnswer;
--- a/crates/fleet-lab/tests/hybrid/runs.rs
+++ b/crates/fleet-lab/tests/hybrid/runs.rs
@@ -1,4 +1,4 @@
-//! Short runs with the edge node's real program.
+//! Tests of short runs with the edge node's real program.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -30,7 +30,7 @@
         .expect("fleet-lab should start")
 }
 
-/// Makes a short run, checks that its exit status agrees with its report, and returns the report.
+/// Makes a short run, asserts that the exit status agrees with the report, and returns the report.
 fn run_briefly(arguments: &[&str]) -> serde_json::Value {
     let report_file = tempfile::NamedTempFile::new().expect("temporary file should be created");
     let path = report_file.path().to_str().expect("path should be UTF-8");
@@ -84,8 +84,8 @@
         .all(|count| count.as_u64() > Some(0)));
 }
 
-/// Asserts that the counts agree. Waits are not compared, because they depend on the machine that
-/// the test runs on.
+/// Asserts that the counts of both kinds of nodes agree. Waits are not compared, because they
+/// depend on the machine that the test runs on.
 fn assert_counts_agree(report: &serde_json::Value) {
     let rows = report["rows"]
         .as_array()
--- a/crates/fleet-lab/tests/simulate/defective_module.rs
+++ b/crates/fleet-lab/tests/simulate/defective_module.rs
@@ -11,6 +11,7 @@
 /// The way in which a gateway violates an invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Defect {
+    /// No violation.
     None,
     /// Sends attempts to draining servers, more than 600 ms after the gateway learned of the drain.
     SendToDrained,
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Returns an attempt that replaces a rejection.
+    /// Returns an attempt that replaces a rejection, and records the request as sent.
     fn send_rejected(&mut self, now: Timestamp, id: RequestId) -> Action {
         let ready: Vec<_> = self.ready_servers().collect();
         let server = ready[now.as_micros() as usize % ready.len()];
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Returns the same attempt at another server, if the request is not idempotent.
+    /// Returns the same attempt at another ready server, if the request is non-idempotent.
     fn second_attempt(&self, attempt: &Action) -> Option<Action> {
         let Action::SendAttempt {
             id,
--- a/crates/fleet-lab/tests/world/clients.rs
+++ b/crates/fleet-lab/tests/world/clients.rs
@@ -35,8 +35,8 @@
             assert!(elsewhere != Some(to));
         }
     }
-    // The demand within the quotas is 400 requests per second; the demand beyond the quotas adds to
-    // it.
+    // The demand within the quotas is 400 requests per second; demand beyond the quotas adds to
+    // this rate.
     let rate = f64::from(requests) / seconds as f64;
     assert!(rate > demand && rate < 3.0 * demand, "{rate}");
     assert!(
--- a/crates/fleet-lab/tests/world/servers.rs
+++ b/crates/fleet-lab/tests/world/servers.rs
@@ -1,4 +1,5 @@
-//! Tests of servers: cores, queue, hangs, slowness, and the crash of an overloaded cold server.
+//! Tests of simulated servers: cores, queue, hangs, slowness, and the crash of an overloaded cold
+//! server.
 
 use crate::common::{endpoint, MICROSECOND, MILLISECOND, SECOND};
 use fleet_lab::world::machine::Machine;
@@ -15,7 +16,8 @@
     overload_window: Duration::from_secs(2),
 };
 
-/// Returns the hardware of the server: two cores, on each of which a request takes 100 ms.
+/// Returns the hardware of the server: two cores, on each of which a request takes 100 ms, and ten
+/// slots for requests that run or are queued. Load reports expire after at most 2 µs.
 fn machine() -> Machine {
     Machine {
         cores: 2,
@@ -25,6 +27,7 @@
     }
 }
 
+/// Returns the first attempt of a request, which never expires and takes 100 ms on a warm core.
 fn job(request: u64, is_start_known: bool) -> Job {
     Job {
         request: RequestNumber(request),
@@ -36,16 +39,17 @@
     }
 }
 
-fn server(started: Option<Timestamp>) -> Server {
+/// Creates a server that started cold at `started_at`, or a warm server without a start time.
+fn server(started_at: Option<Timestamp>) -> Server {
     Server::new(
         &mut random_stream(1, 1),
-        endpoint(1, started),
+        endpoint(1, started_at),
         machine(),
         RULES,
     )
 }
 
-/// Result of an attempt that finished at the server.
+/// Result of an attempt that has ended at the server.
 #[derive(Debug, PartialEq)]
 struct FinishedAttempt {
     request: RequestNumber,
@@ -63,7 +67,7 @@
     }
 }
 
-/// Returns the results of the attempts that finished.
+/// Returns the results of all attempts that have ended, in the order of the events.
 fn finished_attempts(events: &[ServerEvent]) -> Vec<FinishedAttempt> {
     let finished_attempt = |event: &ServerEvent| match event {
         ServerEvent::Finished {
@@ -93,7 +97,7 @@
     }
 }
 
-/// Returns the executions that started or were delayed.
+/// Returns all executions that started or were delayed, in the order of the events.
 fn due_executions(events: &[ServerEvent]) -> Vec<DueExecution> {
     let due_execution = |event: &ServerEvent| match event {
         ServerEvent::Started {
@@ -173,8 +177,9 @@
 
 #[test]
 fn cold_server_is_slower_and_crashes_one_call_beyond_budget() {
-    // A warm server completes 20 requests per second and this cold one 5. Twice that for 2 s allows
-    // 20 calls; with twice the square root of 20, and 2, the budget is 30.9 calls.
+    // A warm server completes 20 requests per second, and a cold server 5 at its start. The
+    // overload multiple of 2 and the window of 2 s allow 2 * 5 * 2 = 20 calls, so that the budget
+    // is 20 + 2 * sqrt(20) + 2 = 30.94 calls.
     let (mut server, mut events) = (server(Some(START)), Vec::new());
     server.arrive(START, job(0, false), &mut events);
     assert_eq!(
@@ -198,7 +203,8 @@
         (load.start_known_fraction - 25.0 / 31.0).abs() < 1e-9,
         "{load:?}"
     );
-    // The connections of all attempts at the server are lost, and it accepts no further attempts.
+    // Ten attempts in flight and the attempt that caused the crash lose their connection, and the
+    // server accepts no further attempts.
     assert_eq!(
         finished_attempts(&events)
             .iter()
