--- a/crates/edge-node/src/config/file/parse_toml.rs
+++ b/crates/edge-node/src/config/file/parse_toml.rs
@@ -1,4 +1,4 @@
-//! Parser of operators' TOML.
+//! Parser for operators' TOML.
 
 use super::line_index::LineIndex;
 use super::{ConfigItem, ConfigValue};
@@ -7,10 +7,10 @@
 use toml::de::{DeFloat, DeInteger, DeTable, DeValue, Error};
 use toml::Spanned;
 
-/// Parses a text in TOML.
+/// Parses TOML text into a tree whose items have line numbers.
 ///
 /// # Errors
-/// Returns all syntax errors.
+/// Returns all syntax errors, each with its line if the parser reports a position.
 pub(super) fn parse(text: &str) -> Result<ConfigItem, Vec<Diagnostic>> {
     let lines = LineIndex::new(text);
     let (root, errors) = DeTable::parse_recoverable(text);
@@ -22,7 +22,7 @@
     }
     Ok(ConfigItem {
         line: 1,
-        value: table(&lines, root.get_ref()),
+        value: table_value(&lines, root.get_ref()),
     })
 }
 
@@ -34,45 +34,47 @@
     }
 }
 
-fn table(lines: &LineIndex, table: &DeTable<'_>) -> ConfigValue {
+fn table_value(lines: &LineIndex, table: &DeTable<'_>) -> ConfigValue {
     let entry = |(name, value): (&Spanned<Cow<'_, str>>, &Spanned<DeValue<'_>>)| {
         let line = lines.line_at(name.span().start);
         let item = ConfigItem {
             line,
-            value: convert(lines, value.get_ref()),
+            value: config_value(lines, value.get_ref()),
         };
         (name.get_ref().to_string(), item)
     };
     ConfigValue::Table(table.iter().map(entry).collect())
 }
 
-fn list(lines: &LineIndex, items: &[Spanned<DeValue<'_>>]) -> ConfigValue {
+fn list_value(lines: &LineIndex, items: &[Spanned<DeValue<'_>>]) -> ConfigValue {
     let item = |item: &Spanned<DeValue<'_>>| ConfigItem {
         line: lines.line_at(item.span().start),
-        value: convert(lines, item.get_ref()),
+        value: config_value(lines, item.get_ref()),
     };
     ConfigValue::List(items.iter().map(item).collect())
 }
 
-fn convert(lines: &LineIndex, value: &DeValue<'_>) -> ConfigValue {
+fn config_value(lines: &LineIndex, value: &DeValue<'_>) -> ConfigValue {
     match value {
         DeValue::String(text) => ConfigValue::String(text.to_string()),
-        DeValue::Integer(number) => integer(number),
-        DeValue::Float(number) => float(number),
+        DeValue::Integer(number) => integer_value(number),
+        DeValue::Float(number) => float_value(number),
         DeValue::Boolean(boolean) => ConfigValue::Boolean(*boolean),
         DeValue::Datetime(_) => ConfigValue::Unsupported,
-        DeValue::Array(items) => list(lines, items),
-        DeValue::Table(entries) => table(lines, entries),
+        DeValue::Array(items) => list_value(lines, items),
+        DeValue::Table(entries) => table_value(lines, entries),
     }
 }
 
-fn integer(number: &DeInteger<'_>) -> ConfigValue {
+/// Converts an integer, which may have underscores between its digits.
+fn integer_value(number: &DeInteger<'_>) -> ConfigValue {
     let digits = number.as_str().replace('_', "");
     i128::from_str_radix(&digits, number.radix())
         .map_or(ConfigValue::Unsupported, ConfigValue::Integer)
 }
 
-fn float(number: &DeFloat<'_>) -> ConfigValue {
+/// Converts a float, which may have underscores between its digits.
+fn float_value(number: &DeFloat<'_>) -> ConfigValue {
     let digits = number.as_str().replace('_', "");
     digits
         .parse()
--- a/crates/edge-node/src/config/schema/markdown.rs
+++ b/crates/edge-node/src/config/schema/markdown.rs
@@ -1,5 +1,5 @@
-//! The table of all keys in Markdown, which `edge-node keys` prints and docs/CONFIGURATION.md
-//! contains.
+//! The Markdown table of all configuration keys, which `edge-node keys` prints and
+//! docs/CONFIGURATION.md contains.
 
 use super::keys::all_keys;
 use super::spec::{DefaultValue, KeySpec, OnReload, ValueType};
@@ -8,13 +8,13 @@
 const HEADER: &str = "| key | description | type | default | at SIGHUP | platform's JSON |\n\
                       | --- | --- | --- | --- | --- | --- |\n";
 
-/// Returns a Markdown table with one row for each key.
+/// Returns a Markdown table with one row for each key, in the order of docs/CONFIGURATION.md.
 pub fn markdown_table() -> String {
-    let rows = all_keys().map(row);
+    let rows = all_keys().map(table_row);
     std::iter::once(HEADER.to_owned()).chain(rows).collect()
 }
 
-fn row(key: &KeySpec) -> String {
+fn table_row(key: &KeySpec) -> String {
     let KeySpec {
         toml_path,
         description,
