--- a/crates/edge-node/src/config/schema/validate/relations.rs
+++ b/crates/edge-node/src/config/schema/validate/relations.rs
@@ -1,4 +1,4 @@
-//! Checks constraints between several keys.
+//! Checks the constraints that involve more than one key.
 
 use super::problem::Problem;
 use super::Validator;
@@ -14,8 +14,8 @@
 const REPEAT_WITH_IDEMPOTENCY_KEY: &str = "idempotency_key";
 
 impl<'a> Validator<'a> {
-    /// Reports keys whose values contradict each other. Two of the checks apply to operators' TOML
-    /// only.
+    /// Reports every violation of a constraint that involves more than one key. Unique names and
+    /// the number of peer addresses are required in operators' TOML only.
     pub(super) fn check_relations(&mut self) {
         self.check_gateway_number();
         self.check_zone();
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Checks that the zone of this edge node is on the list of zones, unless that list is empty.
+    /// Checks that the list of zones contains the zone of this edge node, unless the list is empty
+    /// or missing. If there is a list, a missing zone is reported, too.
     fn check_zone(&mut self) {
         let zones = self
             .locate_key("fleet.zones")
@@ -62,20 +63,20 @@
         }
     }
 
-    /// Checks that each class with idempotency keys has a deduplication scope.
+    /// Checks that each keyed class has a deduplication scope.
     fn check_idempotency_scopes(&mut self) {
-        let scope = match self.format {
+        let scope_key = match self.format {
             ConfigFormat::Toml => "idempotency_scope",
             ConfigFormat::PlatformJson => "group",
         };
         for (index, class) in self.list_items(CLASS_LIST).into_iter().enumerate() {
-            let has_keys = class.get(REPEAT_KEY).and_then(ConfigItem::as_str)
+            let is_keyed = class.get(REPEAT_KEY).and_then(ConfigItem::as_str)
                 == Some(REPEAT_WITH_IDEMPOTENCY_KEY);
             let has_scope = class
-                .get(scope)
+                .get(scope_key)
                 .is_some_and(|item| !matches!(item.value, ConfigValue::Null));
-            if has_keys && !has_scope {
-                let path = format!("{}[{index}].{scope}", CLASS_LIST.path(self.format));
+            if is_keyed && !has_scope {
+                let path = format!("{}[{index}].{scope_key}", CLASS_LIST.path(self.format));
                 self.report(Some(class.line), &path, Problem::MissingScope);
             }
         }
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Checks that there is one address for each edge node if this edge node receives datagrams.
+    /// Checks that `peers.addresses` has one address for each edge node if `peers.listen` is set.
     fn check_peer_addresses(&mut self) {
         let listens = self
             .locate_key("peers.listen")
@@ -136,13 +137,14 @@
         self.locate_key("fleet.gateways")?.item?.as_integer()
     }
 
-    /// Returns the location of a key outside lists, by its path in operators' TOML.
+    /// Returns the location of the key that has this path in operators' TOML. The key must not be
+    /// within a list.
     fn locate_key(&self, toml_path: &str) -> Option<Location<'a>> {
         let key = all_keys().find(|key| key.toml_path == toml_path)?;
         self.locate(key.path(self.format)).into_iter().next()
     }
 
-    /// Returns the items of a list; none if it is missing or not a list.
+    /// Returns the items of the list at these paths; empty if there is no list.
     fn list_items(&self, list: ListPaths) -> Vec<&'a ConfigItem> {
         let location = self.locate(list.path(self.format)).into_iter().next();
         match location
