--- a/crates/edge-node/src/upstream/body_budget.rs
+++ b/crates/edge-node/src/upstream/body_budget.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Maximum size of a body, in either direction, that is accepted without a reservation.
+/// Maximum size of a small body, in either direction. Small bodies do not count against the budget.
 pub(super) const MAX_SMALL_BODY_BYTES: usize = 64 * 1024;
-/// Maximum size of a body that is accepted while the budget allows it. A body without an upper
-/// bound could otherwise use up the memory limit of the process.
+/// Maximum size of a large body, which is accepted only if the budget has enough bytes left.
+/// Without this limit, a single body could use up the memory limit of the process.
 pub(super) const MAX_LARGE_BODY_BYTES: usize = 1024 * 1024;
 
 /// Memory budget for all large bodies together. A single large body is small compared with the
@@ -26,12 +26,13 @@
         }
     }
 
-    /// Reserves memory for a body with a declared size of at least `declared` bytes. Only large
-    /// bodies count against the budget.
+    /// Reserves memory for a body whose `Content-Length` is `declared` bytes; 0 for a body without
+    /// this header. Only large bodies count against the budget.
     ///
     /// # Errors
-    /// Returns [`BodyBudgetError::TooLarge`] if no body of that size is ever accepted, and
-    /// [`BodyBudgetError::Exhausted`] if too little of the budget is left at the moment.
+    /// Returns [`BodyBudgetError::TooLarge`] if `declared` exceeds [`MAX_LARGE_BODY_BYTES`], and
+    /// [`BodyBudgetError::Exhausted`] if the body is large and the budget has fewer than `declared`
+    /// bytes left.
     pub(crate) fn reserve(&self, declared: u64) -> Result<BodyReservation, BodyBudgetError> {
         let size = usize::try_from(declared)
             .ok()
@@ -62,12 +63,13 @@
     available: Rc<Cell<usize>>,
     /// Bytes reserved from the budget; 0 for a small body.
     reserved: usize,
+    /// Maximum number of bytes that may be read.
     max_bytes: usize,
 }
 
 impl BodyReservation {
-    /// Returns the number of bytes up to which the body may be read. A body without a content
-    /// length may turn out to be longer than declared.
+    /// Returns the maximum number of bytes that may be read. The reader of the body has to enforce
+    /// this limit, because a body without a `Content-Length` may be longer.
     pub(crate) fn max_bytes(&self) -> usize {
         self.max_bytes
     }
@@ -82,7 +84,7 @@
 /// Reason why a body is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum BodyBudgetError {
-    /// No body of this size is ever accepted.
+    /// The body is larger than [`MAX_LARGE_BODY_BYTES`].
     #[error("a body of {declared} bytes exceeds the maximum body size")]
     TooLarge {
         /// Declared size of the body in bytes.
--- a/crates/edge-node/src/upstream/mod.rs
+++ b/crates/edge-node/src/upstream/mod.rs
@@ -28,8 +28,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Fraction of the servers' idle timeout for which a connection stays in its pool. A request that
-/// is written while the server closes the connection ends with a reset and may have been executed.
+/// Fraction of the servers' idle timeout after which this node closes an idle connection. The node
+/// has to close it before the server does: a request that is written while the server closes the
+/// connection ends with a reset and may have been executed.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 /// Interval between evictions of idle connections.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(500);
@@ -49,6 +50,8 @@
     pools: RefCell<HashMap<ServerId, ServerPool>>,
     open_sockets: OpenSockets,
     max_sockets: usize,
+    /// Time after which this node closes an idle connection: [`IDLE_TIMEOUT_FRACTION`] of the
+    /// servers' own idle timeout.
     idle_timeout: Duration,
     connect_timeout: Duration,
 }
@@ -82,9 +85,9 @@
         self.pools.borrow().len()
     }
 
-    /// Applies an update of the endpoint list. The idle connections of a server are closed if it is
-    /// no longer ready, has moved, or is missing from a snapshot; connections in use are closed
-    /// when their attempt ends.
+    /// Applies an update of the endpoint list. The idle connections of a server are closed if the
+    /// server is no longer ready, has a new address, or is missing from a snapshot; its connections
+    /// in use are closed when their attempts end.
     pub(crate) fn update_endpoints(
         &self,
         kind: EndpointUpdate,
@@ -106,8 +109,9 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, at regular intervals, and never
-    /// returns. Holds nothing while it waits, so the future may be dropped at any time.
+    /// Closes connections that have been idle for too long, at regular intervals. Never returns.
+    /// The future may be dropped at any time, because it neither borrows the pools nor holds a
+    /// connection while it waits.
     pub(crate) async fn evict_idle_connections(&self) {
         loop {
             tokio::time::sleep(EVICTION_INTERVAL).await;
@@ -117,8 +121,8 @@
         }
     }
 
-    /// Returns whether a connection leads to the current address of the server. An address may pass
-    /// from one server to another.
+    /// Returns whether a connection leads to the current address of the server. The endpoint list
+    /// may have given the server a new address, and its previous address to another server.
     fn has_current_address(&self, server: ServerId, connection: &PooledConnection) -> bool {
         self.pools
             .borrow()
@@ -143,8 +147,9 @@
         }
     }
 
-    /// Opens a connection to a server. If the future is dropped, the socket is closed and no longer
-    /// counted.
+    /// Opens a connection to a server. If the socket limit is reached, closes the connection that
+    /// has been idle for the longest time first. If the future is dropped, the new socket is closed
+    /// and no longer counted.
     async fn connect(&self, server: ServerId) -> Result<PooledConnection, ConnectError> {
         let address = self.pools.borrow().get(&server).map(ServerPool::address);
         let address = address.ok_or(ConnectError::UnknownServer)?;
@@ -176,8 +181,8 @@
     }
 }
 
-/// Returns the pool for a server at `address`, which is the existing pool if the address has not
-/// changed.
+/// Returns the pool for a server at `address`: the existing pool if the address has not changed, or
+/// else a new one. Returns `None` if there is no address.
 fn updated_pool(existing: Option<ServerPool>, address: Option<SocketAddr>) -> Option<ServerPool> {
     if let Some(pool) = existing {
         if address == Some(pool.address()) {
