--- a/crates/edge-node/src/admin.rs
+++ b/crates/edge-node/src/admin.rs
@@ -38,11 +38,11 @@
 
 type AdminResponse = Response<Full<Bytes>>;
 
-/// Builds the responses of the admin listener.
+/// The HTTP service behind the admin listener, which builds a response to each request.
 pub(crate) struct AdminService {
     /// Name of this edge node, shown by `/debug/state`.
     name: String,
-    /// Source of the figures in `/metrics` and `/debug/state`, read anew for each request.
+    /// Source of the values in `/metrics` and `/debug/state`, which are read for each request.
     node: Rc<Node>,
     metrics: Rc<Metrics>,
     /// Life-cycle phase that `/readyz` and `/debug/state` report.
@@ -51,10 +51,8 @@
     started_at: Instant,
 }
 
-/// Serves the admin endpoints until this future is dropped, which also aborts the tasks of the
-/// connections.
-///
-/// Each connection's task ends within [`CONNECTION_TIMEOUT`].
+/// Accepts connections on the admin listener and serves each in its own task, which ends within
+/// [`CONNECTION_TIMEOUT`]. Never returns; dropping the future aborts the tasks.
 pub(crate) async fn serve(listener: TcpListener, admin: AdminService) {
     let admin = Rc::new(admin);
     let mut connections = JoinSet::new();
--- a/crates/edge-node/src/log/mod.rs
+++ b/crates/edge-node/src/log/mod.rs
@@ -27,11 +27,11 @@
     pub format: LogFormat,
 }
 
-/// Lowest severity that is logged; each level includes the levels listed before it.
+/// Threshold of the log: a line is logged if its severity is this level or one listed before it.
 #[derive(Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Logs nothing.
+    /// No lines at all.
     Off,
     /// Conditions that keep the edge node from doing its work.
     Error,
@@ -73,13 +73,13 @@
     Json,
 }
 
-/// Error of starting the log or changing its level.
+/// Error in starting the log or in changing its level.
 #[derive(Debug, Error)]
 pub enum LogError {
     /// The process already has a log.
     #[error(transparent)]
     AlreadyStarted(#[from] SetGlobalDefaultError),
-    /// The log has been dropped, so its level cannot be set.
+    /// The level filter no longer exists or cannot be locked, so the level stays as it was.
     #[error(transparent)]
     Stopped(#[from] reload::Error),
 }
@@ -96,9 +96,8 @@
     /// Returns [`LogError::AlreadyStarted`] if the process already has a log.
     pub fn start(options: LogOptions) -> Result<Log, LogError> {
         let (level_filter, level) = reload::Layer::new(LevelFilter::from(options.level));
-        // A line that cannot be written is dropped silently. The reader of the log may have exited,
-        // and reporting the failed write on the same standard error would fail, too, and end the
-        // edge node.
+        // A line that cannot be written is dropped silently. If the reader of standard error has
+        // exited, a report of the failed write there would fail as well and end the edge node.
         let layer = tracing_subscriber::fmt::layer()
             .with_writer(io::stderr)
             .with_ansi(false)
@@ -118,7 +117,7 @@
     /// Sets the lowest severity that is logged.
     ///
     /// # Errors
-    /// Returns [`LogError::Stopped`] if the log has been dropped.
+    /// Returns [`LogError::Stopped`] if the level filter no longer exists or cannot be locked.
     pub fn set_level(&self, level: LogLevel) -> Result<(), LogError> {
         self.level.modify(|filter| *filter = level.into())?;
         Ok(())
--- a/crates/edge-node/src/metrics/mod.rs
+++ b/crates/edge-node/src/metrics/mod.rs
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Records that a request has ended, `duration` after it was completely received. The duration
-    /// of an abandoned request is not recorded.
+    /// Records that a request has ended. `duration` is the time since the request was received
+    /// completely; for an abandoned request, it is ignored.
     pub(crate) fn record_request(
         &self,
         class: ClassId,
@@ -112,7 +112,7 @@
     /// of the process.
     ///
     /// # Errors
-    /// Returns an error if a value cannot be encoded; no such value is known.
+    /// Returns an error if a value cannot be encoded, which is not known to happen.
     pub(crate) fn encode(
         &self,
         status: &StatusSnapshot,
@@ -195,7 +195,7 @@
     }
 }
 
-/// Raises a counter to a total that is counted elsewhere. A counter never decreases.
+/// Raises a counter to `total`, which is counted elsewhere. Never lowers the counter.
 fn raise_to(counter: &Counter, total: u64) {
     counter.inc_by(total.saturating_sub(counter.get()));
 }
