--- a/crates/edge-node/src/clients/connection_table.rs
+++ b/crates/edge-node/src/clients/connection_table.rs
@@ -1,4 +1,4 @@
-//! The table of open client connections, which evicts idle ones at the connection limit.
+//! The table of open client connections, which evicts idle connections at the connection limit.
 
 use super::connection;
 use super::connection_state::ConnectionState;
@@ -11,13 +11,13 @@
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// Maximum number of entries of finished connections that stay in the table before they are removed
-/// together.
+/// Number of entries of finished connections that may stay in the table. Beyond this number, all of
+/// them are removed at once.
 const MAX_FINISHED_ENTRIES: usize = 32;
-/// Maximum time to wait for a connection to finish before the next one is evicted.
+/// Maximum time to wait for a connection to finish before another connection is evicted.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// An open client connection and the task that serves it.
+/// A client connection and the task that serves it.
 struct Entry {
     state: Rc<ConnectionState>,
     /// Aborting the task closes the connection.
@@ -53,7 +53,7 @@
     }
 
     /// Inserts an accepted connection: evicts idle connections if the limit is reached, then starts
-    /// the task that serves the new one.
+    /// the task that serves the accepted one.
     pub(super) async fn insert(&mut self, stream: TcpStream) {
         self.make_room().await;
         self.spawn(stream);
@@ -88,13 +88,15 @@
     /// without using them can't shut out others.
     async fn make_room(&mut self) {
         while self.tasks.len() >= self.max_connections {
-            // A connection accepted in this turn of the runtime may hold a request that is still
-            // unread and would be mistaken for idle. Yielding once lets its task read the request.
+            // A connection that was accepted in this turn of the runtime may have a request that
+            // its task has not read yet, and would be mistaken for idle. Yielding once lets the
+            // task read the request.
             tokio::task::yield_now().await;
             self.remove_finished_entries();
             self.evict_idle_connection();
-            // A finished task, evicted or not, has closed its socket. If no task finishes before
-            // the timeout, another connection may have become idle meanwhile.
+            // A task that has finished, whether evicted or not, has closed its socket. If none
+            // finishes before the timeout, the loop tries again, because another connection may
+            // have become idle by then.
             let _ = tokio::time::timeout(EVICTION_TIMEOUT, self.tasks.join_next()).await;
         }
         // An abort handle retains its finished task's memory, so the number of entries must be
@@ -104,7 +106,8 @@
         }
     }
 
-    /// Closes the idle connection that is first in the order of eviction, if there is one.
+    /// Closes the idle connection that is first in the order of eviction. Does nothing if no
+    /// connection is idle.
     fn evict_idle_connection(&self) {
         let idle = self
             .entries
--- a/crates/edge-node/src/clients/request_head.rs
+++ b/crates/edge-node/src/clients/request_head.rs
@@ -1,5 +1,5 @@
-//! The head of a client's request: method, path and headers, parsed and checked against the
-//! settings.
+//! The head of a client's request, its method, path and headers, which is parsed and checked
+//! against the settings.
 
 use super::call_terms::CallTerms;
 use super::header_value::{parse_customer, parse_duration};
@@ -12,6 +12,7 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
+// Names of the headers of a request.
 const REQUEST_ID: &str = "x-request-id";
 const CLASS: &str = "x-class";
 const PLAN: &str = "x-tier";
@@ -36,7 +37,7 @@
 /// The parsed head of a request, checked against the settings.
 #[derive(Debug, PartialEq)]
 pub struct RequestHead {
-    /// Request id, which only one open request at a time may have.
+    /// Id of the request, which no other open request may have.
     pub id: RequestId,
     /// Class of the request.
     pub class: ClassId,
@@ -46,7 +47,7 @@
     pub customer: CustomerId,
     /// Quota units of the request and gateway set of its customer.
     pub terms: CallTerms,
-    /// How long the client waits for the response, counted from the arrival of the complete
+    /// Time that the client waits for the response, counted from the arrival of the complete
     /// request.
     pub client_timeout: Duration,
     /// Whether requests of the class may have a body.
@@ -54,8 +55,8 @@
 }
 
 impl RequestHead {
-    /// Parses and checks a request head. Changes no state, so that an invalid request leaves
-    /// nothing behind.
+    /// Parses and checks a request head. Has no side effects, so an invalid request changes no
+    /// state.
     ///
     /// # Errors
     /// Returns the error for the first rule that the head breaks; the rules are checked in a fixed
@@ -93,7 +94,7 @@
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::TransferEncoding);
     }
-    // Of a repeated header, one implementation uses the first value and another the last.
+    // Some HTTP implementations use the first value of a repeated header, others the last.
     if SINGLE_HEADERS
         .iter()
         .any(|name| headers.get_all(*name).iter().count() > 1)
@@ -119,7 +120,7 @@
 }
 
 /// Returns the customer, which is the last segment of the path. The first segment has to be the
-/// class; there may be any segments in between.
+/// class; any number of segments may lie between the two.
 fn parse_path(uri: &Uri, class_name: &str) -> Result<CustomerId, RequestError> {
     let mut segments = uri.path().trim_start_matches('/').split('/');
     if segments.next() != Some(class_name) {
