--- a/crates/edge-node/tests/edge/shutdown.rs
+++ b/crates/edge-node/tests/edge/shutdown.rs
@@ -1,15 +1,17 @@
-//! Tests shutdown on SIGTERM while clients keep sending requests on all open connections until the
-//! process exits. Each request gets its final answer or its connection is closed. Each request that
-//! reached a server, and each new client, is answered.
+//! Shutdown on SIGTERM while clients keep sending requests. For each request, the client receives
+//! the final answer or its connection is closed. Each request that was forwarded to a server is
+//! answered, and so is the first request of each client that connects before the listener is
+//! closed.
 
 use super::start_with_one_server;
 use super::support::*;
 use std::io::Write;
 use std::time::Duration;
 
-/// Longer than the drain period, during which connections are accepted and kept open.
+/// Duration that is longer than the drain period of 600 ms, in which connections are accepted and
+/// idle connections stay open.
 const LONGER_THAN_DRAIN_PERIOD: Duration = Duration::from_millis(900);
-/// A readiness probe.
+/// Request of a readiness probe, which the edge node answers with 200 until it shuts down.
 const READY_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n";
 
 /// Sends SIGTERM and waits until the readiness probe fails.
@@ -51,8 +53,8 @@
     assert_eq!(servers.unseen_requests().len(), clients.len());
 }
 
-/// Requests arrive while the edge node closes its connections, on more connections than it may have
-/// file descriptors.
+/// Requests arrive while the edge node closes its connections, on more connections than the process
+/// may have file descriptors.
 #[test]
 fn requests_on_more_connections_than_descriptors_are_answered_during_shutdown() {
     let servers = FakeServers::new();
@@ -78,10 +80,11 @@
     assert_eq!(servers.unseen_requests().len(), clients.len());
 }
 
-/// A client pipelines requests after its open request, long after idle connections were closed. The
-/// open request is answered, and no later request is forwarded.
+/// A client has an open request and pipelines two further requests: one during the drain period and
+/// one after idle connections are closed. The open request is answered, and neither of the others
+/// is forwarded.
 #[test]
-fn requests_pipelined_after_last_answer_of_connection_are_not_forwarded() {
+fn requests_pipelined_behind_open_request_are_not_forwarded_during_shutdown() {
     let (servers, _discovery, mut node) =
         start_with_one_server("s-behind", &[ServerBehavior::NeverRespond, RESPONDS_OK]);
     let mut client = node.client();
@@ -100,7 +103,8 @@
         (answer.status(), answer.header("connection")),
         (200, "close")
     );
-    // The later requests get no answer. The close tells the client that they were not read.
+    // The pipelined requests get no answer. The close of the connection tells the client that they
+    // were not processed.
     client.assert_closed();
     assert!(node.wait().success());
     servers.assert_no_more_requests();
@@ -110,11 +114,11 @@
 /// connections are closed at 600 ms.
 const FIRST_PART_DELAY: Duration = Duration::from_millis(300);
 /// Time between the first part of a request and the rest. The rest is sent after idle connections
-/// are closed, and within the 600 ms in which a body has to arrive.
+/// are closed, and before the edge node's timeout of 600 ms for a request body.
 const REST_DELAY: Duration = Duration::from_millis(450);
 
-/// A request of which only a part has arrived when idle connections are closed is read completely
-/// and answered.
+/// If only part of a request has arrived when idle connections are closed, the rest is still read
+/// and the request is answered.
 #[test]
 fn incomplete_request_is_read_and_answered_when_connections_are_closed() {
     let (servers, _discovery, mut node) = start_with_one_server("s-begun", &[RESPONDS_OK]);
@@ -154,8 +158,8 @@
     assert_eq!(servers.unseen_requests().len(), part_lengths.len());
 }
 
-/// The edge node waits for the latest deadline of its open requests, not only for another drain
-/// period.
+/// After the drain period, the edge node waits until its open requests are answered, at most for
+/// the longest deadline of any class.
 #[test]
 fn request_open_long_after_drain_period_is_answered() {
     let (servers, _discovery, mut node) =
--- a/crates/edge-node/tests/support/node.rs
+++ b/crates/edge-node/tests/support/node.rs
@@ -12,7 +12,8 @@
 use std::thread;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-node");
-/// Environment variables with which the platform overrides configurations.
+/// Environment variables with which the platform names the configuration file and overrides its
+/// values.
 const PLATFORM_VARIABLES: [&str; 4] = ["LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY"];
 
 /// Returns a command that runs the program with these arguments and without the platform's
@@ -42,8 +43,8 @@
     command
 }
 
-/// Starts the program with a configuration in the JSON format of the platform. The program may exit
-/// with an error. Returns the process and the path of the configuration.
+/// Starts the program with a configuration in the JSON format of the platform. Returns the process,
+/// which may exit with an error, and the path of the configuration file.
 pub(crate) fn spawn_edge_node(tag: &str, config: &str) -> (Child, PathBuf) {
     spawn_with_config(edge_node_command(&[]), tag, config)
 }
@@ -63,19 +64,21 @@
     child: Child,
     /// Address on which the edge node listens for clients.
     pub(crate) address: SocketAddr,
-    /// Socket with which the test acts as the edge node's only peer.
+    /// Socket with which the test acts as the edge node's only peer. An edge node that was started
+    /// by [`EdgeNode::start_with_toml`] does not know this peer.
     pub(crate) peer_socket: UdpSocket,
-    /// Address on which the edge node receives datagrams from peers.
+    /// Address on which the edge node receives datagrams from peers; unused by an edge node that
+    /// was started by [`EdgeNode::start_with_toml`].
     pub(crate) datagram_address: SocketAddr,
-    /// Path of the configuration file.
     config_path: PathBuf,
-    /// Lines of the log after the first one.
+    /// Lines of the log after the first line, which contains `address`.
     log: Receiver<String>,
 }
 
 impl EdgeNode {
-    /// Starts an edge node whose configuration contains these servers and this discovery address.
-    /// `tag` distinguishes its configuration file from those of other tests.
+    /// Starts an edge node whose configuration contains this discovery address and an endpoint list
+    /// with these entries. `tag` is part of the name of the configuration file and has to be unique
+    /// within the test target.
     pub(crate) fn start(tag: &str, discovery: SocketAddr, entries: &[String]) -> EdgeNode {
         EdgeNode::start_with_edited_config(tag, discovery, entries, |config| config)
     }
@@ -99,7 +102,8 @@
         )
     }
 
-    /// Starts an edge node with a configuration whose text is changed by `edit`.
+    /// Starts an edge node with the configuration text that `edit` returns. The argument of `edit`
+    /// is the text that [`EdgeNode::start`] uses.
     pub(crate) fn start_with_edited_config(
         tag: &str,
         discovery: SocketAddr,
@@ -134,8 +138,7 @@
         EdgeNode::wait_until_listening(child, config_path, peer_socket, datagram_address)
     }
 
-    /// Starts an edge node with a TOML configuration whose path is given on the command line. The
-    /// edge node has no peers.
+    /// Starts an edge node with a TOML configuration, whose path is passed on the command line.
     pub(crate) fn start_with_toml(tag: &str, config: &str) -> EdgeNode {
         let path = write_config_file(&format!("{tag}.toml"), config);
         let mut command = edge_node_command(&["serve", "--config"]);
@@ -154,7 +157,8 @@
         )
     }
 
-    /// Waits for the first line of the log, which has the address on which the process listens.
+    /// Waits for the first line of the log, which contains the address on which the process listens
+    /// for clients.
     fn wait_until_listening(
         mut child: Child,
         config_path: PathBuf,
@@ -197,7 +201,8 @@
         }
     }
 
-    /// Waits until the edge node has exited. Returns the log lines that the test has not yet taken.
+    /// Waits until the edge node has exited. Returns the log lines that
+    /// [`wait_for_log`](Self::wait_for_log) has not consumed.
     pub(crate) fn remaining_log(&self) -> Vec<String> {
         self.log.iter().collect()
     }
@@ -218,7 +223,8 @@
         self.signal("-CONT");
     }
 
-    /// Changes the text of the configuration file with `edit`, then sends SIGHUP.
+    /// Replaces the configuration file with the text that `edit` returns for the current text, then
+    /// sends SIGHUP.
     pub(crate) fn reload(&self, edit: impl FnOnce(String) -> String) {
         let text = self.config_text();
         let new_path = self.config_path.with_extension("new");
@@ -236,7 +242,10 @@
         let kill = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status();
-        assert!(kill.expect("kill command runs").success());
+        assert!(
+            kill.expect("kill command runs").success(),
+            "signal {name} was not sent"
+        );
     }
 
     /// Returns the number of open file descriptors of the process.
