--- a/crates/edge-node/src/clients/connection_state.rs
+++ b/crates/edge-node/src/clients/connection_state.rs
@@ -57,8 +57,8 @@
     idle_since: Instant,
 }
 
-/// Marks a connection as busy while it lives. Dropping it, after the response is built or together
-/// with the future that builds it, marks the connection as idle from then on.
+/// Guard that marks a connection as busy until the guard is dropped: after the response is built,
+/// or together with the future that builds the response. From then on, the connection is idle.
 pub(super) struct InFlightGuard<'a>(&'a ConnectionState);
 
 impl<'a> InFlightGuard<'a> {
--- a/crates/edge-node/src/clients/read_ahead.rs
+++ b/crates/edge-node/src/clients/read_ahead.rs
@@ -13,8 +13,8 @@
 use tokio::io::{AsyncRead, Interest, ReadBuf, Ready};
 use tokio::net::TcpStream;
 
-/// Maximum number of bytes read ahead of one request, which bounds the memory that clients sending
-/// at full speed can use.
+/// Number of buffered bytes at which reading ahead stops, which bounds the memory that clients
+/// sending at full speed can use. The buffer may exceed it by up to one chunk.
 const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 /// Number of bytes read ahead at a time.
 const READ_AHEAD_CHUNK_BYTES: usize = 1024;
@@ -104,9 +104,9 @@
     /// data.
     fn is_read_closed(&self) -> bool {
         let stream = self.stream.inner();
-        // Read readiness would also be reported for unread data. Urgent data, for which priority
-        // readiness is meant, is sent by no client, so that only the end of the stream is reported.
-        // The future is polled once, without waiting.
+        // Read readiness would also be reported for unread data. Priority readiness is reported for
+        // urgent data, which no client sends, and for the end of the stream. The future is polled
+        // once, without waiting.
         let readiness = pin!(stream.ready(Interest::PRIORITY));
         match readiness.poll(&mut Context::from_waker(Waker::noop())) {
             Poll::Ready(ready) => ready.is_ok_and(Ready::is_read_closed),
--- a/crates/edge-node/src/config/platform.rs
+++ b/crates/edge-node/src/config/platform.rs
@@ -31,7 +31,7 @@
     /// The settings of the gateway are incomplete, contradictory, or hold invalid numbers.
     #[error("settings")]
     InvalidSettings(#[source] SettingsError),
-    /// The limit of file descriptors is below [`MIN_FILE_DESCRIPTORS`].
+    /// The limit on file descriptors is below [`MIN_FILE_DESCRIPTORS`].
     #[error("limits.sockets: must be at least {MIN_FILE_DESCRIPTORS}")]
     TooFewFileDescriptors,
 }
--- a/crates/edge-node/src/config/schema/keys/node.rs
+++ b/crates/edge-node/src/config/schema/keys/node.rs
@@ -5,7 +5,8 @@
     Choice, DefaultValue, KeySpec, OnReload, PlatformPresence, ValueType,
 };
 
-/// Minimum number of file descriptors that leaves enough for clients beside those for servers.
+/// Minimum limit on file descriptors. A lower limit would leave too few for client connections in
+/// addition to the connections to servers.
 pub(crate) const MIN_FILE_DESCRIPTORS: u64 = 64;
 /// Minimum memory of the process, in MiB.
 const MIN_MEMORY_MIB: u64 = 16;
--- a/crates/edge-node/src/config/schema/locate.rs
+++ b/crates/edge-node/src/config/schema/locate.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// Returns the locations of all items of a list; none if it is not a list.
+/// Returns the locations of all items of a list; empty if there is no list at the location.
 fn item_locations<'a>(list: &Location<'a>) -> Vec<Location<'a>> {
     let Some(ConfigValue::List(items)) = list.item.map(|item| &item.value) else {
         return Vec::new();
--- a/crates/edge-node/src/config/schema/restart.rs
+++ b/crates/edge-node/src/config/schema/restart.rs
@@ -36,7 +36,8 @@
     }
 }
 
-/// Returns the values of a key, one for each list item that it is in; null where the key is absent.
+/// Returns the values of a key: one for each item if it is a key of list items, otherwise a single
+/// one. The value is null where the key is absent.
 fn values_of(key: &KeySpec, json: &Value) -> Vec<Value> {
     let mut found = vec![json];
     for segment in path_segments(key.json_path) {
--- a/crates/edge-node/src/config/schema/spec.rs
+++ b/crates/edge-node/src/config/schema/spec.rs
@@ -5,8 +5,8 @@
 
 /// Upper bound of most times, in ms: no client waits longer than an hour.
 pub(super) const HOUR_MS: f64 = 3_600_000.0;
-/// Upper bound of numbers that need no other: far above any sensible number, and low enough that
-/// sums stay finite. A range that ends here counts as one without an upper bound.
+/// Upper bound of numbers that need no specific one: far above any sensible number, and low enough
+/// that sums stay finite. A range that ends here counts as a range without an upper bound.
 pub(super) const MAX_NUMBER: f64 = 1e9;
 
 /// The type of a key's value. The ranges of numbers are inclusive.
@@ -107,7 +107,8 @@
 pub(super) struct KeySpec {
     /// Path in operators' TOML, by which docs/CONFIGURATION.md names the key.
     pub(super) toml_path: &'static str,
-    /// Path in the platform's JSON; without a meaning for keys that it does not have.
+    /// Path in the JSON to which operators' TOML is translated. Files in the platform's JSON have
+    /// the key at the same path, unless [`in_platform_json`](Self::in_platform_json) is `Absent`.
     pub(super) json_path: &'static str,
     /// Type and range of the value.
     pub(super) value_type: ValueType,
--- a/crates/edge-node/src/config/schema/validate/mod.rs
+++ b/crates/edge-node/src/config/schema/validate/mod.rs
@@ -95,15 +95,15 @@
         let format = self.format;
         let table_prefix = format!("{}.", path.pattern);
         let list_prefix = format!("{}[]", path.pattern);
-        let is_in_key =
+        let is_key_prefix =
             |prefix: &str| keys_of(format).any(|key| key.path(format).starts_with(prefix));
         if let Some(key) = keys_of(format).find(|key| key.path(format) == path.pattern) {
             if let Err(problem) = check_value(format, key, item) {
                 self.report(Some(item.line), &path.indexed, problem);
             }
-        } else if is_in_key(&table_prefix) {
+        } else if is_key_prefix(&table_prefix) {
             self.check_table(item, path);
-        } else if is_in_key(&list_prefix) {
+        } else if is_key_prefix(&list_prefix) {
             self.check_list(item, path);
         } else if format == ConfigFormat::Toml {
             // The platform's JSON may have unknown keys: the platform may add keys that this
--- a/crates/edge-node/src/config/schema/validate/value.rs
+++ b/crates/edge-node/src/config/schema/validate/value.rs
@@ -5,8 +5,9 @@
 use crate::config::schema::spec::{Choice, KeySpec, ValueType, MAX_NUMBER};
 use std::net::SocketAddr;
 
-/// The only key whose minimum also applies to the platform's JSON, because the process can't serve
-/// with fewer. Other numbers in the platform's JSON are limited only by their types.
+/// Path of the only key whose minimum also applies to the platform's JSON, because the process
+/// can't serve clients with fewer file descriptors. Other numbers in the platform's JSON are
+/// limited only by their types.
 const FILE_DESCRIPTORS_KEY: &str = "limits.file_descriptors";
 
 /// Checks that a value has the type and range of its key.
--- a/crates/edge-node/src/discovery/list_reader.rs
+++ b/crates/edge-node/src/discovery/list_reader.rs
@@ -8,7 +8,7 @@
 
 use crate::endpoint_list::{EndpointEntry, EndpointList};
 
-/// Maximum length of a list in bytes, which bounds the memory that a list without an end takes.
+/// Maximum length of a list in bytes, which bounds the memory that a list without an end can use.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// A message that was read from a watch.
@@ -16,9 +16,9 @@
 pub(super) enum WatchMessage {
     /// An empty line, which discovery sends while it has no change to report.
     Heartbeat,
-    /// A list of which at least one entry is readable, or which has none.
+    /// A list that is empty or has at least one readable entry.
     List(EndpointList),
-    /// Anything else, with the readable entries within it.
+    /// Text that is neither a heartbeat nor such a list, reduced to the readable entries in it.
     Malformed(Vec<EndpointEntry>),
 }
 
--- a/crates/edge-node/src/endpoint_list.rs
+++ b/crates/edge-node/src/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! Endpoint lists in the JSON format of discovery and of configurations. Unreadable entries are
-//! left out of a list, and the list records that it had some.
+//! left out of a list, and the list records whether there were any.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer};
@@ -106,9 +106,9 @@
     type Error = EntryError;
 
     fn try_from(document: EntryDocument) -> Result<EndpointEntry, EntryError> {
-        // A missed drain would send requests to a server that is leaving. An entry whose server is
-        // draining or gone is therefore valid whatever else is wrong with it. Only the entry of a
-        // ready server needs an address.
+        // If the report that a server is draining were ignored, the server would still be sent
+        // requests. An entry whose server is draining or gone is therefore valid whatever else is
+        // wrong with it. Only the entry of a ready server needs an address.
         if document.health == EndpointHealth::Ready && document.dial.is_none() {
             return Err(EntryError::ReadyWithoutAddress);
         }
--- a/crates/edge-node/src/node/attempts.rs
+++ b/crates/edge-node/src/node/attempts.rs
@@ -19,8 +19,9 @@
     _cancel: oneshot::Sender<()>,
 }
 
-/// The attempts in flight, at most one per request. An entry stays until the attempt's connection
-/// is closed or idle again, even if the request has its final answer before then.
+/// The attempts in flight, at most one per request. An entry stays until the attempt is cancelled,
+/// or until its connection is closed or idle again, even if the request has its final answer before
+/// then.
 #[derive(Default)]
 pub(super) struct InFlightAttempts {
     by_request: RefCell<HashMap<RequestId, InFlightAttempt>>,
--- a/crates/edge-node/src/node/clock.rs
+++ b/crates/edge-node/src/node/clock.rs
@@ -7,8 +7,8 @@
 /// A monotonic clock that shows Unix time in microseconds: the wall clock is read once, and the
 /// time elapsed since then is added.
 ///
-/// Unix time is used because discovery reports the start times of servers in it; only their unit
-/// has to be converted.
+/// Discovery reports the start times of servers as Unix time, too, so only their unit has to be
+/// converted.
 pub(super) struct Clock {
     started: Instant,
     unix_at_start: Timestamp,
--- a/crates/edge-node/src/node/requests.rs
+++ b/crates/edge-node/src/node/requests.rs
@@ -20,7 +20,8 @@
     /// the final answer.
     ///
     /// Returns `None` if the id is in use by a pending request, or by an attempt in flight of a
-    /// request that has been answered: the answers of two requests with one id could be confused.
+    /// request that has been answered: the answers of two requests with the same id could be
+    /// confused.
     ///
     /// A caller that stops waiting for the answer has to call [`Node::abandon_request`]. Dropping
     /// the receiver leaves the request in the table.
--- a/crates/edge-node/src/node/status.rs
+++ b/crates/edge-node/src/node/status.rs
@@ -10,8 +10,8 @@
 /// The directory with one entry per open file descriptor of this process.
 const DESCRIPTOR_DIRECTORY: &str = "/proc/self/fd";
 
-/// Counts one client connection until the guard is dropped. The count is also right if the task of
-/// the connection is dropped before it ends.
+/// Counts one client connection until the guard is dropped. The count is correct even if the task
+/// of the connection is dropped before its end.
 pub(crate) struct ClientConnectionGuard {
     connections: Rc<Cell<usize>>,
 }
@@ -38,7 +38,7 @@
         ClientConnectionGuard::new(&self.client_connections)
     }
 
-    /// Returns the current status.
+    /// Returns a snapshot of the values that `/metrics` and `/debug/state` report.
     pub(crate) fn status(&self) -> StatusSnapshot {
         let datagrams = self
             .peers
--- a/crates/edge-node/src/reload.rs
+++ b/crates/edge-node/src/reload.rs
@@ -15,7 +15,7 @@
 pub(crate) struct Reload {
     /// Path of the configuration file.
     pub(crate) path: PathBuf,
-    /// Values, at the start of the process, of the keys that only a restart applies.
+    /// Values that the keys which require a restart had at the start of the process.
     pub(crate) startup_values: RestartValues,
     /// Passes the address of discovery to the task that watches it.
     pub(crate) discovery_address: watch::Sender<SocketAddr>,
--- a/crates/edge-node/src/shutdown.rs
+++ b/crates/edge-node/src/shutdown.rs
@@ -25,8 +25,8 @@
 }
 
 impl Shutdown {
-    /// Runs the shutdown to its end. The other tasks still run then; dropping the `LocalSet` of the
-    /// process ends them.
+    /// Runs the shutdown and returns when it is complete. The other tasks of the process are still
+    /// running at that point; dropping its `LocalSet` ends them.
     pub(crate) async fn run(self) {
         self.start_draining();
         tokio::time::sleep(DRAIN_PERIOD).await;
--- a/crates/edge-node/src/startup/first_list.rs
+++ b/crates/edge-node/src/startup/first_list.rs
@@ -16,8 +16,8 @@
 
 /// Waits for the first endpoint list from discovery, while client connections wait in the
 /// listener's backlog. From the first request on, the node must follow discovery, and the list in
-/// the configuration may be outdated. That list is used only if discovery sends none before the
-/// deadline.
+/// the configuration may be outdated. Requests are forwarded according to that list only if
+/// discovery sends none before the deadline.
 pub(super) async fn wait_for_first_list(
     node: &Node,
     first_list: oneshot::Receiver<()>,
--- a/crates/edge-node/src/startup/mod.rs
+++ b/crates/edge-node/src/startup/mod.rs
@@ -139,7 +139,8 @@
 }
 
 /// Spawns the task that watches discovery. The returned receiver is notified when the first
-/// endpoint list has been applied. The node uses `known`, if given, until then.
+/// endpoint list from discovery has been applied. Until then, the node uses the list `known`, if
+/// there is one.
 fn start_discovery(
     node: &Rc<Node>,
     address: watch::Receiver<SocketAddr>,
--- a/crates/edge-node/src/startup/resource_limits.rs
+++ b/crates/edge-node/src/startup/resource_limits.rs
@@ -9,10 +9,10 @@
 /// Number of file descriptors reserved for everything except client and server connections: the
 /// listener, discovery, peers and the async runtime.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Clients and servers: the two sides that share the other descriptors equally.
+/// Number of sides, clients and servers, that share the unreserved descriptors equally.
 const CONNECTION_SIDES: usize = 2;
-/// Large bodies together may take the memory limit divided by this, because each body is briefly
-/// held twice, and once more while it is written.
+/// Divisor of the memory limit, which yields the budget for all large bodies together. The divisor
+/// is high because a body is briefly in memory twice, and a third time while it is written.
 const LARGE_BODY_MEMORY_DIVISOR: usize = 8;
 
 /// Limits on the resources of the process that connections and requests may take.
--- a/crates/edge-node/src/upstream/attempt.rs
+++ b/crates/edge-node/src/upstream/attempt.rs
@@ -23,7 +23,7 @@
 
 /// A client's request as it is sent to a server.
 pub(crate) struct UpstreamRequest {
-    /// Request id, which no other request ever has.
+    /// Request id, which no other open request has.
     pub(crate) id: RequestId,
     /// HTTP method.
     pub(crate) method: Method,
--- a/crates/edge-node/src/upstream/connect_error.rs
+++ b/crates/edge-node/src/upstream/connect_error.rs
@@ -1,5 +1,5 @@
-//! Errors in connecting to a server, and whether their cause may lie with the server or lies with
-//! this machine.
+//! Errors in connecting to a server, classified by whether the cause may lie with the server or
+//! lies with this machine.
 
 use gateway_core::AttemptOutcome;
 use std::io;
--- a/crates/edge-node/src/upstream/response.rs
+++ b/crates/edge-node/src/upstream/response.rs
@@ -28,7 +28,7 @@
     /// The response has neither a content length nor a transfer encoding.
     #[error("the response has neither a content length nor a transfer encoding")]
     Unframed,
-    /// The body is too large.
+    /// The body is larger than the maximum size, or than the rest of the body budget.
     #[error("the response body is not accepted")]
     NotAccepted(#[from] BodyBudgetError),
     /// The body ended early, or is longer than declared.
