--- a/crates/edge-node/tests/edge/client_disconnect.rs
+++ b/crates/edge-node/tests/edge/client_disconnect.rs
@@ -329,8 +329,8 @@
     config.replace(r#""cancel":true"#, &format!(r#""cancel":{cancel}"#))
 }
 
-/// Lets the client stay or disconnect, then lets the server accept. Fails unless something is
-/// written to the server if, and only if, the client stays.
+/// Lets the client stay or disconnect, then lets the server accept connections. Asserts that the
+/// request is written to the server if the client stays, and that nothing is written otherwise.
 fn assert_written_only_if_client_stays(
     action: ClientAction,
     client: Client,
--- a/crates/edge-node/tests/edge/descriptors.rs
+++ b/crates/edge-node/tests/edge/descriptors.rs
@@ -60,8 +60,8 @@
     assert_eq!(last.read_response().expect("no response").status(), 200);
 }
 
-/// More clients connect at the same time than may have a connection, each with a request: no
-/// connection is evicted before its request is read.
+/// More clients connect at the same time than the edge node keeps connections open, and each sends
+/// a request. No connection is evicted before its request is read.
 #[test]
 fn answers_all_clients_that_connect_with_request_simultaneously() {
     let servers = FakeServers::new();
--- a/crates/edge-node/tests/edge/discovery_deadline.rs
+++ b/crates/edge-node/tests/edge/discovery_deadline.rs
@@ -1,4 +1,4 @@
-//! Tests that the edge node knows a change within 6 s after discovery has it, whatever fails in
+//! Tests that the edge node learns of a change within 6 s after discovery does, whatever fails in
 //! between. The drain grace is so long here that a fraction of it exceeds [`TEST_TIMEOUT`], so the
 //! next attempt comes in time only because timeouts and backoffs have upper bounds.
 
--- a/crates/edge-node/tests/edge/start.rs
+++ b/crates/edge-node/tests/edge/start.rs
@@ -28,7 +28,7 @@
 }
 
 /// Panics unless all processes are ready within the time limit. The drain grace is so long that a
-/// fraction of it would exceed the limit.
+/// wait for a fraction of it would exceed the limit.
 fn assert_ready_in_time(tag: &str, discovery: std::net::SocketAddr) {
     let servers = FakeServers::new();
     let entries = [servers.start_returning_entry("s-1", &[RESPONDS_OK])];
--- a/crates/edge-node/tests/edge/watch.rs
+++ b/crates/edge-node/tests/edge/watch.rs
@@ -1,5 +1,5 @@
-//! Tests that the edge node knows a change in time, however a watch fails. The time is measured
-//! from when the discovery agent has the change, and must not exceed the drain grace of the
+//! Tests that the edge node learns of a change in time, however a watch fails. The time is measured
+//! from when the discovery agent learns of the change, and must not exceed the drain grace of the
 //! settings.
 
 use super::request_sequence::RequestSequence;
@@ -30,12 +30,12 @@
         }
     }
 
-    /// The endpoint list entries before the release.
+    /// Returns the endpoint list entries before the release.
     fn old_entries(&self) -> Vec<String> {
         vec![endpoint_entry("old", self.old_address, 1, "ready")]
     }
 
-    /// The endpoint list entries during the release.
+    /// Returns the endpoint list entries during the release.
     fn new_entries(&self) -> Vec<String> {
         vec![
             endpoint_entry("old", self.old_address, 1, "draining"),
@@ -108,8 +108,9 @@
     drop(node);
 }
 
-/// A new process must not send requests to servers that have left according to discovery. The list
-/// in its configuration may be outdated, so it waits for the first list from discovery.
+/// A new process must not send requests to servers that discovery reports as draining or gone. The
+/// list in its configuration may be outdated, so the process waits for the first list from
+/// discovery.
 #[test]
 fn requests_wait_for_first_list_from_discovery() {
     let release = Release::new();
@@ -197,8 +198,8 @@
 /// text are applied, and the watch is reopened.
 #[test]
 fn readable_entries_of_malformed_list_are_applied() {
-    /// Returns a malformed list, and whether the watch is closed after it.
-    type Corrupt<'a> = &'a dyn Fn(&Release) -> (String, bool);
+    /// Function that returns a malformed list, and whether the watch is closed after the list.
+    type MalformedList<'a> = &'a dyn Fn(&Release) -> (String, bool);
     let valid = |release: &Release| endpoint_list(2, true, &release.new_entries());
     let truncated = |release: &Release| {
         let text = valid(release);
@@ -210,13 +211,13 @@
         (format!("{text}{}", "7,".repeat(5000)), false)
     };
     let after_noise = |release: &Release| (format!("}}]noise\n{}", valid(release)), false);
-    let cases: [(&str, Corrupt); 4] = [
+    let cases: [(&str, MalformedList); 4] = [
         ("cut", &truncated),
         ("garbled", &invalid),
         ("endless", &endless),
         ("noisy", &after_noise),
     ];
-    for (tag, corrupt) in cases {
+    for (tag, malformed_list) in cases {
         let release = Release::new();
         let discovery = FakeDiscovery::start(&release.old_entries());
         // An endless list is given up after a fraction of this drain grace.
@@ -230,7 +231,7 @@
         let (_, mut watch) = discovery.next_watch();
         // The next watch has no changes, so the new server is known only from the first watch.
         discovery.set_list(endpoint_list(3, false, &[]));
-        let (text, closes_watch) = corrupt(&release);
+        let (text, closes_watch) = malformed_list(&release);
         send_list(&mut watch, &text);
         if closes_watch {
             watch.shutdown(Shutdown::Both).expect("watch is open");
--- a/crates/edge-node/tests/library/rate_limiter.rs
+++ b/crates/edge-node/tests/library/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! The rate limiter of the log lines.
+//! Tests the rate limiter of the log.
 
 use edge_node::log::rate_limiter::{Decision, RateLimiter};
 use std::time::{Duration, Instant};
--- a/crates/edge-node/tests/log.rs
+++ b/crates/edge-node/tests/log.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Longer than the time after which the edge node treats an open watch as stable.
+/// Duration that is longer than the time after which the edge node treats an open watch as stable.
 const STABLE_WATCH_TIME: Duration = Duration::from_millis(1200);
 
 #[test]
--- a/crates/edge-node/tests/support/fake_server.rs
+++ b/crates/edge-node/tests/support/fake_server.rs
@@ -80,8 +80,8 @@
         self.start_with_shared_behaviors(name, &Arc::new(Mutex::new(behaviors.to_vec())))
     }
 
-    /// Starts a server with its own behaviors. Returns an endpoint list entry with which the server
-    /// is ready.
+    /// Starts a server with its own behaviors. Returns an endpoint list entry that reports the
+    /// server as ready.
     pub(crate) fn start_returning_entry(&self, name: &str, behaviors: &[ServerBehavior]) -> String {
         endpoint_entry(name, self.start(name, behaviors), 1, "ready")
     }
--- a/crates/edge-node/tests/unit/discovery_watch.rs
+++ b/crates/edge-node/tests/unit/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! Tests which kind of failure the backoff is told for each way in which a watch ends.
+//! Tests the kind of failure, which determines the backoff, for each way in which a watch ends.
 
 use super::*;
 
--- a/crates/edge-node/tests/unit/metrics.rs
+++ b/crates/edge-node/tests/unit/metrics.rs
@@ -1,4 +1,4 @@
-//! Outcomes, their labels and their counters.
+//! Tests the metric labels of outcomes, and the counters.
 
 use super::*;
 
