--- a/crates/edge-node/src/clients/connection_state.rs
+++ b/crates/edge-node/src/clients/connection_state.rs
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Records that a request has arrived. Returns whether it is the first one of the connection.
+    /// Records that a request has arrived. Returns whether it is the first request of the
+    /// connection.
     pub(super) fn take_first_request(&self) -> bool {
         self.awaits_first_request.replace(false)
     }
--- a/crates/edge-node/src/config/schema/translate.rs
+++ b/crates/edge-node/src/config/schema/translate.rs
@@ -68,8 +68,8 @@
     (millis * MICROS_PER_MILLI).round() as u64
 }
 
-/// Sets the value at a path, and creates missing objects and lists on the way. `indexes` are the
-/// indexes in the lists of the path, from the outermost list.
+/// Sets the value at a path, and creates the objects and lists of the path that are missing.
+/// `indexes` are the indexes in the lists of the path, from the outermost list.
 fn insert(root: &mut Value, path: &str, indexes: &[usize], value: Value) {
     let mut indexes = indexes.iter();
     let mut target = root;
--- a/crates/edge-node/src/endpoint_list.rs
+++ b/crates/edge-node/src/endpoint_list.rs
@@ -106,8 +106,8 @@
     type Error = EntryError;
 
     fn try_from(document: EntryDocument) -> Result<EndpointEntry, EntryError> {
-        // If the report that a server is draining were ignored, the server would still be sent
-        // requests. An entry whose server is draining or gone is therefore valid whatever else is
+        // If the edge node ignored that a server is draining, it would still send requests to the
+        // server. An entry whose server is draining or gone is therefore valid whatever else is
         // wrong with it. Only the entry of a ready server needs an address.
         if document.health == EndpointHealth::Ready && document.dial.is_none() {
             return Err(EntryError::ReadyWithoutAddress);
--- a/crates/edge-node/src/node/endpoints.rs
+++ b/crates/edge-node/src/node/endpoints.rs
@@ -56,7 +56,8 @@
 
 impl Node {
     /// Applies endpoints to the connection pools first and then to the decision library. In this
-    /// order, a request that waits for a connection is never sent to a server that has left.
+    /// order, a request that waits for a connection is never sent to a server that is no longer
+    /// ready.
     pub(crate) fn apply_endpoints(
         self: &Rc<Self>,
         kind: EndpointUpdate,
--- a/crates/edge-node/src/reload.rs
+++ b/crates/edge-node/src/reload.rs
@@ -44,8 +44,8 @@
 
     fn apply(&self, config: &Config) {
         let address = config.discovery;
-        // An unchanged address is sent, too: discovery may have restarted and begun to number its
-        // lists from the start.
+        // The address is sent even if it is unchanged, which opens a new watch: discovery may have
+        // restarted and be numbering its lists from the beginning.
         self.discovery_address.send_replace(address);
         let level = config.operator_options.log.level;
         let waits = self
--- a/crates/edge-node/src/upstream/attempt.rs
+++ b/crates/edge-node/src/upstream/attempt.rs
@@ -21,7 +21,7 @@
 /// Header by which a server recognises a request that it has already executed.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// A client's request as it is sent to a server.
+/// The form of a client's request that is sent to servers.
 pub(crate) struct UpstreamRequest {
     /// Request id, which no other open request has.
     pub(crate) id: RequestId,
@@ -68,8 +68,8 @@
     #[error("no connection to the server")]
     Connect(#[from] ConnectError),
     /// Before anything was sent, the request was answered, the attempt's deadline passed, or the
-    /// server started draining or moved to another address.
-    #[error("the attempt was no longer needed once it had a connection")]
+    /// server stopped being ready or was given a new address.
+    #[error("the attempt was no longer needed when its connection was established")]
     NoLongerNeeded,
     /// The exchange on the connection failed.
     #[error("the exchange with the server failed")]
@@ -162,7 +162,7 @@
     ) -> Result<AttemptResult, AttemptError> {
         let connection = self.obtain_connection(&mut attempt).await?;
         // While the connection was being established, the request may have been answered, or the
-        // server may have started draining or moved to another address. Nothing has been written
+        // server may have stopped being ready or been given a new address. Nothing has been written
         // yet, so the server cannot have executed the request.
         let is_needed = (attempt.is_open)() && Instant::now() < attempt.deadline;
         if !is_needed || !self.has_current_address(attempt.server, &connection) {
--- a/crates/edge-node/src/upstream/pool.rs
+++ b/crates/edge-node/src/upstream/pool.rs
@@ -1,6 +1,6 @@
 //! The idle connections of one server.
 //!
-//! The pooled client of `hyper-util` is not used: it resends a request by itself if the connection
+//! The pooled client of `hyper-util` is not used: it resends a request on its own if the connection
 //! was closed, and does not report whether a byte was written, which decides whether a request may
 //! be retried.
 
--- a/crates/edge-node/src/upstream/response.rs
+++ b/crates/edge-node/src/upstream/response.rs
@@ -20,10 +20,10 @@
 #[derive(Debug, Error)]
 pub(super) enum ResponseError {
     /// The response names the request that was previously answered on this connection.
-    #[error("a copy of the previous response")]
+    #[error("the response is a copy of the previous response")]
     RepeatsPrevious,
     /// The status is 1xx.
-    #[error("an informational response")]
+    #[error("the response is informational")]
     Informational,
     /// The response has neither a content length nor a transfer encoding.
     #[error("the response has neither a content length nor a transfer encoding")]
