--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -19,7 +19,7 @@
 use crate::Action;
 
 impl Gateway {
-    /// Asks one of the customer's quota owners to grant a request's units.
+    /// Asks one of the quota owners of a request's customer to grant the request's units.
     pub(super) fn request_lease(
         &mut self,
         now: Timestamp,
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Checks each request that was never sent for an overdue lease response or an expired grant.
+    /// Checks whether the lease response of any unsent request is overdue, or its grant has
+    /// expired.
     pub(super) fn check_unsent_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !self.quota_sharing.uses_leases() {
             return;
@@ -180,8 +181,8 @@
             UnsentDecision::RequestLease => self.request_lease(now, id, actions),
             UnsentDecision::RenewGrant(grant) => self.renew_grant(now, id, grant, actions),
             UnsentDecision::TimedOut { pending, next } => {
-                self.record_miss(now, &id, pending);
-                self.continue_after_miss(now, id, pending, next, actions);
+                self.record_owner_timeout(now, &id, pending);
+                self.continue_after_timeout(now, id, pending, next, actions);
             }
         }
     }
@@ -205,7 +206,7 @@
     }
 
     /// Records that an owner has not responded to a lease request in time.
-    fn record_miss(&mut self, now: Timestamp, id: &RequestId, pending: PendingLease) {
+    fn record_owner_timeout(&mut self, now: Timestamp, id: &RequestId, pending: PendingLease) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -217,7 +218,7 @@
     }
 
     /// Asks an owner again, or queues or rejects the request without an owner's response.
-    fn continue_after_miss(
+    fn continue_after_timeout(
         &mut self,
         now: Timestamp,
         id: RequestId,
@@ -228,8 +229,7 @@
         if matches!(next, TimeoutDecision::AskAgain) {
             return self.request_lease(now, id, actions);
         }
-        // A request that is rejected below is granted too, because its rejection releases the
-        // grant.
+        // A request that is rejected below is granted too; its rejection releases the grant again.
         if let Some(request) = self.requests.get_mut(&id) {
             let own_grant = RequestGrant {
                 owner: self.deployment.settings.gateway_id,
@@ -293,8 +293,8 @@
     }
 }
 
-/// Sets a request's grant. Time after `now` counts towards the request's latency, because its quota
-/// no longer delays it.
+/// Sets a request's grant. Time from `now` on counts towards the request's latency, because the
+/// quota no longer delays the request.
 fn grant_request(now: Timestamp, request: &mut Request, grant: RequestGrant) {
     request.quota.set_grant(grant);
     request.record_quota_delay(now);
--- a/crates/gateway-core/src/gateway/mod.rs
+++ b/crates/gateway-core/src/gateway/mod.rs
@@ -94,7 +94,7 @@
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.watch_endpoints_at_first_event(actions);
         if let Some(id) = self.request_of_unknown_class_or_plan(&event) {
-            // Such a request has no effect on queued requests or the timer.
+            // Such a request must neither cause queued requests to be sent nor set a timer.
             return actions.push(Action::Fail { id });
         }
         self.handle_event(now, event, actions);
@@ -165,7 +165,7 @@
     }
 
     /// Handles a timer that has fired: does the periodic work that is due, in a fixed order.
-    /// Ignores a timer that was replaced by a later one.
+    /// Ignores a timer that has been replaced.
     fn on_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if self.timers.is_replaced(now) {
             return;
@@ -197,24 +197,26 @@
         }
     }
 
-    /// Returns the context of decisions at `now`. It borrows the whole gateway; callers that borrow
-    /// a part of it mutably use [`Context::new`] instead.
+    /// Returns the context of decisions at `now`. The context borrows the whole gateway; callers
+    /// that borrow a part of the gateway mutably use [`Context::new`] instead.
     fn context(&self, now: Timestamp) -> Context<'_> {
         Context::new(now, &self.deployment, self.servers.estimates())
     }
 
-    /// Returns the number of final answers given without a server since the start, by reason and
-    /// plan; counts of 0 are left out.
+    /// Returns the number of final answers given without a server since the gateway started, by
+    /// reason and plan; counts of 0 are left out.
     pub fn rejections(&self) -> impl Iterator<Item = (RejectReason, PlanId, u64)> + '_ {
         self.rejections.iter()
     }
 
-    /// Returns the number of entries held in memory for servers and customers.
+    /// Returns the number of entries held in memory for servers and customers, as a measure of
+    /// memory use.
     pub fn tracked_entries(&self) -> usize {
         self.servers.tracked_entries() + self.quotas.tracked_entries()
     }
 
-    /// Returns the number of server entries visited since the start, as a measure of the CPU work.
+    /// Returns the number of server entries visited since the gateway started, as a measure of CPU
+    /// work.
     pub fn entries_visited(&self) -> u64 {
         self.servers.entries_visited()
     }
--- a/crates/gateway-core/src/gateway/rejections.rs
+++ b/crates/gateway-core/src/gateway/rejections.rs
@@ -3,8 +3,8 @@
 use crate::types::{PlanId, RejectReason};
 use std::collections::BTreeMap;
 
-/// Numbers of final answers given without a server since the start, by reason and plan. Both
-/// rejections and failures count.
+/// Numbers of final answers given without a server since the gateway started, by reason and plan.
+/// Both rejections and failures count.
 #[derive(Default)]
 pub(super) struct RejectionCounts(BTreeMap<(RejectReason, PlanId), u64>);
 
--- a/crates/gateway-core/src/gateway/servers/mod.rs
+++ b/crates/gateway-core/src/gateway/servers/mod.rs
@@ -1,5 +1,5 @@
-//! Servers: their table, the estimates of the fleet, and the strategies, fixed at the start, for
-//! estimating the fleet, selecting servers and observing their health.
+//! Servers: their table, the estimates of the fleet, and the strategies for estimating the fleet,
+//! selecting servers and observing their health, which are chosen when the gateway starts.
 
 mod control_tick;
 mod health;
@@ -31,7 +31,7 @@
 /// would be too much work.
 #[derive(Default)]
 struct FleetConcurrency {
-    /// Number of attempts that all servers together finish in time.
+    /// Number of attempts that all servers together finish within the shortest latency objective.
     attempts: f64,
     valid_until: Timestamp,
 }
@@ -56,7 +56,7 @@
         &self.estimates
     }
 
-    /// Returns the estimates of the whole fleet, mutably.
+    /// Returns the estimates of the whole fleet, to be updated.
     pub(super) fn estimates_mut(&mut self) -> &mut FleetEstimates {
         &mut self.estimates
     }
@@ -86,7 +86,7 @@
         self.table.tracked_entries()
     }
 
-    /// Returns the number of server entries visited since the start.
+    /// Returns the number of server entries visited since the gateway started.
     pub(super) fn entries_visited(&self) -> u64 {
         self.table.visited()
     }
--- a/crates/gateway-core/src/gateway/servers/reports.rs
+++ b/crates/gateway-core/src/gateway/servers/reports.rs
@@ -51,7 +51,8 @@
     }
 
     /// Merges a peer's report on a server, and updates the server's ejection if the report is newer
-    /// than the health known here. Ignores reports on servers that are not tracked.
+    /// than this gateway's newest observation. Ignores reports on servers that are not in the
+    /// table.
     fn merge_report(&mut self, now: Timestamp, report: &HealthReport, random: &mut fastrand::Rng) {
         let Some(id) = self.table.by_short_id(report.server) else {
             return;
--- a/crates/gateway-core/src/gateway/servers/selection.rs
+++ b/crates/gateway-core/src/gateway/servers/selection.rs
@@ -12,9 +12,9 @@
     /// Returns the ready servers with capacity, or a sample of them if the servers are too many to
     /// scan.
     ///
-    /// Returns no servers while this gateway has enough attempts `in_flight` for the fleet
-    /// concurrency. The fleet concurrency is summed at each call if all servers are scanned,
-    /// otherwise once per control tick; the next tick is at `next_control_tick`.
+    /// Returns no servers while this gateway has as many attempts in flight (`in_flight`) as the
+    /// fleet concurrency allows. The fleet concurrency is summed at each call if all servers are
+    /// scanned, otherwise once per control tick; the next tick is at `next_control_tick`.
     pub(in crate::gateway) fn selectable(
         &mut self,
         now: Timestamp,
--- a/crates/gateway-core/src/gateway/timers.rs
+++ b/crates/gateway-core/src/gateway/timers.rs
@@ -30,7 +30,8 @@
         self.fires_at
     }
 
-    /// Returns whether a timer that fires at `now` was replaced by one that fires later.
+    /// Returns whether a timer that fires at `now` has been replaced: the timer that was set last
+    /// fires later, or has fired already.
     pub(super) fn is_replaced(&self, now: Timestamp) -> bool {
         now < self.fires_at
     }
