--- a/crates/gateway-core/src/message/mod.rs
+++ b/crates/gateway-core/src/message/mod.rs
@@ -44,7 +44,7 @@
 /// The sender's view of the fleet, attached to lease requests and lease responses.
 #[derive(Default)]
 pub(crate) struct GossipDigest {
-    /// Answers per second at one gateway.
+    /// Mean number of answers per second at one gateway.
     pub(crate) throughput: f64,
     /// Latency ratio of each class: mean latency relative to the latency objective; `None` while
     /// unknown.
--- a/crates/gateway-core/src/reconnect.rs
+++ b/crates/gateway-core/src/reconnect.rs
@@ -132,8 +132,8 @@
 
 impl ReconnectPolicy {
     /// Returns the policy for a drain grace. After a lost connection, the longest backoff and the
-    /// answer timeout, within which the next list is read, together take less than half of the drain
-    /// grace. Both are shorter where their upper bounds are.
+    /// answer timeout, within which the next list is read, together take less than half of the
+    /// drain grace. With a long drain grace, the upper bounds of the two make them shorter still.
     #[must_use]
     pub fn new(drain_grace: Duration) -> ReconnectPolicy {
         ReconnectPolicy {
--- a/crates/gateway-core/src/state/attempt.rs
+++ b/crates/gateway-core/src/state/attempt.rs
@@ -13,7 +13,7 @@
     pub(crate) number: AttemptNumber,
 }
 
-/// What is recorded of an attempt when it is sent.
+/// Record of an attempt in flight, made when the attempt is sent.
 pub(crate) struct Attempt {
     /// The server that the attempt was sent to.
     pub(crate) server: ServerId,
--- a/crates/gateway-core/src/state/deployment.rs
+++ b/crates/gateway-core/src/state/deployment.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// The inputs of a decision apart from the request, token bucket or server it is about.
+/// The inputs that all decisions share: the time, the settings and the estimates of the fleet.
 #[derive(Clone, Copy)]
 pub(crate) struct Context<'a> {
     /// The time of the event that is being handled.
--- a/crates/gateway-core/src/state/quota/account.rs
+++ b/crates/gateway-core/src/state/quota/account.rs
@@ -74,10 +74,10 @@
 impl CustomerAccount {
     /// Creates an account that has not been used for `unused_for`.
     ///
-    /// The quota starts with the whole burst. If it started with the even part, a customer that
-    /// uses nearly all of its quota would never get the rest; the usage of peers is received soon
-    /// enough to be deducted. The hard limit starts with only the units refilled over `unused_for`,
-    /// as earlier units may have been used already.
+    /// The quota starts with the whole burst. If it started with only the even part, a customer
+    /// that uses nearly all of its quota would never get the rest of the burst. The whole burst is
+    /// harmless, because peers' usage is received soon enough to be drained. The hard limit starts
+    /// with only the units refilled over `unused_for`, because earlier units may have been used.
     pub(crate) fn new(now: Timestamp, unused_for: Duration, config: AccountConfig<'_>) -> Self {
         let gateways = GatewaySet {
             count: config.gateways.count.max(1),
@@ -201,7 +201,8 @@
         self.recent_demand = self.recent_demand * (-idle_us / window.as_micros_f64()).exp() + units;
     }
 
-    /// Returns the units that requests asked for recently; on average, those of one decay window.
+    /// Returns the units that requests asked for recently: at a steady rate, the units of one decay
+    /// window.
     pub(crate) fn recent_demand(&self) -> Units {
         self.recent_demand
     }
@@ -331,8 +332,8 @@
         quota_us.max(hard_limit_us)
     }
 
-    /// Returns whether the account can be evicted without gain or loss: it has long been unused, is
-    /// full, and counts no recent usage of peers.
+    /// Returns whether the account may be evicted without gain or loss for its customer: it has
+    /// been unused for [`MIN_IDLE`], a refill up to now fills it, and peers have no recent usage.
     pub(crate) fn is_idle(&mut self, now: Timestamp, plan: &Plan, silent_gateways: f64) -> bool {
         if !self.is_unused(now) {
             return false;
--- a/crates/gateway-core/src/state/quota/hard_limit_bucket.rs
+++ b/crates/gateway-core/src/state/quota/hard_limit_bucket.rs
@@ -8,8 +8,8 @@
 /// The units that remain of a fixed fraction of a hard limit.
 ///
 /// The bucket starts empty and depends on no message, so the limit holds despite lost messages and
-/// restarts. The drawback: fractions at other gateways may stay unused if nearly all requests of a
-/// customer arrive at one gateway.
+/// restarts. Its drawback is that fractions at other gateways stay unused if nearly all requests of
+/// a customer arrive at one gateway.
 pub(crate) struct HardLimitBucket {
     tokens: Units,
     /// Fraction of the limit's rate and capacity that this bucket has.
--- a/crates/gateway-core/src/state/quota/liveness.rs
+++ b/crates/gateway-core/src/state/quota/liveness.rs
@@ -13,7 +13,8 @@
 }
 
 impl GatewayLiveness {
-    /// Starts with every gateway counted as heard from at `now`.
+    /// Creates the state of a gateway that starts at `now`. The silence of the other gateways is
+    /// counted from then on.
     pub(super) fn new(now: Timestamp, this_gateway: GatewayId, gateway_count: u32) -> Self {
         let mut last_received_at = vec![now; gateway_count as usize];
         last_received_at[this_gateway.0 as usize] = Timestamp::MAX;
--- a/crates/gateway-core/src/state/quota/mod.rs
+++ b/crates/gateway-core/src/state/quota/mod.rs
@@ -33,7 +33,7 @@
 /// Minimum time without a request before an account or an owned quota may be evicted.
 const MIN_IDLE: Duration = Duration::from_secs(60);
 
-/// The latest lease requests to a quota owner that it did not respond to in time.
+/// The most recent consecutive lease requests that a quota owner did not respond to in time.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct OwnerTimeouts {
     /// Number of consecutive lease requests without a response in time.
@@ -45,7 +45,8 @@
 /// The state of all quotas at this gateway: accounts, owned quotas and pending lease requests.
 pub(crate) struct QuotaState {
     started_at: Timestamp,
-    /// Set when peers turn out to have been up for much longer, as this gateway then has restarted.
+    /// Whether peers have been up for much longer than this gateway, which shows that this gateway
+    /// has restarted.
     has_restarted: bool,
     /// The account of each customer at this gateway.
     accounts: BTreeMap<CustomerId, CustomerAccount>,
@@ -56,8 +57,8 @@
     pending_leases: BTreeMap<u16, RequestId>,
     /// Sequence number of the most recent lease request.
     last_sequence: u16,
-    /// The owners that did not respond in time to the most recent lease request.
-    unresponsive_owners: BTreeMap<GatewayId, OwnerTimeouts>,
+    /// The timeouts of each owner that did not respond in time to its most recent lease request.
+    owner_timeouts: BTreeMap<GatewayId, OwnerTimeouts>,
     liveness: GatewayLiveness,
 }
 
@@ -98,7 +99,7 @@
             owned: BTreeMap::new(),
             pending_leases: BTreeMap::new(),
             last_sequence: 0,
-            unresponsive_owners: BTreeMap::new(),
+            owner_timeouts: BTreeMap::new(),
             liveness: GatewayLiveness::new(now, this_gateway, gateway_count),
         }
     }
@@ -128,12 +129,12 @@
         self.accounts.get(&customer)
     }
 
-    /// Returns a customer's account for changes, if there is one.
+    /// Returns a customer's account to be updated, if there is one.
     pub(crate) fn account_mut(&mut self, customer: CustomerId) -> Option<&mut CustomerAccount> {
         self.accounts.get_mut(&customer)
     }
 
-    /// Returns a customer's account for a refill, if there is one.
+    /// Returns a customer's account to be refilled, if there is one.
     pub(crate) fn account_entry(&mut self, customer: CustomerId) -> Option<AccountEntry<'_>> {
         Some(AccountEntry {
             account: self.accounts.get_mut(&customer)?,
@@ -141,8 +142,8 @@
         })
     }
 
-    /// Returns a customer's account for a refill; if there is none, adds the account that `create`
-    /// returns.
+    /// Returns a customer's account to be refilled; if there is none, adds the account that
+    /// `create` returns.
     pub(crate) fn account_entry_or_insert(
         &mut self,
         customer: CustomerId,
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Iterates over all accounts for changes, ordered by customer.
+    /// Iterates over all accounts to be updated, ordered by customer.
     pub(crate) fn accounts_mut(&mut self) -> impl Iterator<Item = &mut CustomerAccount> {
         self.accounts.values_mut()
     }
@@ -192,22 +193,23 @@
         self.pending_leases.remove(&sequence)
     }
 
-    /// Records that an owner has not responded in time. If that makes it an unresponsive owner, it
-    /// is not asked until `cooldown_until`.
+    /// Records that an owner has not responded in time. If this makes the owner unresponsive, it is
+    /// not asked until `cooldown_until`.
     pub(crate) fn record_timeout(&mut self, owner: GatewayId, cooldown_until: Timestamp) {
-        let timeouts = self.unresponsive_owners.entry(owner).or_default();
+        let timeouts = self.owner_timeouts.entry(owner).or_default();
         timeouts.count += 1;
         timeouts.cooldown_until = cooldown_until;
     }
 
     /// Records that an owner has responded, which resets its count of timeouts.
     pub(crate) fn record_response(&mut self, owner: GatewayId) {
-        self.unresponsive_owners.remove(&owner);
+        self.owner_timeouts.remove(&owner);
     }
 
-    /// Returns the consecutive lease requests that an owner has not responded to in time, if any.
+    /// Returns the consecutive timeouts of an owner; `None` if it responded to its most recent
+    /// lease request.
     pub(crate) fn timeouts_of(&self, owner: GatewayId) -> Option<OwnerTimeouts> {
-        self.unresponsive_owners.get(&owner).copied()
+        self.owner_timeouts.get(&owner).copied()
     }
 
     /// Records that usage counts of a peer were received.
--- a/crates/gateway-core/src/state/quota/permits.rs
+++ b/crates/gateway-core/src/state/quota/permits.rs
@@ -17,7 +17,7 @@
     expires_at: Timestamp,
 }
 
-/// The permits in use. Each has an expiry time, as the message that releases it may be lost.
+/// The permits in use. Each permit expires, because the message that releases it may be lost.
 #[derive(Default)]
 pub(crate) struct ConcurrencyPermits(Vec<Permit>);
 
--- a/crates/gateway-core/src/state/quota/progress.rs
+++ b/crates/gateway-core/src/state/quota/progress.rs
@@ -29,7 +29,7 @@
     pub(crate) owner: GatewayId,
     /// Sequence number of the lease request that the permission was granted for.
     pub(crate) sequence: u16,
-    /// The time up to which the permission may be used under a hard limit.
+    /// The time up to which the permission may be used; without a hard limit it does not expire.
     pub(crate) expires_at: Timestamp,
 }
 
@@ -54,12 +54,12 @@
         self.pending
     }
 
-    /// Returns the number of responses so far that the quota is exceeded.
+    /// Returns the number of owners' responses so far that stated that the quota is exceeded.
     pub(crate) fn rejections(&self) -> u32 {
         self.rejections
     }
 
-    /// Returns the number of lease requests so far that got no response in time.
+    /// Returns the number of lease requests so far that received no response in time.
     pub(crate) fn timeouts(&self) -> u32 {
         self.timeouts
     }
--- a/crates/gateway-core/src/state/servers/server_index.rs
+++ b/crates/gateway-core/src/state/servers/server_index.rs
@@ -11,9 +11,9 @@
 /// Indexes over the health of the ready servers.
 #[derive(Default)]
 pub(crate) struct ServerIndex {
-    /// By class: the ejected servers, ordered by the time of the next probe.
+    /// The ejected servers of each class, ordered by the time of the next probe.
     probes: Vec<BTreeSet<(Timestamp, ServerId)>>,
-    /// By class: the sum of the failure rates, as a fixed-point value.
+    /// The sum of the failure rates with each class, as a fixed-point value.
     failure_rate_sums: Vec<u64>,
     /// The newest observation of each server with each class, ordered by time.
     observations: BTreeSet<(Timestamp, ServerId, ClassId)>,
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Updates the entries of a server after a change of its health, or removes them if it is not
-    /// to be included.
+    /// Updates the entries of a server after a change of its health, or removes them unless
+    /// `is_included` is set.
     pub(crate) fn update(&mut self, server: &mut Server, is_included: bool) {
         let id = server.endpoint.server;
         for (class, health) in server.health.iter_mut().enumerate() {
--- a/crates/gateway-core/src/state/servers/server_table/mod.rs
+++ b/crates/gateway-core/src/state/servers/server_table/mod.rs
@@ -1,7 +1,7 @@
 //! The server table: all servers on the endpoint list.
 //!
 //! Each server that this gateway uses is tracked, with its health. If too many servers are ready to
-//! track all of them, the table retains only the endpoint of each other ready server.
+//! track all of them, the table retains only the endpoints of the ready servers that are not used.
 
 mod candidates;
 mod eviction;
@@ -53,9 +53,9 @@
 
 /// A server that is warming up, and its slow-start credit.
 pub(crate) struct WarmingServer<'a> {
-    /// Minimum fraction of its capacity that the server has reached, less than 1.
+    /// Minimum fraction of its full capacity that the server has, less than 1.
     pub(crate) warm_up_fraction: f64,
-    /// The server's slow-start credit, for changes.
+    /// The server's slow-start credit, to be updated.
     pub(crate) credit: &'a mut SlowStartCredit,
 }
 
@@ -110,7 +110,7 @@
         self.get_or_track(now, id);
     }
 
-    /// Returns a server for changes; `None` if it is not in the table. The server is tracked from
+    /// Returns a server to be updated; `None` if it is not in the table. The server is tracked from
     /// now on, and counts as used now.
     pub(crate) fn get_or_track(
         &mut self,
--- a/crates/gateway-core/src/state/servers/slow_start_credit.rs
+++ b/crates/gateway-core/src/state/servers/slow_start_credit.rs
@@ -3,8 +3,8 @@
 /// Credit that one attempt takes.
 const CREDIT_PER_ATTEMPT: f64 = 1.0;
 
-/// The number of attempts that may be sent to a server while it warms up. Negative if attempts were
-/// sent while the server counted as warm, when credit is not required.
+/// The number of attempts that may be sent to a server while it warms up. The credit is negative if
+/// attempts were sent while the server was warm, because these require no credit.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SlowStartCredit(f64);
 
--- a/crates/gateway-core/src/statistics.rs
+++ b/crates/gateway-core/src/statistics.rs
@@ -59,7 +59,7 @@
     ascending.get(ascending.len() / 2).copied()
 }
 
-/// Converts a count for floating-point calculations.
+/// Converts a count to a floating-point number.
 pub(crate) fn count_as_f64(count: usize) -> f64 {
     count as f64
 }
