--- a/crates/gateway-core/tests/common/fleet.rs
+++ b/crates/gateway-core/tests/common/fleet.rs
@@ -5,9 +5,9 @@
 use gateway_core::*;
 use std::collections::BTreeMap;
 
-/// Mean number of messages in twenty of which the first copy is delivered.
+/// Number of messages in twenty, on average, whose first copy is delivered.
 const DELIVERED_OF_TWENTY: u8 = 18;
-/// Mean number of messages in twenty of which a second copy is delivered.
+/// Number of messages in twenty, on average, whose second copy is delivered.
 const DUPLICATED_OF_TWENTY: u8 = 1;
 
 /// A message in transit.
@@ -150,14 +150,14 @@
         sent
     }
 
-    /// Replaces a gateway by a new one without state; messages in transit to it still arrive.
+    /// Replaces a gateway with a new gateway without state. Messages in transit to it still arrive.
     pub(crate) fn restart(&mut self, index: usize, seed: u64, settings: Settings, servers: u64) {
         let now = self.gateways[index].now;
         self.gateways[index] = GatewayHarness::with_servers(seed, settings, now, servers);
         self.actions_collected[index] = 0;
     }
 
-    /// Replaces all gateways by new ones without state and with the default settings.
+    /// Replaces all gateways with new gateways without state and with the default settings.
     pub(crate) fn restart_all(&mut self, seed: u64, servers: u64) {
         let count = self.gateways.len();
         for index in 0..count {
--- a/crates/gateway-core/tests/common/harness.rs
+++ b/crates/gateway-core/tests/common/harness.rs
@@ -35,7 +35,7 @@
     pub(crate) actions: Vec<Action>,
     /// The gateways that receive the customers' requests.
     pub(crate) customer_gateways: GatewaySet,
-    /// Number of requests in flight that each server reports; other servers report none.
+    /// Number of requests in flight that each server reports; servers without an entry report none.
     pub(crate) reported_loads: BTreeMap<ServerId, f64>,
     requests: RequestLog,
     last_request: u64,
@@ -72,7 +72,7 @@
         harness
     }
 
-    /// Returns the only gateway of its customers, which decides on their quotas without messages to
+    /// Creates the only gateway of its customers, which decides on their quotas without messages to
     /// other gateways.
     pub(crate) fn sole_gateway(seed: u64, settings: Settings, now: Micros, servers: u64) -> Self {
         let customer_gateways = GatewaySet {
--- a/crates/gateway-core/tests/common/request_log.rs
+++ b/crates/gateway-core/tests/common/request_log.rs
@@ -166,8 +166,8 @@
     }
 }
 
-/// Returns whether an attempt with this outcome may have executed its request. This does not call
-/// [`AttemptOutcome::may_have_executed`], so that a fault there is found.
+/// Returns whether an attempt with this outcome may have executed its request. The function does
+/// not call [`AttemptOutcome::may_have_executed`], so that a fault in that method is found.
 fn may_have_executed(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
--- a/crates/gateway-core/tests/policy/deadlines.rs
+++ b/crates/gateway-core/tests/policy/deadlines.rs
@@ -68,7 +68,8 @@
     }
 }
 
-/// At the half time of a request that was not sent, its client is notified, and told when to retry.
+/// A request that has not been sent by its half time is rejected with a `Retry-After`, so that its
+/// client can still retry elsewhere.
 #[test]
 fn rejects_unsent_request_at_half_time() {
     let mut gateway = GatewayHarness::new(1, settings(0, 2), S);
--- a/crates/gateway-core/tests/policy/gateway.rs
+++ b/crates/gateway-core/tests/policy/gateway.rs
@@ -88,8 +88,8 @@
     }
 }
 
-/// Over a long time, servers appear under ever new ids, and customers send a single request each.
-/// Memory must not grow with their number.
+/// Over a long time, replaced servers appear under new ids, and customers send a single request
+/// each. Memory must not grow with the number of servers and customers ever seen.
 #[test]
 fn evicts_gone_servers_and_idle_customers() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
--- a/crates/gateway-core/tests/policy/lease.rs
+++ b/crates/gateway-core/tests/policy/lease.rs
@@ -14,9 +14,9 @@
     }
 }
 
-/// Guards against a flood of lease requests. A gateway's message intake is bounded: if there are
-/// too many lease requests, some are lost, and each lost one causes one more. A busy gateway must
-/// therefore not exchange messages with an owner for each request.
+/// Guards against a flood of lease requests. A gateway's message intake is bounded: if too many
+/// lease requests are sent, some are lost, and each lost lease request is sent again. A busy
+/// gateway must therefore not exchange messages with an owner for each request.
 #[test]
 fn busy_gateway_sends_fewer_lease_requests_than_requests() {
     let mut fleet = Fleet::new(60, 40, |settings| {
@@ -41,11 +41,11 @@
     let messages = fleet.messages_sent - messages_before;
     assert!(
         messages * 4 <= requests * 5,
-        "{messages} messages for {requests} requests; without leases there are two for each"
+        "{messages} messages for {requests} requests; without leases, each request causes two"
     );
 }
 
-/// Units on lease count as used until they are returned, and they are returned only once.
+/// Leased units count as used until they are returned, and they are returned only once.
 #[test]
 fn hard_limit_holds_when_leases_are_lost_late_or_repeated() {
     for seed in 1..=4 {
@@ -87,7 +87,7 @@
         .build()
 }
 
-/// Quota owner to which gateways send lease requests.
+/// The quota owner to which gateways send lease requests.
 struct Owner {
     id: GatewayId,
     harness: GatewayHarness,
@@ -173,7 +173,7 @@
         self.gateway.advance(520 * MS);
     }
 
-    /// Receives one request at each of the other gateways, which leaves the owner with fewer units.
+    /// Receives one request at each of these gateways, which leaves the owner with fewer units.
     fn request_at_other_gateways(&mut self, gateways: std::ops::Range<u32>) {
         let now = self.gateway.now;
         for number in gateways {
@@ -199,7 +199,7 @@
     scenario.sent
 }
 
-/// Guards against exceeding the hard limit by a lease that is used late or returned twice.
+/// Guards against a lease that is used late or returned twice, and so exceeds the hard limit.
 #[test]
 fn expired_lease_is_returned_only_once() {
     let sent_with_one_return = sent_until_owner_runs_out(1);
@@ -209,7 +209,7 @@
         "one return: {sent_with_one_return} requests sent; two returns: {sent_with_two_returns}"
     );
     // The owner's part is 0.7 of the hard limit: 40 units, a quarter of them reserved, and 20 units
-    // per second over 1.72 s. Units on lease that were not used are granted to others.
+    // per second over 1.72 s. Leased units that were not used are granted to other gateways.
     let max_sent = 0.7 * (0.75 * 40.0 + 20.0 * 1.72);
     assert!(
         (max_sent - 3.0..=max_sent).contains(&(sent_with_one_return as f64)),
@@ -217,8 +217,8 @@
     );
 }
 
-/// In a partition, or if more messages are sent than gateways can take in, more lease requests
-/// would make it worse.
+/// In a partition, or if more messages are sent than gateways can take in, frequent lease requests
+/// would cause more losses.
 #[test]
 fn repeats_unanswered_lease_request_at_growing_intervals() {
     let mut gateway = GatewayHarness::with_servers(5, settings(0, LARGE_FLEET), S, 40);
--- a/crates/gateway-core/tests/policy/quota.rs
+++ b/crates/gateway-core/tests/policy/quota.rs
@@ -132,8 +132,8 @@
     );
 }
 
-/// A peer that has been up for much longer shows a gateway that it has restarted: units may have
-/// been used that it does not know of.
+/// A gateway that hears from a peer that has been up for much longer has itself restarted: units
+/// may have been used before the restart, so it must not use the whole burst again.
 #[test]
 fn restart_does_not_refill_token_bucket() {
     let sent = |incarnation: u32| {
@@ -148,8 +148,8 @@
     );
 }
 
-/// A single request that names a wrong plan must not set the plan for good if it arrives first, nor
-/// replace the right plan if it arrives later.
+/// A single request that names a wrong plan must not set the plan permanently if it arrives first,
+/// nor replace the right plan if it arrives later.
 #[test]
 fn single_request_with_wrong_plan_does_not_change_plan() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
@@ -157,7 +157,7 @@
     assert_eq!(
         count_admitted(&mut gateway, UNLIMITED, 20),
         20,
-        "this plan has no limit, the other one a burst of 4 units"
+        "the unlimited plan applies; the small quota has a burst of 4 units"
     );
     count_admitted(&mut gateway, SMALL_QUOTA, 2);
     assert_eq!(count_admitted(&mut gateway, UNLIMITED, 20), 20);
@@ -172,7 +172,7 @@
     assert_eq!(
         gateway.in_flight.len(),
         1,
-        "two attempts in flight are shared by two gateways"
+        "the even part of two attempts in flight at two gateways is one"
     );
     let id = gateway.in_flight[0].request.clone();
     gateway.finish(&id, AttemptOutcome::Success);
@@ -194,7 +194,7 @@
 }
 
 /// The even part of the hard limit, 6 of 12 units, is empty when a gateway starts, and full after a
-/// long time. Evicting the token bucket of a customer that stays away does not change that.
+/// long time. Evicting the account of a customer that sends no requests does not change that.
 #[test]
 fn hard_limit_grants_no_more_after_eviction() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
@@ -207,7 +207,7 @@
         );
         gateway.advance(400 * MS); // queued requests are rejected
     }
-    // An unknown customer has used nothing since the gateway started.
+    // A customer without an account has used nothing since the gateway started.
     let mut fresh = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
     fresh.now += 500 * MS;
     assert_eq!(
--- a/crates/gateway-core/tests/policy/quota_owner.rs
+++ b/crates/gateway-core/tests/policy/quota_owner.rs
@@ -87,7 +87,7 @@
         }
     }
     // A capacity of 12 units, and 8 units per second over 8 s. An owner starts with an empty part,
-    // so restarts grant nothing twice.
+    // so units are not granted again after a restart.
     assert!((20..=76).contains(&sent), "{sent} requests were sent");
 }
 
@@ -116,8 +116,8 @@
     assert_eq!(gateway.in_flight.len(), 2);
 }
 
-/// If the permit were kept, requests that wait for a server would exhaust the permits that they ask
-/// for again.
+/// A request that waits for a server asks for a new permit when its grant expires. If it kept the
+/// old permit, waiting requests would exhaust the permits.
 #[test]
 fn releases_permit_of_expired_grant_before_request_asks_again() {
     let hard_limit = HardLimit {
--- a/crates/gateway-core/tests/policy/slow_start.rs
+++ b/crates/gateway-core/tests/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Servers that have just started receive no more attempts than they can process by then.
+//! Servers that are warming up receive no more attempts than they can process.
 
 use crate::common::*;
 use gateway_core::*;
@@ -27,8 +27,8 @@
         sent += gateway.sent_count() - before;
         gateway.complete_all();
     }
-    // The warm server completed about 45 attempts per second. The new one can complete a fifth of
-    // that, and collapses at three times that fifth.
+    // The warm server completed about 45 attempts per second. The new server can complete a fifth
+    // of that rate, and collapses at three times that fifth.
     assert!((1..=27).contains(&sent), "{sent} attempts were sent");
 }
 
@@ -93,8 +93,9 @@
             *sum += sent;
         }
     }
-    // The gateways do not know of each other, and the server has a fifth to half of its capacity:
-    // all gateways together send that fraction of 1.5 attempts per second, and what chance adds.
+    // The gateways exchange no messages, and the server has a fifth to half of its capacity: all
+    // gateways together send on average that fraction of 1.5 attempts per second. The limit of 5
+    // leaves room for random variation.
     assert!(
         by_second.iter().all(|sent| *sent <= 5),
         "attempts in each second: {by_second:?}"
--- a/crates/gateway-core/tests/replay.rs
+++ b/crates/gateway-core/tests/replay.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// Digests recorded on commit e73c6e6. On that commit, the earlier digests, which hashed the `Debug`
+/// Digests recorded on commit e73c6e6, on which the previous digests, which hashed the `Debug`
 /// texts of actions, still matched.
 const RECORDED: &[RecordedDigest] = &[
     digest(3, 14, 1, 0x9bf59f11578f08d0),
--- a/crates/gateway-core/tests/unit/fuzzy_controller.rs
+++ b/crates/gateway-core/tests/unit/fuzzy_controller.rs
@@ -1,5 +1,4 @@
-//! The in-flight limit over control ticks, compared with limits that were recorded before the
-//! controller became a module of its own.
+//! The in-flight limit over consecutive control ticks, compared with recorded limits.
 
 use super::*;
 
@@ -25,7 +24,8 @@
     }
 }
 
-/// A calm phase, a growing disturbance, a large error that corrects itself, and rest.
+/// Control ticks without a missed objective, with a growing error, with a large error that corrects
+/// itself, and with a steady ratio below the target.
 const RECORDED: [Tick; 12] = [
     tick(0.6, 5.0, 12.0, None),
     tick(1.3, 9.0, 24.0, Some(9.0)),
--- a/crates/gateway-core/tests/unit/outlier_detection.rs
+++ b/crates/gateway-core/tests/unit/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! When a server is ejected, and when it is probed.
+//! The time of the next probe of an ejected server.
 
 use super::*;
 use crate::types::Endpoint;
