--- a/crates/gateway-core/src/gateway/leases.rs
+++ b/crates/gateway-core/src/gateway/leases.rs
@@ -10,7 +10,7 @@
 use crate::policy::quota_sharing::owner::{lease_lifetime, owners_of, ReceivedLeaseRequest};
 use crate::state::deployment::Context;
 use crate::state::quota::{
-    CustomerAccount, HeldLease, PendingLease, PermitHolder, QuotaOwner, RequestGrant,
+    CustomerAccount, HeldLease, PendingLeaseRequest, PermitHolder, QuotaOwner, RequestGrant,
 };
 use crate::state::request::Request;
 use crate::time::Timestamp;
@@ -206,7 +206,12 @@
     }
 
     /// Records that an owner has not responded to a lease request in time.
-    fn record_owner_timeout(&mut self, now: Timestamp, id: &RequestId, pending: PendingLease) {
+    fn record_owner_timeout(
+        &mut self,
+        now: Timestamp,
+        id: &RequestId,
+        pending: PendingLeaseRequest,
+    ) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -222,7 +227,7 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        pending: PendingLease,
+        pending: PendingLeaseRequest,
         next: TimeoutDecision,
         actions: &mut Vec<Action>,
     ) {
@@ -269,7 +274,7 @@
                     bytes: message::encode(&release),
                 });
             }
-            policy::PermitReleaseTarget::Nobody => {}
+            policy::PermitReleaseTarget::NoGateway => {}
         }
     }
 }
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -19,7 +19,8 @@
 use crate::settings::HardLimit;
 use crate::state::deployment::{Context, Deployment};
 use crate::state::quota::{
-    CustomerAccount, HeldLease, PendingLease, QuotaOwner, QuotaOwners, QuotaState, RequestGrant,
+    CustomerAccount, HeldLease, PendingLeaseRequest, QuotaOwner, QuotaOwners, QuotaState,
+    RequestGrant,
 };
 use crate::state::request::Request;
 use crate::time::{DurationExt, Timestamp};
@@ -230,7 +231,7 @@
     /// The owner has not responded in time.
     TimedOut {
         /// Lease request without a response.
-        pending: PendingLease,
+        pending: PendingLeaseRequest,
         /// Decision on the request.
         next: TimeoutDecision,
     },
@@ -315,7 +316,7 @@
     /// Quota owner that granted the permit.
     Owner(GatewayId),
     /// No gateway, because the customer's plan has no concurrency permits.
-    Nobody,
+    NoGateway,
 }
 
 /// Decides which gateway is notified that a request no longer needs the permit of its grant.
@@ -335,6 +336,6 @@
     if plan.is_some_and(|plan| plan.max_concurrent.is_some()) {
         PermitReleaseTarget::Owner(grant.owner)
     } else {
-        PermitReleaseTarget::Nobody
+        PermitReleaseTarget::NoGateway
     }
 }
--- a/crates/gateway-core/src/state/quota/mod.rs
+++ b/crates/gateway-core/src/state/quota/mod.rs
@@ -18,7 +18,7 @@
 pub(crate) use owned::{OwnedQuota, OwnedQuotaConfig};
 pub(crate) use owners::QuotaOwners;
 pub(crate) use permits::{permits_of_owner, PermitHolder};
-pub(crate) use progress::{PendingLease, QuotaOwner, QuotaProgress, RequestGrant};
+pub(crate) use progress::{PendingLeaseRequest, QuotaOwner, QuotaProgress, RequestGrant};
 
 use crate::message::UsageCount;
 use crate::settings::Plan;
@@ -54,7 +54,7 @@
     owned: BTreeMap<CustomerId, OwnedQuota>,
     /// Requests that wait for a quota owner's response, by the sequence number of the lease
     /// request.
-    pending_leases: BTreeMap<u16, RequestId>,
+    pending_lease_requests: BTreeMap<u16, RequestId>,
     /// Sequence number of the most recent lease request.
     last_sequence: u16,
     /// The timeouts of each owner that did not respond in time to its most recent lease request.
@@ -97,7 +97,7 @@
             has_restarted: false,
             accounts: BTreeMap::new(),
             owned: BTreeMap::new(),
-            pending_leases: BTreeMap::new(),
+            pending_lease_requests: BTreeMap::new(),
             last_sequence: 0,
             owner_timeouts: BTreeMap::new(),
             liveness: GatewayLiveness::new(now, this_gateway, gateway_count),
@@ -185,12 +185,12 @@
 
     /// Records that a request waits for the response to a lease request.
     pub(crate) fn insert_pending(&mut self, sequence: u16, request: RequestId) {
-        self.pending_leases.insert(sequence, request);
+        self.pending_lease_requests.insert(sequence, request);
     }
 
     /// Removes and returns the request that waited for the response to a lease request.
     pub(crate) fn remove_pending(&mut self, sequence: u16) -> Option<RequestId> {
-        self.pending_leases.remove(&sequence)
+        self.pending_lease_requests.remove(&sequence)
     }
 
     /// Records that an owner has not responded in time. If this makes the owner unresponsive, it is
--- a/crates/gateway-core/src/state/quota/progress.rs
+++ b/crates/gateway-core/src/state/quota/progress.rs
@@ -14,7 +14,7 @@
 
 /// A lease request that waits for its response.
 #[derive(Clone, Copy)]
-pub(crate) struct PendingLease {
+pub(crate) struct PendingLeaseRequest {
     /// Sequence number of the lease request.
     pub(crate) sequence: u16,
     /// When the lease request was sent.
@@ -37,7 +37,7 @@
 #[derive(Default)]
 pub(crate) struct QuotaProgress {
     owner: QuotaOwner,
-    pending: Option<PendingLease>,
+    pending: Option<PendingLeaseRequest>,
     rejections: u32,
     timeouts: u32,
     grant: Option<RequestGrant>,
@@ -50,7 +50,7 @@
     }
 
     /// Returns the lease request that waits for its response, if there is one.
-    pub(crate) fn pending(&self) -> Option<PendingLease> {
+    pub(crate) fn pending(&self) -> Option<PendingLeaseRequest> {
         self.pending
     }
 
@@ -82,14 +82,14 @@
         owner: QuotaOwner,
     ) {
         self.owner = owner;
-        self.pending = Some(PendingLease {
+        self.pending = Some(PendingLeaseRequest {
             sequence,
             sent_at: now,
         });
     }
 
     /// Removes and returns the lease request with a sequence number, if it is still pending.
-    pub(crate) fn take_pending(&mut self, sequence: u16) -> Option<PendingLease> {
+    pub(crate) fn take_pending(&mut self, sequence: u16) -> Option<PendingLeaseRequest> {
         self.pending.take_if(|pending| pending.sequence == sequence)
     }
 
--- a/crates/gateway-core/src/state/servers/class_health.rs
+++ b/crates/gateway-core/src/state/servers/class_health.rs
@@ -67,7 +67,7 @@
 
     /// Records that an attempt was sent. If the server is ejected, the attempt is a probe, and the
     /// next probe may be sent from `next_probe_at` on.
-    pub(super) fn record_probe(&mut self, next_probe_at: Timestamp) {
+    pub(super) fn record_attempt_sent(&mut self, next_probe_at: Timestamp) {
         if self.is_ejected() {
             self.next_probe_at = Some(next_probe_at);
         }
--- a/crates/gateway-core/src/state/servers/server.rs
+++ b/crates/gateway-core/src/state/servers/server.rs
@@ -112,7 +112,7 @@
     pub(crate) fn record_attempt_sent(&mut self, class: ClassId, next_probe_at: Timestamp) {
         self.in_flight += 1;
         self.slow_start_credit.take_attempt();
-        self.health[class.0].record_probe(next_probe_at);
+        self.health[class.0].record_attempt_sent(next_probe_at);
     }
 
     /// Records that an attempt is no longer in flight.
