--- a/crates/gateway-core/src/state/quota/progress.rs
+++ b/crates/gateway-core/src/state/quota/progress.rs
@@ -14,7 +14,7 @@
 
 /// A lease request that waits for its response.
 #[derive(Clone, Copy)]
-pub(crate) struct PendingLease {
+pub(crate) struct PendingLeaseRequest {
     /// Sequence number of the lease request.
     pub(crate) sequence: u16,
     /// When the lease request was sent.
@@ -29,7 +29,7 @@
     pub(crate) owner: GatewayId,
     /// Sequence number of the lease request that the permission was granted for.
     pub(crate) sequence: u16,
-    /// The time up to which the permission may be used under a hard limit.
+    /// The time up to which the permission may be used; without a hard limit it does not expire.
     pub(crate) expires_at: Timestamp,
 }
 
@@ -37,7 +37,7 @@
 #[derive(Default)]
 pub(crate) struct QuotaProgress {
     owner: QuotaOwner,
-    pending: Option<PendingLease>,
+    pending: Option<PendingLeaseRequest>,
     rejections: u32,
     timeouts: u32,
     grant: Option<RequestGrant>,
@@ -50,16 +50,16 @@
     }
 
     /// Returns the lease request that waits for its response, if there is one.
-    pub(crate) fn pending(&self) -> Option<PendingLease> {
+    pub(crate) fn pending(&self) -> Option<PendingLeaseRequest> {
         self.pending
     }
 
-    /// Returns the number of responses so far that the quota is exceeded.
+    /// Returns the number of owners' responses so far that stated that the quota is exceeded.
     pub(crate) fn rejections(&self) -> u32 {
         self.rejections
     }
 
-    /// Returns the number of lease requests so far that got no response in time.
+    /// Returns the number of lease requests so far that received no response in time.
     pub(crate) fn timeouts(&self) -> u32 {
         self.timeouts
     }
@@ -82,14 +82,14 @@
         owner: QuotaOwner,
     ) {
         self.owner = owner;
-        self.pending = Some(PendingLease {
+        self.pending = Some(PendingLeaseRequest {
             sequence,
             sent_at: now,
         });
     }
 
     /// Removes and returns the lease request with a sequence number, if it is still pending.
-    pub(crate) fn take_pending(&mut self, sequence: u16) -> Option<PendingLease> {
+    pub(crate) fn take_pending(&mut self, sequence: u16) -> Option<PendingLeaseRequest> {
         self.pending.take_if(|pending| pending.sequence == sequence)
     }
 
