--- a/crates/gateway-core/src/policy/controller_inputs.rs
+++ b/crates/gateway-core/src/policy/controller_inputs.rs
@@ -1,9 +1,10 @@
 //! Inputs of the fuzzy controller at a control tick, which differ between small and large fleets.
 //!
 //! The rules, in the order in which they apply at each control tick:
-//! 1. An answered request counts with its latency. An open request counts with its age if the rule
-//!    of the fleet says so ([`ControllerInputs::counts_open_request`]). Without open requests,
-//!    servers that hang would look fast, because they answer nothing.
+//! 1. An answered request is a latency sample with its latency. An open request is a sample with
+//!    its age, under conditions that depend on the fleet mode
+//!    ([`ControllerInputs::counts_open_request`]). Without samples of open requests, servers that
+//!    hang would look fast, because they answer nothing.
 //! 2. The latency ratio of each class is updated with the mean of this gateway's samples
 //!    ([`ControllerInputs::latency_ratio_weight`]). Without samples it stays as it was, or becomes
 //!    unknown ([`ControllerInputs::forgets_latency_ratios`]).
--- a/crates/gateway-core/src/policy/fleet_mode.rs
+++ b/crates/gateway-core/src/policy/fleet_mode.rs
@@ -1,6 +1,6 @@
 //! The fleet mode: whether gateways share quotas by gossip, as in a small fleet, or by leases, as
-//! in a large one. It is chosen once, when a gateway starts; types whose rules differ between the
-//! two modes are constructed for one of them.
+//! in a large fleet. The mode is chosen once, when a gateway starts; types whose rules depend on
+//! the mode are constructed for it.
 //!
 //! The rules, in the order in which they apply:
 //! 1. The peers' message intake bounds how often each gateway may broadcast its usage
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -28,8 +28,8 @@
 use crate::units::Units;
 use std::time::Duration;
 
-/// Time after its last update at which a customer's request probability no longer limits lease
-/// requests.
+/// Time after which a customer's request probability no longer limits lease requests, counted from
+/// its last update by an owner.
 const REQUEST_PROBABILITY_LIFETIME: Duration = Duration::from_secs(2);
 /// Time for which an unresponsive owner is not asked.
 pub(crate) const OWNER_COOLDOWN: Duration = Duration::from_secs(1);
@@ -135,10 +135,10 @@
 
 /// Creates the lease request that a request sends to an owner.
 ///
-/// In addition to the request's own units it asks for the customer's recent demand, so that later
-/// requests need not ask, and returns the rest of the held lease. It does neither while the
-/// response to the last such lease request may still arrive, because a second response would
-/// replace the lease of the first.
+/// The lease request asks for a lease of the customer's recent demand in addition to the request's
+/// own units, so that later requests need not ask, and returns the unused units of the held lease.
+/// It asks for no lease and returns no units while the response to the last lease request that did
+/// so may still arrive, because a second response would replace the lease of the first.
 pub(crate) fn lease_request(
     account: &mut CustomerAccount,
     now: Timestamp,
--- a/crates/gateway-core/src/reconnect.rs
+++ b/crates/gateway-core/src/reconnect.rs
@@ -123,9 +123,9 @@
     /// When the attempt to open the current watch started.
     attempt_started_at: Duration,
     /// Whether a list has arrived on the open watch.
-    list_received: bool,
+    has_received_list: bool,
     /// Whether a part of a list, but not its end, has arrived on the open watch.
-    list_is_partial: bool,
+    has_partial_list: bool,
     /// When the open watch is given up.
     deadline: Duration,
 }
@@ -140,8 +140,8 @@
             answer_timeout: (drain_grace / ANSWER_TIMEOUTS_PER_GRACE).min(MAX_ANSWER_TIMEOUT),
             backoff: Backoff::new(drain_grace),
             attempt_started_at: Duration::ZERO,
-            list_received: false,
-            list_is_partial: false,
+            has_received_list: false,
+            has_partial_list: false,
             deadline: Duration::ZERO,
         }
     }
@@ -151,8 +151,8 @@
     pub fn attempt_started(&mut self, now: Duration) {
         self.attempt_started_at = now;
         self.deadline = now + self.answer_timeout;
-        self.list_received = false;
-        self.list_is_partial = false;
+        self.has_received_list = false;
+        self.has_partial_list = false;
     }
 
     /// Records that the address of discovery has changed, which resets the backoff.
@@ -166,19 +166,19 @@
             WatchEvent::PartialList => {
                 // A list that arrives byte by byte without end must not keep the watch open: only
                 // its first part moves the deadline.
-                if self.list_is_partial {
+                if self.has_partial_list {
                     return;
                 }
-                self.list_is_partial = true;
+                self.has_partial_list = true;
                 self.set_deadline(now + self.answer_timeout);
             }
             WatchEvent::Heartbeat => {
-                self.list_is_partial = false;
+                self.has_partial_list = false;
                 self.set_deadline(now + SILENCE_TIMEOUT);
             }
             WatchEvent::List => {
-                self.list_is_partial = false;
-                self.list_received = true;
+                self.has_partial_list = false;
+                self.has_received_list = true;
                 self.set_deadline(now + SILENCE_TIMEOUT);
             }
         }
@@ -187,7 +187,7 @@
     /// Sets the deadline. Before the first list, it is at most the silence timeout after the start
     /// of the watch: heartbeats must not keep a watch open on which no list arrives.
     fn set_deadline(&mut self, deadline: Duration) {
-        self.deadline = if self.list_received {
+        self.deadline = if self.has_received_list {
             deadline
         } else {
             deadline.min(self.attempt_started_at + SILENCE_TIMEOUT)
--- a/crates/gateway-core/src/state/deployment.rs
+++ b/crates/gateway-core/src/state/deployment.rs
@@ -18,7 +18,8 @@
     Leases,
 }
 
-/// The settings, the fleet mode, and values derived from them. None of them change after the start.
+/// The settings, the fleet mode, and values derived from them, none of which change after the
+/// gateway has started.
 pub(crate) struct Deployment {
     /// The settings as configured, without changes.
     pub(crate) settings: Settings,
--- a/crates/gateway-core/src/state/servers/server_table/candidates.rs
+++ b/crates/gateway-core/src/state/servers/server_table/candidates.rs
@@ -17,7 +17,7 @@
     pub(crate) subset_size: usize,
     /// Offset within the subset at which the visit begins.
     pub(crate) subset_start: usize,
-    /// Maximum number of servers to visit; at most half of them for the cell.
+    /// Maximum number of servers to visit; at most half of these visits are to servers of the cell.
     pub(crate) max_visited: usize,
     /// Maximum number of servers to find, not counting ejected servers to be probed.
     pub(crate) max_found: usize,
--- a/crates/gateway-core/tests/common/request_log.rs
+++ b/crates/gateway-core/tests/common/request_log.rs
@@ -21,7 +21,7 @@
     /// Number of attempts sent.
     attempts: u32,
     /// Whether an attempt is in flight.
-    in_flight: bool,
+    is_in_flight: bool,
     /// Cell of the server to which the last attempt was sent.
     last_cell: CellId,
     /// Cell in which the request may have been executed first; `None` if no finished attempt may
@@ -35,7 +35,7 @@
     }
 
     fn may_have_been_executed(&self) -> bool {
-        self.executed_in.is_some() || self.in_flight
+        self.executed_in.is_some() || self.is_in_flight
     }
 }
 
@@ -74,7 +74,10 @@
             record.is_open,
             "rule 1: attempt sent after the final answer"
         );
-        assert!(!record.in_flight, "rule 2: two attempts in flight at once");
+        assert!(
+            !record.is_in_flight,
+            "rule 2: two attempts in flight at once"
+        );
         assert!(
             record.attempts < settings.permissions.max_attempts,
             "more attempts than permitted"
@@ -87,7 +90,7 @@
         assert_may_execute(record, endpoint, settings);
         let number = AttemptNumber(record.attempts);
         record.attempts += 1;
-        record.in_flight = true;
+        record.is_in_flight = true;
         record.last_cell = endpoint.cell;
         number
     }
@@ -95,7 +98,7 @@
     /// Records the end of an attempt, and returns whether the request is closed.
     pub(crate) fn attempt_finished(&mut self, id: &RequestId, outcome: AttemptOutcome) -> bool {
         let record = self.record(id);
-        record.in_flight = false;
+        record.is_in_flight = false;
         if may_have_executed(outcome) {
             record.executed_in.get_or_insert(record.last_cell);
         }
@@ -138,9 +141,9 @@
     /// Checks that no client has waited longer than its timeout.
     pub(crate) fn assert_answered_in_time(&self, now: Micros) {
         for (id, record) in &self.0 {
-            let in_time = now <= record.deadline + TIMER_TOLERANCE;
+            let is_in_time = now <= record.deadline + TIMER_TOLERANCE;
             assert!(
-                !record.is_open || in_time,
+                !record.is_open || is_in_time,
                 "rule 1: {id:?} received no final answer in time"
             );
         }
@@ -157,9 +160,9 @@
         Idempotency::Idempotent => {}
         Idempotency::NonIdempotent => panic!("rule 2: a non-idempotent request was sent again"),
         Idempotency::Keyed { scope, .. } => {
-            let same_cell = executed_in == endpoint.cell;
+            let is_same_cell = executed_in == endpoint.cell;
             assert!(
-                scope == DeduplicationScope::AllServers || same_cell,
+                scope == DeduplicationScope::AllServers || is_same_cell,
                 "rule 2: keyed request sent outside its deduplication scope"
             );
         }
--- a/crates/gateway-core/tests/reconnect.rs
+++ b/crates/gateway-core/tests/reconnect.rs
@@ -54,7 +54,7 @@
 struct Simulation {
     policy: ReconnectPolicy,
     now: Duration,
-    list_received: bool,
+    has_received_list: bool,
     /// The last time at which a change at discovery would have become known: the start of an
     /// attempt that could have been answered, or an event on a watch that has received its list.
     last_known_at: Duration,
@@ -67,13 +67,13 @@
         Simulation {
             policy,
             now: Duration::ZERO,
-            list_received: false,
+            has_received_list: false,
             last_known_at: Duration::ZERO,
         }
     }
 
-    /// Takes a step, and returns the longest time that a change may wait for the next attempt after
-    /// it.
+    /// Takes a step, and returns the longest time that a change at discovery may have to wait for
+    /// the next attempt.
     fn step(&mut self, step: Step, jitter: f64) -> Duration {
         let last = self
             .policy
@@ -81,15 +81,15 @@
             .saturating_sub(TIME_RESOLUTION)
             .max(self.now);
         match step {
-            Step::Receives(event) => self.receives(event),
+            Step::Receives(event) => self.receive(event),
             Step::ReceivesLate(event) => {
                 self.now = last;
-                self.receives(event);
+                self.receive(event);
             }
-            Step::Fails(failure) => return self.fails(failure, jitter),
+            Step::Fails(failure) => return self.fail(failure, jitter),
             Step::FailsLate(failure) => {
                 self.now = self.policy.deadline().max(self.now);
-                return self.fails(failure, jitter);
+                return self.fail(failure, jitter);
             }
             Step::AddressChanges => {
                 self.policy.address_changed();
@@ -99,15 +99,15 @@
         self.policy.deadline().saturating_sub(self.last_known_at)
     }
 
-    fn receives(&mut self, event: WatchEvent) {
+    fn receive(&mut self, event: WatchEvent) {
         self.policy.event_received(self.now, event);
-        self.list_received |= event == WatchEvent::List;
-        if self.list_received && event != WatchEvent::PartialList {
+        self.has_received_list |= event == WatchEvent::List;
+        if self.has_received_list && event != WatchEvent::PartialList {
             self.last_known_at = self.now;
         }
     }
 
-    fn fails(&mut self, failure: WatchFailure, jitter: f64) -> Duration {
+    fn fail(&mut self, failure: WatchFailure, jitter: f64) -> Duration {
         self.now = self
             .policy
             .attempt_failed(self.now, failure, jitter)
@@ -118,7 +118,7 @@
     fn start_attempt(&mut self) -> Duration {
         let waited = self.now - self.last_known_at;
         self.policy.attempt_started(self.now);
-        self.list_received = false;
+        self.has_received_list = false;
         self.last_known_at = self.now;
         waited
     }
@@ -171,8 +171,8 @@
     }
 }
 
-/// After every sequence of steps before a change, and after every failure of the first attempt after
-/// the change, the following attempt is made in time.
+/// After every sequence of steps before a change, and after every failure of the first attempt
+/// after the change, the following attempt is made in time.
 #[test]
 fn second_attempt_after_change_starts_in_time_if_first_fails() {
     for grace in DRAIN_GRACES {
@@ -249,8 +249,8 @@
         let mut now = Duration::ZERO;
         for _ in 0..10 {
             policy.attempt_started(now);
-            // The largest jitter makes the backoff half as long again. The list then arrives
-            // within the answer timeout.
+            // The largest jitter makes the backoff one and a half times as long. The list then
+            // arrives within the answer timeout.
             let answer_timeout = policy.deadline() - now;
             let backoff = policy.attempt_failed(now, WatchFailure::ConnectionLost, 1.0) - now;
             assert!(answer_timeout + backoff < grace / 2, "{policy:?}");
--- a/crates/gateway-core/tests/recovery.rs
+++ b/crates/gateway-core/tests/recovery.rs
@@ -47,8 +47,9 @@
         }
     }
 
-    /// Sends requests at a steady rate per second, a third of them of the lowest class. A server
-    /// takes `service_time` on average for a request without concurrent requests.
+    /// Passes requests to the gateway at a steady rate per second, and a third of the requests are
+    /// of the lowest class. A server takes `service_time` on average for a request without
+    /// concurrent requests.
     fn drive(
         &mut self,
         seconds: u64,
--- a/crates/gateway-core/tests/replay/simulation.rs
+++ b/crates/gateway-core/tests/replay/simulation.rs
@@ -373,9 +373,9 @@
     }
 
     fn send_message(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let lost = self.random.u8(0..20) == 0 || to >= self.gateways.len();
+        let is_lost = self.random.u8(0..20) == 0 || to >= self.gateways.len();
         let after = self.random.u64(MS..25 * MS);
-        if !lost {
+        if !is_lost {
             let event = Event::PeerMessage {
                 from: GatewayId(from as u32),
                 bytes,
@@ -415,11 +415,11 @@
             server.in_flight = server.in_flight.saturating_sub(1);
             server.in_flight
         });
-        let answered = matches!(
+        let is_answered = matches!(
             outcome,
             AttemptOutcome::Success | AttemptOutcome::ServerError | AttemptOutcome::Overloaded
         );
-        let reported_load = (answered && self.random.bool()).then_some(f64::from(in_flight));
+        let reported_load = (is_answered && self.random.bool()).then_some(f64::from(in_flight));
         let closed = outcome == AttemptOutcome::Success || self.random.u8(0..10) == 0;
         let AttemptKey {
             gateway,
@@ -454,8 +454,8 @@
         }
     }
 
-    /// Executes whichever is due first: a scheduled event, a request, or a change of endpoints or of
-    /// the health of servers.
+    /// Executes whichever is due first: a scheduled event, a request, or a change of endpoints or
+    /// of the health of servers.
     fn step(&mut self, next: &mut NextSteps) {
         let scheduled = self
             .schedule
