--- a/crates/edge-node/src/reload.rs
+++ b/crates/edge-node/src/reload.rs
@@ -15,7 +15,7 @@
 pub(crate) struct Reload {
     /// Path of the configuration file.
     pub(crate) path: PathBuf,
-    /// Values, at the start of the process, of the keys that only a restart applies.
+    /// Values that the keys which require a restart had at the start of the process.
     pub(crate) startup_values: RestartValues,
     /// Passes the address of discovery to the task that watches it.
     pub(crate) discovery_address: watch::Sender<SocketAddr>,
@@ -44,8 +44,8 @@
 
     fn apply(&self, config: &Config) {
         let address = config.discovery;
-        // An unchanged address is sent, too: discovery may have restarted and begun to number its
-        // lists from the start.
+        // The address is sent even if it is unchanged, which opens a new watch: discovery may have
+        // restarted and be numbering its lists from the beginning.
         self.discovery_address.send_replace(address);
         let level = config.operator_options.log.level;
         let waits = self
