--- a/crates/edge-node/src/upstream/response.rs
+++ b/crates/edge-node/src/upstream/response.rs
@@ -20,15 +20,15 @@
 #[derive(Debug, Error)]
 pub(super) enum ResponseError {
     /// The response names the request that was previously answered on this connection.
-    #[error("a copy of the previous response")]
+    #[error("the response is a copy of the previous response")]
     RepeatsPrevious,
     /// The status is 1xx.
-    #[error("an informational response")]
+    #[error("the response is informational")]
     Informational,
     /// The response has neither a content length nor a transfer encoding.
     #[error("the response has neither a content length nor a transfer encoding")]
     Unframed,
-    /// The body is too large.
+    /// The body is larger than the maximum size, or than the rest of the body budget.
     #[error("the response body is not accepted")]
     NotAccepted(#[from] BodyBudgetError),
     /// The body ended early, or is longer than declared.
--- a/crates/gateway-core/src/state/deployment.rs
+++ b/crates/gateway-core/src/state/deployment.rs
@@ -18,7 +18,8 @@
     Leases,
 }
 
-/// The settings, the fleet mode, and values derived from them. None of them change after the start.
+/// The settings, the fleet mode, and values derived from them, none of which change after the
+/// gateway has started.
 pub(crate) struct Deployment {
     /// The settings as configured, without changes.
     pub(crate) settings: Settings,
@@ -88,7 +89,7 @@
     }
 }
 
-/// The inputs of a decision apart from the request, token bucket or server it is about.
+/// The inputs that all decisions share: the time, the settings and the estimates of the fleet.
 #[derive(Clone, Copy)]
 pub(crate) struct Context<'a> {
     /// The time of the event that is being handled.
