--- a/crates/fleet-lab/src/hybrid/args.rs
+++ b/crates/fleet-lab/src/hybrid/args.rs
@@ -5,7 +5,8 @@
 use super::server_faults::FaultProfile;
 use std::path::PathBuf;
 
-/// Maximum number of requests per second over all nodes, which share one processor here.
+/// Maximum number of requests per second over all nodes. Clients, servers and hollow nodes share
+/// one thread.
 const MAX_RATE: f64 = 5000.0;
 /// Maximum number of real nodes.
 const MAX_REAL_NODES: u32 = 4;
