--- a/crates/fleet-lab/src/hybrid/invariant_checker.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_checker.rs
@@ -121,7 +121,7 @@
 
     /// Records that a server has accepted an attempt. The attempt counts as executed from then on,
     /// even if it is queued first.
-    pub fn execution_started(&mut self, id: &str) {
+    pub fn attempt_accepted(&mut self, id: &str) {
         if let Some(observed) = self.requests.get_mut(id) {
             observed.record.execution_started();
         }
--- a/crates/fleet-lab/src/hybrid/servers.rs
+++ b/crates/fleet-lab/src/hybrid/servers.rs
@@ -110,7 +110,7 @@
         if mode == ServerMode::Reject || self.in_flight.get() >= self.max_in_flight {
             return self.reply(AttemptStatus::Rejected);
         }
-        checker.borrow_mut().execution_started(request);
+        checker.borrow_mut().attempt_accepted(request);
         let _guard = InFlightGuard::new(&self.in_flight);
         if mode == ServerMode::Hang {
             std::future::pending::<()>().await;
--- a/crates/fleet-lab/tests/hybrid/invariant_checker.rs
+++ b/crates/fleet-lab/tests/hybrid/invariant_checker.rs
@@ -142,9 +142,9 @@
 fn second_execution_of_non_idempotent_request_is_violation() {
     let mut checker = new_checker();
     record_sent_request(&mut checker, START, "pay", 0, 1.0);
-    checker.execution_started("pay");
+    checker.attempt_accepted("pay");
     assert_eq!(violations(&checker, "unsafe"), 0);
-    checker.execution_started("pay");
+    checker.attempt_accepted("pay");
     assert_eq!(violations(&checker, "unsafe"), 1);
 }
 
