--- a/crates/gateway-core/examples/server_table.rs
+++ b/crates/gateway-core/examples/server_table.rs
@@ -75,8 +75,8 @@
     (0..ROUNDS).map(|_| round()).fold(f64::INFINITY, f64::min)
 }
 
-/// Returns the time per request, in µs, after a round of requests that fills the gateways' estimates
-/// of the servers.
+/// Returns the time per request, in µs, after a round of requests that fills the gateways'
+/// estimates of the servers.
 fn time_request(pair: &mut GatewayPair) -> f64 {
     let mut last_number = 0;
     let mut round = || {
--- a/crates/gateway-core/src/gateway/servers/mod.rs
+++ b/crates/gateway-core/src/gateway/servers/mod.rs
@@ -56,7 +56,7 @@
         &self.estimates
     }
 
-    /// Returns the estimates of the whole fleet, to be updated.
+    /// Returns a mutable reference to the estimates of the whole fleet.
     pub(super) fn estimates_mut(&mut self) -> &mut FleetEstimates {
         &mut self.estimates
     }
--- a/crates/gateway-core/src/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/src/policy/fuzzy_controller.rs
@@ -163,9 +163,8 @@
             .set_maximum((limit - reduction * base).clamp(minimum, maximum));
     }
 
-    /// Returns the maximum limit, in attempts. From far above the number of attempts in flight, it
-    /// would take many control ticks to lower the limit to where it has an effect (integral
-    /// wind-up).
+    /// Returns the maximum limit, in attempts. A limit far above the number of attempts in flight
+    /// would have no effect, and lowering it would take many control ticks (integral wind-up).
     fn maximum_limit(&self, fleet: &FleetEstimates, fleet_fraction: f64) -> f64 {
         let headroom = (FLEET_HEADROOM_ATTEMPTS * fleet_fraction)
             .max(fleet.total_in_flight() * HEADROOM_FRACTION);
--- a/crates/gateway-core/src/state/quota/mod.rs
+++ b/crates/gateway-core/src/state/quota/mod.rs
@@ -129,7 +129,7 @@
         self.accounts.get(&customer)
     }
 
-    /// Returns a customer's account to be updated, if there is one.
+    /// Returns a mutable reference to a customer's account, if there is one.
     pub(crate) fn account_mut(&mut self, customer: CustomerId) -> Option<&mut CustomerAccount> {
         self.accounts.get_mut(&customer)
     }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Iterates over all accounts to be updated, ordered by customer.
+    /// Iterates mutably over all accounts, ordered by customer.
     pub(crate) fn accounts_mut(&mut self) -> impl Iterator<Item = &mut CustomerAccount> {
         self.accounts.values_mut()
     }
--- a/crates/gateway-core/src/state/request_table.rs
+++ b/crates/gateway-core/src/state/request_table.rs
@@ -28,7 +28,7 @@
         self.open.get(id)
     }
 
-    /// Returns an open request to be updated, or `None` if no open request has the id.
+    /// Returns a mutable reference to an open request, or `None` if no open request has the id.
     pub(crate) fn get_mut(&mut self, id: &RequestId) -> Option<&mut Request> {
         self.open.get_mut(id)
     }
@@ -45,7 +45,7 @@
         self.open.iter()
     }
 
-    /// Iterates over all open requests to be updated, ordered by id.
+    /// Iterates mutably over all open requests, ordered by id.
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Request> {
         self.open.values_mut()
     }
--- a/crates/gateway-core/src/state/servers/class_health.rs
+++ b/crates/gateway-core/src/state/servers/class_health.rs
@@ -18,7 +18,7 @@
     pub(super) next_probe_at: Option<Timestamp>,
     /// When the newest observation was made, by this gateway or a peer; the epoch if never.
     pub(super) observed_at: Timestamp,
-    /// The values of this health as the server index currently has them.
+    /// The part of this health that the server index currently holds.
     pub(super) indexed: IndexedHealth,
 }
 
@@ -99,7 +99,7 @@
     }
 }
 
-/// The values of a server's health with one class that the server index has.
+/// The part of a server's health with one class that the server index holds.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct IndexedHealth {
     pub(super) next_probe_at: Option<Timestamp>,
--- a/crates/gateway-core/src/state/servers/fleet_estimates.rs
+++ b/crates/gateway-core/src/state/servers/fleet_estimates.rs
@@ -157,8 +157,8 @@
         self.answers_since_tick = 0.0;
     }
 
-    /// Merges whether an attempt into a zone was unable to connect into the zone's unreachable
-    /// fraction, by `weight`.
+    /// Updates a zone's unreachable fraction, by `weight`, with an attempt that could or could not
+    /// connect.
     pub(crate) fn observe_zone(&mut self, zone: ZoneId, is_unreachable: bool, weight: f64) {
         let fraction = self.unreachable_by_zone.entry(zone).or_default();
         update_mean(fraction, f64::from(u8::from(is_unreachable)), weight);
--- a/crates/gateway-core/src/state/servers/server.rs
+++ b/crates/gateway-core/src/state/servers/server.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Returns the server with a number of attempts in flight, which a server that has restarted
-    /// keeps: its attempts are in flight until their ends are reported.
+    /// Returns the server with this number of attempts in flight. A server that has restarted keeps
+    /// the number, because its attempts are in flight until their ends are reported.
     pub(super) fn with_in_flight(self, in_flight: u32) -> Self {
         Server { in_flight, ..self }
     }
@@ -90,12 +90,12 @@
         &self.health[class.0]
     }
 
-    /// Returns the server's health with a class, to be updated.
+    /// Returns a mutable reference to the server's health with a class.
     pub(crate) fn class_health_mut(&mut self, class: ClassId) -> &mut ClassHealth {
         &mut self.health[class.0]
     }
 
-    /// Iterates over the server's health with each class, to be updated.
+    /// Iterates mutably over the server's health with each class.
     pub(crate) fn iter_health_mut(&mut self) -> impl Iterator<Item = (ClassId, &mut ClassHealth)> {
         let health = self.health.iter_mut().enumerate();
         health.map(|(class, health)| (ClassId(class), health))
@@ -265,9 +265,9 @@
         }
     }
 
-    /// Merges into the failure rate of a class, by `weight`, whether an attempt failed. In the
-    /// failure rates of the other classes, the attempt counts with the fraction
-    /// `other_class_fraction` of the weight.
+    /// Updates the failure rate of a class, by `weight`, with an attempt that did or did not fail.
+    /// The failure rates of the other classes are updated by the fraction `other_class_fraction`
+    /// of the weight.
     pub(crate) fn observe_failure(
         &mut self,
         class: ClassId,
--- a/crates/gateway-core/src/state/servers/server_table/mod.rs
+++ b/crates/gateway-core/src/state/servers/server_table/mod.rs
@@ -55,7 +55,7 @@
 pub(crate) struct WarmingServer<'a> {
     /// Minimum fraction of its full capacity that the server has, less than 1.
     pub(crate) warm_up_fraction: f64,
-    /// The server's slow-start credit, to be updated.
+    /// Slow-start credit of the server, which a control tick adds to.
     pub(crate) credit: &'a mut SlowStartCredit,
 }
 
@@ -110,8 +110,8 @@
         self.get_or_track(now, id);
     }
 
-    /// Returns a server to be updated; `None` if it is not in the table. The server is tracked from
-    /// now on, and counts as used now.
+    /// Returns write access to a server; `None` if the server is not in the table. The server is
+    /// tracked from now on, and counts as used now.
     pub(crate) fn get_or_track(
         &mut self,
         now: Timestamp,
--- a/crates/gateway-core/tests/replay/action_digest.rs
+++ b/crates/gateway-core/tests/replay/action_digest.rs
@@ -5,8 +5,9 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// Writes one action of a gateway into a digest: the index of the gateway, the number of the kind of
-/// action, then its values in a fixed order. Strings and byte lists are preceded by their length.
+/// Writes one action of a gateway into a digest: the index of the gateway, the number of the kind
+/// of action, then its values in a fixed order. Strings and byte lists are preceded by their
+/// length.
 pub(crate) fn write_action(digest: &mut FnvHasher, gateway: usize, action: &Action) {
     digest.write(&(gateway as u64).to_le_bytes());
     match action {
--- a/crates/gateway-core/tests/server_table.rs
+++ b/crates/gateway-core/tests/server_table.rs
@@ -148,8 +148,8 @@
     );
 }
 
-/// If only the servers of one cell recognise an idempotency key, a retry must go to one of these few
-/// servers.
+/// If only the servers of one cell recognise an idempotency key, a retry must go to one of these
+/// few servers.
 #[test]
 fn retry_of_request_keyed_by_cell_stays_in_cell() {
     let mut gateway = GatewayHarness::new(3, settings(0, 4_200), S);
