--- a/crates/gateway-core/src/action.rs
+++ b/crates/gateway-core/src/action.rs
@@ -51,13 +51,13 @@
         /// The encoded message, of at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Report an [`Event::TimerFired`](crate::Event::TimerFired) after a delay. Timers that were set
-    /// earlier need not be cancelled.
+    /// Report an [`Event::TimerFired`](crate::Event::TimerFired) after a delay. Timers that were
+    /// set earlier need not be cancelled.
     SetTimer {
         /// Time until the timer fires.
         after: Duration,
-        /// Value to return with the event. It is always 0, because the gateway recognises a replaced
-        /// timer by the time at which it fires.
+        /// Value to return with the event. It is always 0, because the gateway recognises a
+        /// replaced timer by the time at which it fires.
         token: u64,
     },
     /// Start to watch the endpoint list, and report the list and its changes with
