--- a/crates/gateway-core/src/state/deployment.rs
+++ b/crates/gateway-core/src/state/deployment.rs
@@ -14,7 +14,8 @@
     /// buckets.
     Gossip,
     /// In a large fleet, where usage could not be broadcast often enough, a few owners among a
-    /// customer's gateways hold its quota and grant leases. This mode is an addition to the design.
+    /// customer's gateways hold its quota and grant leases. The published eQoS design does not have
+    /// this mode.
     Leases,
 }
 
