--- a/crates/edge-node/src/clients/request_error.rs
+++ b/crates/edge-node/src/clients/request_error.rs
@@ -6,7 +6,8 @@
 /// client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The body has a transfer encoding.
+    /// The request has a `Transfer-Encoding` header. None is accepted, because a body that also has
+    /// a content length could hide another request.
     #[error("a body needs its Content-Length")]
     TransferEncoding,
     /// A header that may occur only once is repeated.
--- a/crates/edge-node/src/clients/request_head.rs
+++ b/crates/edge-node/src/clients/request_head.rs
@@ -39,9 +39,9 @@
 pub struct RequestHead {
     /// Id of the request, which no other open request may have.
     pub id: RequestId,
-    /// Class of the request.
+    /// Class that the `X-Class` header names, and the first segment of the path, too.
     pub class: ClassId,
-    /// Plan of the customer.
+    /// Plan of the customer, as the `X-Tier` header of the request names it.
     pub plan: PlanId,
     /// Customer whose quota the request uses.
     pub customer: CustomerId,
--- a/crates/edge-node/src/config/error.rs
+++ b/crates/edge-node/src/config/error.rs
@@ -15,7 +15,7 @@
     /// The configuration file can't be read.
     #[error("{}", path.display())]
     Unreadable {
-        /// The path of the file.
+        /// Path of the file, as the caller gave it.
         path: PathBuf,
         /// The I/O error; of the kind `InvalidData` if the file is not UTF-8.
         source: io::Error,
@@ -23,9 +23,9 @@
     /// The value of an environment variable is not a socket address.
     #[error("{variable}: {value:?} is not an IP address with a port")]
     InvalidAddress {
-        /// The name of the variable.
+        /// Name of the environment variable.
         variable: &'static str,
-        /// The value of the variable.
+        /// Text that the variable is set to.
         value: String,
         /// The error of parsing the value.
         source: AddrParseError,
@@ -39,7 +39,7 @@
 /// displayed in one line, with the first diagnostic and the number of the others.
 #[derive(Debug)]
 pub struct InvalidConfig {
-    /// The path of the file.
+    /// Path of the file, with which each of the [`lines`](Self::lines) begins.
     pub path: PathBuf,
     /// Everything that is wrong with the file, ordered by line.
     pub diagnostics: Vec<Diagnostic>,
--- a/crates/edge-node/src/config/file/mod.rs
+++ b/crates/edge-node/src/config/file/mod.rs
@@ -34,26 +34,26 @@
 pub struct ConfigItem {
     /// Number of the line on which the item begins, from 1.
     pub line: usize,
-    /// The value of the item.
+    /// The parsed value, not yet checked against the type and range of its key.
     pub value: ConfigValue,
 }
 
-/// The value of an item.
+/// The value of an item, by the type that it has in the file.
 #[derive(Debug, PartialEq)]
 pub enum ConfigValue {
     /// A table: names with their items, in the order of the parser. JSON allows duplicate names.
     Table(Vec<(String, ConfigItem)>),
-    /// A list of items.
+    /// A list, whose items may differ in type.
     List(Vec<ConfigItem>),
-    /// A string.
+    /// A string, without its quotes and with its escapes resolved.
     String(String),
-    /// An integer.
+    /// An integer, in a type that is wider than the range of any key.
     Integer(i128),
     /// A number that is not an integer, or is written as a float.
     Float(f64),
     /// `true` or `false`.
     Boolean(bool),
-    /// The `null` of JSON.
+    /// The `null` of JSON; TOML has no such value.
     Null,
     /// A value of a type that no key has, such as a date in TOML.
     Unsupported,
--- a/crates/edge-node/src/config/mod.rs
+++ b/crates/edge-node/src/config/mod.rs
@@ -57,12 +57,12 @@
 pub struct OperatorOptions {
     /// Level and format of the log.
     pub log: LogOptions,
-    /// Options of the admin listener.
+    /// Options of the admin listener. Without them no admin listener is started.
     #[serde(default)]
     pub admin: AdminOptions,
 }
 
-/// Options of the admin listener.
+/// Options of the admin listener, which serves operators and their monitoring.
 #[derive(Deserialize, Default)]
 pub struct AdminOptions {
     /// Address on which operators and their monitoring connect; `None` for no admin listener.
--- a/crates/edge-node/src/config/schema/keys/mod.rs
+++ b/crates/edge-node/src/config/schema/keys/mod.rs
@@ -21,12 +21,10 @@
     policy::PLANS,
 ];
 
-/// Paths of the list of classes.
 pub(super) const CLASS_LIST: ListPaths = ListPaths {
     toml: "classes",
     json: "settings.classes",
 };
-/// Paths of the list of plans.
 pub(super) const PLAN_LIST: ListPaths = ListPaths {
     toml: "plans",
     json: "settings.packages",
--- a/crates/edge-node/src/config/schema/locate.rs
+++ b/crates/edge-node/src/config/schema/locate.rs
@@ -2,7 +2,6 @@
 
 use crate::config::file::{ConfigItem, ConfigValue};
 
-/// A segment of a path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PathSegment<'a> {
     /// The name of the entry, without `[]`.
--- a/crates/edge-node/src/config/schema/spec.rs
+++ b/crates/edge-node/src/config/schema/spec.rs
@@ -14,7 +14,6 @@
 pub(super) enum ValueType {
     /// A non-empty string; the platform's JSON may have an empty one.
     String,
-    /// A list of strings.
     StringList,
     /// An IP address with a port.
     Address,
@@ -22,13 +21,21 @@
     AddressList,
     /// `true` or `false`.
     Boolean,
-    /// An integer.
-    Integer { min: u64, max: u64 },
+    Integer {
+        min: u64,
+        max: u64,
+    },
     /// An integer or a float.
-    Number { min: f64, max: f64 },
+    Number {
+        min: f64,
+        max: f64,
+    },
     /// A time in milliseconds, which may have a fraction. The platform's JSON has whole
     /// microseconds instead.
-    Milliseconds { min: f64, max: f64 },
+    Milliseconds {
+        min: f64,
+        max: f64,
+    },
     /// One of these choices.
     Choice(&'static [Choice]),
 }
@@ -51,7 +58,6 @@
         }
     }
 
-    /// Returns the name in a format.
     pub(super) fn name(&self, format: ConfigFormat) -> &'static str {
         match format {
             ConfigFormat::Toml => self.toml,
@@ -65,18 +71,18 @@
 pub(super) enum DefaultValue {
     /// No value: the key must be present.
     Required,
-    /// An integer.
     Integer(u64),
     /// An integer or a float.
     Number(f64),
-    /// A time in milliseconds.
     Milliseconds(f64),
     /// `true` or `false`.
     Boolean(bool),
     /// The name of a choice in operators' TOML.
     Choice(&'static str),
     /// No value: the key stays absent. `meaning` says in docs/CONFIGURATION.md what that means.
-    Absent { meaning: &'static str },
+    Absent {
+        meaning: &'static str,
+    },
 }
 
 /// Whether a key is present in the platform's JSON.
@@ -123,7 +129,6 @@
 }
 
 impl KeySpec {
-    /// Returns the path in a format.
     pub(super) fn path(&self, format: ConfigFormat) -> &'static str {
         match format {
             ConfigFormat::Toml => self.toml_path,
@@ -155,7 +160,6 @@
 }
 
 impl ListPaths {
-    /// Returns the path in a format.
     pub(super) fn path(&self, format: ConfigFormat) -> &'static str {
         match format {
             ConfigFormat::Toml => self.toml,
--- a/crates/edge-node/src/log/mod.rs
+++ b/crates/edge-node/src/log/mod.rs
@@ -17,13 +17,13 @@
 use tracing_subscriber::registry::Registry;
 use tracing_subscriber::{reload, Layer};
 
-/// Log options of a configuration.
+/// Options of the log. By default, lines of level `info` and above are logged as text.
 #[derive(Deserialize, Clone, Copy, Debug, Default)]
 #[serde(default)]
 pub struct LogOptions {
     /// Lowest severity that is logged.
     pub level: LogLevel,
-    /// Format of a line.
+    /// Format of the lines, which cannot change once the log has started.
     pub format: LogFormat,
 }
 
--- a/crates/edge-node/src/metrics/gauges.rs
+++ b/crates/edge-node/src/metrics/gauges.rs
@@ -14,9 +14,8 @@
 pub(crate) struct StatusSnapshot {
     /// Number of requests without a final answer.
     pub(crate) open_requests: usize,
-    /// Number of open client connections.
     pub(crate) client_connections: usize,
-    /// Number of open connections to servers.
+    /// Number of sockets to servers that are open or being opened.
     pub(crate) server_connections: usize,
     /// Number of file descriptors that the process has open.
     pub(crate) open_descriptors: usize,
--- a/crates/edge-node/src/metrics/mod.rs
+++ b/crates/edge-node/src/metrics/mod.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Records that an attempt has ended.
+    /// Counts an ended attempt by its outcome.
     pub(crate) fn record_attempt(&self, outcome: AttemptOutcome) {
         increment(&self.attempts, &ATTEMPT_OUTCOMES, outcome);
     }
--- a/crates/edge-node/src/node/attempts.rs
+++ b/crates/edge-node/src/node/attempts.rs
@@ -12,7 +12,6 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// An attempt that is in flight.
 struct InFlightAttempt {
     number: AttemptNumber,
     /// Dropping this sender cancels the attempt.
--- a/crates/edge-node/src/node/mod.rs
+++ b/crates/edge-node/src/node/mod.rs
@@ -58,7 +58,6 @@
     requests: PendingRequests,
     attempts: InFlightAttempts,
     watch: WatchStatus,
-    /// Number of open client connections.
     client_connections: Rc<Cell<usize>>,
 }
 
--- a/crates/edge-node/src/node/pending_requests.rs
+++ b/crates/edge-node/src/node/pending_requests.rs
@@ -37,7 +37,6 @@
 /// The class and plan under which the metrics count a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RequestKind {
-    /// Class of the request.
     pub(super) class: ClassId,
     /// Plan of the request's customer.
     pub(super) plan: PlanId,
@@ -87,7 +86,6 @@
 
 /// An attempt that is about to be sent.
 pub(super) struct NextAttempt {
-    /// The request to send.
     pub(super) request: Rc<UpstreamRequest>,
     /// Number of the attempt within its request, from 0.
     pub(super) number: AttemptNumber,
--- a/crates/edge-node/src/upstream/attempt.rs
+++ b/crates/edge-node/src/upstream/attempt.rs
@@ -25,7 +25,6 @@
 pub(crate) struct UpstreamRequest {
     /// Request id, which no other open request has.
     pub(crate) id: RequestId,
-    /// HTTP method.
     pub(crate) method: Method,
     /// Path and query.
     pub(crate) target: String,
@@ -39,7 +38,6 @@
 
 /// An attempt to make, and the conditions that end it early.
 pub(crate) struct Attempt<'a, F> {
-    /// Request to send.
     pub(crate) request: &'a UpstreamRequest,
     /// Server to send the request to.
     pub(crate) server: ServerId,
--- a/crates/edge-node/src/upstream/attempt_result.rs
+++ b/crates/edge-node/src/upstream/attempt_result.rs
@@ -3,7 +3,6 @@
 use bytes::Bytes;
 use gateway_core::AttemptOutcome;
 
-/// Result of an attempt.
 #[derive(Debug, PartialEq)]
 pub(crate) struct AttemptResult {
     /// Outcome that is reported to the gateway.
--- a/crates/edge-node/src/upstream/connection.rs
+++ b/crates/edge-node/src/upstream/connection.rs
@@ -87,7 +87,6 @@
         })
     }
 
-    /// Returns the address of the server.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/edge-node/src/upstream/mod.rs
+++ b/crates/edge-node/src/upstream/mod.rs
@@ -37,7 +37,6 @@
 
 /// A server of the endpoint list and its current address.
 pub(crate) struct ServerAddress {
-    /// Id of the server.
     pub(crate) server: ServerId,
     /// Address to connect to; `None` if nothing may be sent to the server.
     pub(crate) address: Option<SocketAddr>,
@@ -80,7 +79,6 @@
         self.open_sockets.count()
     }
 
-    /// Returns the number of ready servers.
     pub(crate) fn ready_servers(&self) -> usize {
         self.pools.borrow().len()
     }
--- a/crates/edge-node/src/upstream/pool.rs
+++ b/crates/edge-node/src/upstream/pool.rs
@@ -31,7 +31,6 @@
         }
     }
 
-    /// Returns the address of the server.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/edge-node/src/upstream/socket.rs
+++ b/crates/edge-node/src/upstream/socket.rs
@@ -10,7 +10,7 @@
 use std::task::{Context, Poll};
 use tokio::net::TcpStream;
 
-/// Counter of open sockets.
+/// Counts the sockets to servers that are open or being opened.
 #[derive(Default)]
 pub(super) struct OpenSockets {
     count: Rc<Cell<usize>>,
--- a/crates/edge-node/tests/admin.rs
+++ b/crates/edge-node/tests/admin.rs
@@ -103,7 +103,6 @@
     discovery: FakeDiscovery,
     /// Connection of the first watch, which is open.
     watch: TcpStream,
-    /// Client of the open request.
     open_request_client: Client,
     admin_address: SocketAddr,
     _servers: FakeServers,
--- a/crates/edge-node/tests/documentation.rs
+++ b/crates/edge-node/tests/documentation.rs
@@ -16,14 +16,12 @@
 /// Files that pages may name although they do not always exist.
 const OPTIONAL_FILES: [&str; 1] = ["KNOWN-RED.txt"];
 
-/// A documentation page.
 struct Page {
     /// Path relative to the root of the repository.
     path: PathBuf,
     text: String,
 }
 
-/// Returns the root of the repository.
 fn root() -> PathBuf {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
     let root = package
--- a/crates/edge-node/tests/edge/client_disconnect.rs
+++ b/crates/edge-node/tests/edge/client_disconnect.rs
@@ -13,7 +13,6 @@
 /// reads ahead.
 const PIPELINED_COUNTS: [usize; 3] = [0, 20, 200];
 
-/// Returns the text of `count` pipelined requests.
 fn pipelined_requests(count: usize) -> String {
     (0..count)
         .map(|number| request_text(&format!("b{number}"), "pay", "20000m"))
--- a/crates/edge-node/tests/support/configuration.rs
+++ b/crates/edge-node/tests/support/configuration.rs
@@ -11,7 +11,6 @@
 
 /// The values that differ between the test configurations.
 pub(super) struct PlatformConfig<'a> {
-    /// Address of discovery.
     pub(super) discovery: SocketAddr,
     /// Address on which the node receives datagrams from peers.
     pub(super) node_datagram_address: SocketAddr,
--- a/crates/edge-node/tests/support/fake_discovery.rs
+++ b/crates/edge-node/tests/support/fake_discovery.rs
@@ -115,7 +115,7 @@
     format!("{:x}\r\n{list}\n\r\n", list.len() + 1)
 }
 
-/// Sends a list on a watch.
+/// Sends a list on a watch, on a line and in a chunk of its own.
 pub(crate) fn send_list(watch: &mut TcpStream, list: &str) {
     watch
         .write_all(list_chunk(list).as_bytes())
--- a/crates/edge-node/tests/support/fake_server.rs
+++ b/crates/edge-node/tests/support/fake_server.rs
@@ -33,7 +33,6 @@
 
 /// A request that a server has received completely.
 pub(crate) struct ReceivedRequest {
-    /// Name of the server.
     pub(crate) server: String,
     /// The request with its headers and body.
     pub(crate) message: HttpMessage,
--- a/crates/edge-node/tests/support/node.rs
+++ b/crates/edge-node/tests/support/node.rs
@@ -218,7 +218,7 @@
         self.signal("-STOP");
     }
 
-    /// Resumes the process.
+    /// Continues the process after [`suspend`](Self::suspend).
     pub(crate) fn resume(&self) {
         self.signal("-CONT");
     }
--- a/crates/edge-node/tests/support/refusing_address.rs
+++ b/crates/edge-node/tests/support/refusing_address.rs
@@ -9,7 +9,6 @@
 /// An address that refuses connections. A socket is bound to it, so no other process can bind it in
 /// the meantime.
 pub(crate) struct RefusingAddress {
-    /// The reserved address.
     pub(crate) address: SocketAddr,
     socket: Socket,
 }
