--- a/crates/fleet-lab/src/hybrid/args.rs
+++ b/crates/fleet-lab/src/hybrid/args.rs
@@ -20,10 +20,10 @@
 /// Arguments of `fleet-lab hybrid`.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// Number of real nodes, from 1 to 4.
+    /// Number of real nodes, from 1 to 4: processes of the edge node.
     #[arg(long, default_value_t = 2)]
     pub(super) real: u32,
-    /// Number of hollow nodes, from 1 to 100.
+    /// Number of hollow nodes, from 1 to 100: decision libraries inside this process.
     #[arg(long, default_value_t = 10)]
     hollow: u32,
     /// Time during which clients send requests, in seconds, from 1 to 120.
@@ -129,7 +129,6 @@
         Ok(program)
     }
 
-    /// Returns the load of the run.
     pub(super) fn load(&self) -> LoadConfig {
         LoadConfig {
             seconds: f64::from(self.seconds),
--- a/crates/fleet-lab/src/hybrid/customers.rs
+++ b/crates/fleet-lab/src/hybrid/customers.rs
@@ -45,7 +45,6 @@
     },
 ];
 
-/// Returns the name of a plan.
 pub(super) fn plan_name(plan: PlanId) -> &'static str {
     PLANS[plan.0].name
 }
--- a/crates/fleet-lab/src/hybrid/figure.rs
+++ b/crates/fleet-lab/src/hybrid/figure.rs
@@ -5,7 +5,7 @@
 /// A measured value with bounds between which the true value lies, except by chance.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Figure {
-    /// Measured value.
+    /// Value as measured, between the two bounds.
     pub value: f64,
     /// Lower bound.
     pub low: f64,
--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -32,7 +32,7 @@
     attempt: AttemptNumber,
 }
 
-/// A running hollow node.
+/// A running hollow node: a decision library without the edge node's process and sockets.
 pub(super) struct HollowNode {
     id: GatewayId,
     environment: Rc<Environment>,
--- a/crates/fleet-lab/src/hybrid/invariant_result.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_result.rs
@@ -15,7 +15,7 @@
     /// Number of cases in which the invariant was checked.
     #[serde(rename = "looked_at")]
     pub checked: u64,
-    /// Number of violations.
+    /// Number of violations found; 0 if the invariant holds.
     #[serde(rename = "broken")]
     pub violations: u64,
     /// Further observations for the report; may be empty.
--- a/crates/fleet-lab/src/hybrid/load.rs
+++ b/crates/fleet-lab/src/hybrid/load.rs
@@ -29,15 +29,12 @@
     pub(super) seconds: f64,
     /// Seed of the request ids.
     pub(super) seed: u64,
-    /// Faults of the servers.
     pub(super) faults: FaultProfile,
 }
 
 /// Totals of the nodes of each kind.
 pub(super) struct KindTotals {
-    /// Totals of the real nodes.
     pub(super) real: NodeTotals,
-    /// Totals of the hollow nodes.
     pub(super) hollow: NodeTotals,
 }
 
--- a/crates/fleet-lab/src/hybrid/observed_request.rs
+++ b/crates/fleet-lab/src/hybrid/observed_request.rs
@@ -26,7 +26,7 @@
 /// An answer as its client receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceivedAnswer {
-    /// A final answer to this request.
+    /// A final answer to this request; if it is a success, a server produced its body.
     Genuine(FinalAnswer),
     /// A success response whose body no server produced for this request. Answers in the simulation
     /// have no content, so only `hybrid` checks this.
--- a/crates/fleet-lab/src/hybrid/quotas.rs
+++ b/crates/fleet-lab/src/hybrid/quotas.rs
@@ -18,12 +18,12 @@
     pub tolerance_per_second: f64,
 }
 
-/// A customer and its quota.
+/// A customer and the quota that all nodes together must enforce for it.
 #[derive(Clone, Copy, Debug)]
 pub struct CustomerQuota {
     /// Customer that the quota belongs to.
     pub customer: CustomerId,
-    /// Quota of the customer.
+    /// Quota of the customer, with the excess that is tolerated.
     pub quota: Quota,
 }
 
--- a/crates/fleet-lab/src/hybrid/real_node.rs
+++ b/crates/fleet-lab/src/hybrid/real_node.rs
@@ -37,7 +37,6 @@
 
 /// Start parameters of one real node.
 pub(super) struct RealNodeConfig {
-    /// Number of the node.
     pub(super) id: GatewayId,
     /// Address of the node's discovery agent.
     pub(super) discovery: SocketAddr,
@@ -65,7 +64,6 @@
     }
 }
 
-/// A running real node.
 pub(super) struct RealNode {
     id: GatewayId,
     process: Child,
--- a/crates/fleet-lab/src/hybrid/report.rs
+++ b/crates/fleet-lab/src/hybrid/report.rs
@@ -30,7 +30,7 @@
     pub requests: [u64; 2],
     /// Figures of both kinds side by side.
     pub rows: Vec<ComparisonRow>,
-    /// Results of the invariant checks.
+    /// One result for each invariant, whether it was violated or not.
     #[serde(rename = "rules")]
     pub invariants: Vec<InvariantResult>,
 }
--- a/crates/fleet-lab/src/hybrid/scenario.rs
+++ b/crates/fleet-lab/src/hybrid/scenario.rs
@@ -19,7 +19,6 @@
 pub(super) const DEMAND_RATIOS: [f64; 2] = [0.5, 3.0];
 /// Fraction of the requests that are idempotent.
 const IDEMPOTENT_FRACTION: f64 = 0.64;
-/// Number of servers.
 pub(super) const SERVER_COUNT: usize = 6;
 /// Mean service time of a request, in µs.
 pub(super) const MEAN_WORK_US: f64 = 40_000.0;
@@ -66,7 +65,6 @@
         }
     }
 
-    /// Returns the size of the scenario.
     pub(super) fn size(&self) -> ScenarioSize {
         self.size
     }
@@ -76,7 +74,6 @@
         self.size.rate_per_node * f64::from(self.size.nodes)
     }
 
-    /// Draws the next request.
     pub(super) fn draw_request(&self, rng: &mut Rng) -> PlannedRequest {
         let customer = self.draw_customer(rng);
         let offset = rng.random_range(0..customer.node_count);
--- a/crates/fleet-lab/src/hybrid/server_faults.rs
+++ b/crates/fleet-lab/src/hybrid/server_faults.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// Faults of a run.
+/// The choices of `--fault`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub(super) enum FaultProfile {
     /// No faults.
--- a/crates/fleet-lab/src/hybrid/servers.rs
+++ b/crates/fleet-lab/src/hybrid/servers.rs
@@ -22,7 +22,6 @@
 /// A server's reply to an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptReply {
-    /// Outcome of the attempt.
     pub(super) status: AttemptStatus,
     /// Requests in flight at the server, running or queued.
     pub(super) in_flight: usize,
@@ -39,7 +38,6 @@
     Rejected,
 }
 
-/// A simulated server.
 pub(super) struct Server {
     /// Name of the server in the list.
     pub(super) name: String,
--- a/crates/fleet-lab/src/scaling/cost.rs
+++ b/crates/fleet-lab/src/scaling/cost.rs
@@ -9,7 +9,6 @@
 pub(super) struct Cost {
     /// Processor time of the measuring thread, in µs.
     pub(super) cpu_time_us: f64,
-    /// Number of allocations.
     pub(super) allocations: u64,
     /// Number of visits to entries of the gateway's list of servers.
     pub(super) visited: u64,
@@ -19,7 +18,6 @@
     pub(super) bytes: u64,
     /// Length of the longest message in bytes.
     pub(super) longest_message: u64,
-    /// Number of events handled.
     pub(super) events: u64,
 }
 
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -26,7 +26,6 @@
 const ZONE_COUNT: u32 = 29;
 /// Exclusive upper limit of customer ids, which have at most 33 bits by the protocol.
 pub(super) const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
-/// Ids of the two gateways.
 pub(super) const GATEWAY_IDS: [GatewayId; 2] = [GatewayId(0), GatewayId(1)];
 
 /// Returns the settings of a gateway in a fleet with two classes of requests and one plan, whose
@@ -99,7 +98,6 @@
 /// A customer, and the first of the gateways at which its requests arrive.
 #[derive(Clone, Copy)]
 pub(super) struct Customer {
-    /// Id of the customer.
     pub(super) id: CustomerId,
     /// First of the consecutive gateways at which its requests arrive.
     pub(super) first_gateway: GatewayId,
--- a/crates/fleet-lab/src/scaling/measure/mod.rs
+++ b/crates/fleet-lab/src/scaling/measure/mod.rs
@@ -25,7 +25,6 @@
     pub(super) run: fn(u64, FleetSizes) -> Result<Vec<Figure>>,
 }
 
-/// All measurements.
 pub(super) const MEASUREMENTS: [Measurement; 10] = [
     Measurement {
         name: "request",
--- a/crates/fleet-lab/src/scaling/report.rs
+++ b/crates/fleet-lab/src/scaling/report.rs
@@ -31,7 +31,7 @@
 /// One cost as the fleet grows in one dimension.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct CostCurve {
-    /// Name of the measurement.
+    /// Name of the measured cost, such as `request`.
     pub name: String,
     /// Dimension in which the fleet grows.
     #[serde(rename = "over")]
@@ -71,9 +71,9 @@
 pub struct Statistics {
     /// Median; for an even number of values, the upper of the two middle values.
     pub median: f64,
-    /// Minimum.
+    /// Smallest value of all repeats.
     pub min: f64,
-    /// Maximum.
+    /// Largest value of all repeats.
     pub max: f64,
 }
 
--- a/crates/fleet-lab/src/scaling/sizes.rs
+++ b/crates/fleet-lab/src/scaling/sizes.rs
@@ -8,7 +8,7 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Dimension {
-    /// Listed servers.
+    /// Servers on the endpoint list.
     Servers,
     /// Customers that have sent requests to the gateway.
     Customers,
@@ -51,7 +51,7 @@
 /// The sizes of a fleet as one gateway sees it.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct FleetSizes {
-    /// Number of listed servers.
+    /// Number of servers on the endpoint list.
     pub servers: u64,
     /// Number of customers that have sent requests to the gateway.
     pub customers: u64,
--- a/crates/fleet-lab/src/simulate/engine/mod.rs
+++ b/crates/fleet-lab/src/simulate/engine/mod.rs
@@ -32,7 +32,7 @@
 /// Simulated time between two calls of the progress callback.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The result of a simulation.
+/// What a completed simulation yields: the reproducible results, and a time on the host's clock.
 pub struct SimulationResult {
     /// Results that depend only on the experiment and its seed.
     pub report: Report,
@@ -45,7 +45,7 @@
     experiment: &'a Experiment,
     now: Timestamp,
     queue: EventQueue,
-    /// Gateways by number.
+    /// Gateways, indexed by their number.
     gateways: Vec<SimulatedGateway>,
     servers: Vec<Server>,
     server_indices: BTreeMap<ServerId, usize>,
--- a/crates/fleet-lab/src/simulate/engine/queue.rs
+++ b/crates/fleet-lab/src/simulate/engine/queue.rs
@@ -12,7 +12,6 @@
 /// One run of a gateway: the time between a start and the next kill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct GatewayRun {
-    /// Id of the gateway.
     pub(super) gateway: GatewayId,
     /// Number of starts and kills of the gateway up to this run.
     pub(super) incarnation: u32,
@@ -37,17 +36,14 @@
     }
 }
 
-/// The result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptResult {
-    /// Outcome of the attempt.
     pub(super) outcome: AttemptOutcome,
     /// Load report; `None` if the server did not answer.
     pub(super) reported_load: Option<f64>,
 }
 
 impl AttemptResult {
-    /// Creates a result without a load report.
     pub(super) fn without_report(outcome: AttemptOutcome) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -59,37 +55,51 @@
 /// An event of the simulation. Servers are identified by their index.
 pub(super) enum SimulationEvent {
     /// A customer's next request arrives.
-    Arrival { customer: usize },
-    /// A client sends a retry.
+    Arrival {
+        customer: usize,
+    },
     Retry(Box<ClientRequest>),
     /// A timer that a gateway has set fires.
-    TimerFired { run: GatewayRun, token: u64 },
+    TimerFired {
+        run: GatewayRun,
+        token: u64,
+    },
     /// A message arrives at a gateway.
     Datagram {
         from: GatewayId,
         to: GatewayId,
         bytes: Vec<u8>,
     },
-    /// An attempt arrives at a server.
-    AttemptArrives { server: usize, job: Job },
+    AttemptArrives {
+        server: usize,
+        job: Job,
+    },
     /// The execution of a request is due to complete at a server.
-    ExecutionDue { server: usize, execution: u64 },
+    ExecutionDue {
+        server: usize,
+        execution: u64,
+    },
     /// A server learns that a gateway no longer waits for an attempt.
-    AttemptCancelled { server: usize, attempt: AttemptKey },
+    AttemptCancelled {
+        server: usize,
+        attempt: AttemptKey,
+    },
     /// A gateway learns how an attempt ended.
     AttemptFinished {
         attempt: AttemptKey,
         result: AttemptResult,
     },
-    /// A client disconnects.
+    /// A client disconnects, unless its request has already ended.
     ClientDisconnects(RequestNumber),
     /// The time for a final answer is over.
     AnswerOverdue(RequestNumber),
     /// A gateway's endpoint list is brought up to date.
-    Poll { gateway: GatewayId, kind: PollKind },
-    /// A gateway's call to discovery fails.
+    Poll {
+        gateway: GatewayId,
+        kind: PollKind,
+    },
+    /// A gateway's call to discovery fails, unless the gateway has been killed since the call.
     DiscoveryCallFails(GatewayRun),
-    /// A fault is injected.
     Fault(FaultAction),
 }
 
@@ -99,7 +109,6 @@
     pub(super) at: Timestamp,
     /// Sequence number: events of the same time happen in the order in which they were scheduled.
     sequence: u64,
-    /// The event.
     pub(super) event: SimulationEvent,
 }
 
@@ -131,7 +140,6 @@
 }
 
 impl EventQueue {
-    /// Schedules an event.
     pub(super) fn push(&mut self, at: Timestamp, event: SimulationEvent) {
         self.last_sequence += 1;
         self.heap.push(Reverse(ScheduledEvent {
--- a/crates/fleet-lab/src/simulate/engine/state.rs
+++ b/crates/fleet-lab/src/simulate/engine/state.rs
@@ -12,7 +12,6 @@
     pub(super) module: Option<Box<dyn DecisionModule>>,
     /// Number of starts and kills of the gateway so far.
     pub(super) incarnation: u32,
-    /// Zone of the gateway.
     pub(super) zone: ZoneId,
     /// Time at which the front end learns of the latest kill of the gateway. Ignored while the
     /// gateway is up.
@@ -44,11 +43,10 @@
     pub(super) deadline: Timestamp,
     /// Whether the request has a final answer or another end.
     pub(super) is_answered: bool,
-    /// Attempts by number.
+    /// Attempts, indexed by their number.
     pub(super) attempts: Vec<OpenAttempt>,
 }
 
-/// An attempt that has just finished.
 pub(super) struct FinishedAttempt {
     /// Run of the gateway that sent the attempt.
     pub(super) run: GatewayRun,
--- a/crates/fleet-lab/src/simulate/experiment.rs
+++ b/crates/fleet-lab/src/simulate/experiment.rs
@@ -43,7 +43,7 @@
 /// Parameters of an experiment, as given by its caller.
 #[derive(Clone, Debug)]
 pub struct ExperimentConfig {
-    /// Number of gateways.
+    /// Number of gateways, from 1 to 65,535. It replaces the number in the settings.
     pub nodes: u32,
     /// Number of servers at the start; `None` for two for every three gateways.
     pub servers: Option<u32>,
@@ -133,7 +133,7 @@
         })
     }
 
-    /// Returns the number of gateways.
+    /// Returns the number of gateways, whether they are up or down.
     pub fn gateway_count(&self) -> u32 {
         self.resolved.settings.gateway_count
     }
--- a/crates/fleet-lab/src/simulate/fault.rs
+++ b/crates/fleet-lab/src/simulate/fault.rs
@@ -2,7 +2,6 @@
 
 use crate::Failure;
 
-/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Fault {
     /// No fault.
--- a/crates/fleet-lab/src/simulate/fault_schedule.rs
+++ b/crates/fleet-lab/src/simulate/fault_schedule.rs
@@ -21,7 +21,7 @@
         /// Factor that multiplies the execution time; 1 restores the normal speed.
         factor: f64,
     },
-    /// A new server starts cold.
+    /// A new server starts cold, and discovery lists it.
     StartServer(Endpoint),
     /// Discovery lists a server as draining.
     DrainServer(ServerId),
@@ -29,7 +29,7 @@
     StopServer(ServerId),
     /// A server's process starts again, cold.
     RestartServer(ServerId),
-    /// A gateway is killed.
+    /// A gateway is killed, and the requests that are open at it fail.
     KillGateway(GatewayId),
     /// A gateway starts again.
     RestartGateway(GatewayId),
@@ -49,7 +49,7 @@
 pub struct FaultSchedule {
     /// Changes to servers and gateways. Changes at the same time are made in this order.
     pub actions: Vec<ScheduledAction>,
-    /// Network partitions.
+    /// Spans in which one zone is separated from all others.
     pub partitions: Partitions,
     /// Spans in which discovery cannot be reached.
     pub discovery_outages: Vec<TimeSpan>,
--- a/crates/fleet-lab/src/simulate/fault_scheduler.rs
+++ b/crates/fleet-lab/src/simulate/fault_scheduler.rs
@@ -44,7 +44,6 @@
     new_endpoint: &'a mut NewEndpoint<'a>,
     /// Initial servers that no scheduled fault affects yet, in random order.
     unaffected: std::vec::IntoIter<Endpoint>,
-    /// Number of initial servers.
     server_count: usize,
     schedule: FaultSchedule,
 }
--- a/crates/fleet-lab/src/simulate/host.rs
+++ b/crates/fleet-lab/src/simulate/host.rs
@@ -40,7 +40,6 @@
 }
 
 impl HostUsage {
-    /// Starts the measurement.
     pub(super) fn start() -> HostUsage {
         HostUsage {
             started: Instant::now(),
--- a/crates/fleet-lab/src/simulate/mod.rs
+++ b/crates/fleet-lab/src/simulate/mod.rs
@@ -27,7 +27,7 @@
 /// Arguments of `fleet-lab simulate`.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// Number of gateways.
+    /// Number of gateways, from 1 to 65535.
     #[arg(long, default_value_t = 300)]
     nodes: u32,
     /// Number of servers at the start [default: two for every three gateways]
--- a/crates/fleet-lab/src/simulate/report.rs
+++ b/crates/fleet-lab/src/simulate/report.rs
@@ -16,11 +16,11 @@
 /// Counts of the requests of one class and plan.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassPlanCounts {
-    /// Name of the class.
+    /// Name of the class in the settings.
     pub class: String,
-    /// Name of the plan.
+    /// Name of the plan in the settings.
     pub plan: String,
-    /// Counts of the requests.
+    /// How many requests of this class and plan arrived, and how they ended.
     #[serde(flatten)]
     pub requests: RequestCounts,
 }
@@ -65,10 +65,10 @@
     }
 }
 
-/// A server that was started cold.
+/// A server that was started cold, with its highest load until it was warm.
 #[derive(Clone, Debug, Serialize)]
 pub struct ColdServer {
-    /// Id of the server.
+    /// Id of the server, a random number of 32 bits.
     pub server: u64,
     /// Whether the server crashed from overload while it was cold.
     #[serde(rename = "fell")]
@@ -92,7 +92,7 @@
 /// The results of a simulation.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Number of gateways.
+    /// Number of gateways, whether they were up or down.
     pub nodes: u32,
     /// Number of servers at the start.
     pub servers: usize,
@@ -104,9 +104,9 @@
     /// Simulated time until the last request had ended, in seconds.
     #[serde(rename = "played_s")]
     pub simulated_seconds: f64,
-    /// Counts of all requests.
+    /// Counts of the requests of all classes and plans together.
     pub all: RequestCounts,
-    /// Counts of requests, by class and plan.
+    /// Counts of requests for each class and plan, including those without requests.
     #[serde(rename = "parts")]
     pub by_class_and_plan: Vec<ClassPlanCounts>,
     /// Units of all requests of which an attempt was sent.
@@ -114,12 +114,12 @@
     /// The part of `sent_units` that is beyond quotas.
     #[serde(rename = "over_units")]
     pub over_quota_units: f64,
-    /// Number of attempts sent.
+    /// Number of attempts sent, the first ones and the further ones of all requests.
     pub attempts: u64,
     /// Number of attempts that were sent to another zone.
     #[serde(rename = "crossed")]
     pub cross_zone_attempts: u64,
-    /// Violations, by invariant.
+    /// Violations, by invariant; an invariant that held has no entry.
     #[serde(rename = "broken")]
     pub violations: BTreeMap<Invariant, Violations>,
     /// Rates and counts of messages between gateways.
@@ -131,7 +131,7 @@
     /// Servers that were started cold.
     #[serde(rename = "cold")]
     pub cold_servers: Vec<ColdServer>,
-    /// Counts by second of the simulation.
+    /// Counts by second of the simulation, from its start to the last second in which any changed.
     pub seconds: Vec<SecondCounts>,
 }
 
--- a/crates/fleet-lab/src/world/client_request.rs
+++ b/crates/fleet-lab/src/world/client_request.rs
@@ -8,7 +8,7 @@
 pub struct ClientRequest {
     /// Index of the customer that sends the request.
     pub customer: usize,
-    /// Class of the request.
+    /// Class of the request, which its retries keep.
     pub class: ClassId,
     /// Estimated size in units, which the client sends with the request.
     pub estimated_units: f64,
--- a/crates/fleet-lab/src/world/clients.rs
+++ b/crates/fleet-lab/src/world/clients.rs
@@ -98,7 +98,8 @@
         time_to_next_event(&mut self.rng, rate).map(|span| now + span)
     }
 
-    /// Draws a new request of a customer.
+    /// Draws a new request of the customer with this index: its class, its units, and whether and
+    /// when its client disconnects.
     pub fn new_request(&mut self, now: Timestamp, customer: usize) -> ClientRequest {
         let class = self.draw_class();
         let estimated_units = draw_units(&mut self.rng, self.max_request_units);
--- a/crates/fleet-lab/src/world/customer_account.rs
+++ b/crates/fleet-lab/src/world/customer_account.rs
@@ -12,12 +12,12 @@
 /// unused.
 const HALF_UNUSED_FRACTION: f64 = 0.5;
 
-/// A customer and its plan.
+/// What the invariant checker needs to know of a customer.
 #[derive(Clone, Copy, Debug)]
 pub struct CustomerPlan {
-    /// Id of the customer.
+    /// Id of the customer, by which descriptions of violations name it.
     pub customer: CustomerId,
-    /// Plan of the customer.
+    /// Plan of the customer, whose limits the customer's usage is checked against.
     pub plan: PlanId,
 }
 
@@ -31,9 +31,7 @@
 
 /// The limits of one customer, and how much of each is used.
 pub(super) struct CustomerAccount {
-    /// Id of the customer.
     pub(super) id: CustomerId,
-    /// Plan of the customer.
     pub(super) plan: PlanId,
     /// Remaining tokens of the quota; `None` if the plan has no quota.
     quota: Option<TokenBucket>,
--- a/crates/fleet-lab/src/world/customers.rs
+++ b/crates/fleet-lab/src/world/customers.rs
@@ -36,7 +36,7 @@
 /// A customer, with its gateways and its demand over time.
 #[derive(Clone, Debug)]
 pub struct Customer {
-    /// Id of the customer.
+    /// Id of the customer, drawn at random.
     pub id: CustomerId,
     /// Plan of the customer.
     pub plan: PlanId,
--- a/crates/fleet-lab/src/world/datagrams.rs
+++ b/crates/fleet-lab/src/world/datagrams.rs
@@ -12,9 +12,9 @@
 /// A network partition that separates one zone from all others for a while.
 #[derive(Clone, Copy, Debug)]
 pub struct Partition {
-    /// The separated zone.
+    /// Zone that is separated from all others.
     pub zone: ZoneId,
-    /// Span of the partition.
+    /// Time in which no message passes between the zone and the others.
     pub span: TimeSpan,
 }
 
--- a/crates/fleet-lab/src/world/demand_pattern.rs
+++ b/crates/fleet-lab/src/world/demand_pattern.rs
@@ -24,7 +24,7 @@
 /// Pattern of a customer's demand. The ratios are those of demand to quota.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum DemandPattern {
-    /// A constant ratio.
+    /// A constant ratio below 1.
     Steady(f64),
     /// Long phases at this ratio, up to four times the quota.
     Sustained(f64),
@@ -42,7 +42,6 @@
 }
 
 impl DemandPattern {
-    /// Draws the demand pattern of a customer.
     pub(super) fn draw(rng: &mut Rng) -> DemandPattern {
         let chance = rng.random::<f64>();
         if chance < NEAR_QUOTA_CUMULATIVE_PROBABILITY {
--- a/crates/fleet-lab/src/world/invariant.rs
+++ b/crates/fleet-lab/src/world/invariant.rs
@@ -47,7 +47,7 @@
 /// The violations of one invariant.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Violations {
-    /// Number of violations.
+    /// Number of all violations, including those without an example.
     #[serde(rename = "times")]
     pub count: u64,
     /// Descriptions of the first violations.
--- a/crates/fleet-lab/src/world/request_record.rs
+++ b/crates/fleet-lab/src/world/request_record.rs
@@ -77,7 +77,6 @@
     }
 }
 
-/// The record of a simulated attempt.
 pub(super) struct AttemptRecord {
     /// Endpoint of the server as the list had it when the attempt was sent.
     pub(super) server: Endpoint,
--- a/crates/fleet-lab/src/world/request_statistics.rs
+++ b/crates/fleet-lab/src/world/request_statistics.rs
@@ -16,9 +16,9 @@
 pub struct RequestStatistics {
     /// Counts of requests, by class and then by plan.
     pub counts: Vec<Vec<RequestCounts>>,
-    /// Counts by second of the simulation.
+    /// Counts of each second, indexed by whole seconds since the start of the simulation.
     pub seconds: Vec<SecondCounts>,
-    /// Number of attempts sent.
+    /// Number of attempts sent, the first ones and the further ones of all requests.
     pub attempts: u64,
     /// Number of attempts sent to another zone.
     pub cross_zone_attempts: u64,
--- a/crates/fleet-lab/src/world/server_events.rs
+++ b/crates/fleet-lab/src/world/server_events.rs
@@ -22,7 +22,7 @@
     pub is_start_known: bool,
 }
 
-/// An event at a server.
+/// What has happened at a server, for its caller to act on.
 #[derive(Debug)]
 pub enum ServerEvent {
     /// An attempt begins to run.
--- a/crates/fleet-lab/src/world/servers.rs
+++ b/crates/fleet-lab/src/world/servers.rs
@@ -20,7 +20,7 @@
     Crashed,
 }
 
-/// A simulated server.
+/// A simulated server, with its queue, its process state and its load report.
 pub struct Server {
     /// Endpoint of the server in the endpoint list.
     pub endpoint: Endpoint,
@@ -29,7 +29,7 @@
     /// Attempts that run, by execution number.
     running: BTreeMap<u64, Job>,
     queue: VecDeque<Job>,
-    /// Number of the latest execution.
+    /// Number of the latest execution; 0 before the first.
     last_execution: u64,
     /// Span of the latest hang; `None` if the server has not hung since its start.
     hang: Option<TimeSpan>,
