--- a/crates/gateway-core/src/action.rs
+++ b/crates/gateway-core/src/action.rs
@@ -11,7 +11,7 @@
     /// Forward a request to a server. The attempts of a request are numbered from 0 in the order of
     /// these actions.
     SendAttempt {
-        /// The request.
+        /// Id of the request from its [`Event::RequestReceived`](crate::Event::RequestReceived).
         id: RequestId,
         /// The server to forward the request to.
         server: ServerId,
@@ -20,7 +20,7 @@
     },
     /// Answer the client that the request is rejected. The client may safely retry it.
     Reject {
-        /// The request.
+        /// Id of the request from its [`Event::RequestReceived`](crate::Event::RequestReceived).
         id: RequestId,
         /// How long the client should wait before it retries (`Retry-After`); `None` to let the
         /// client choose.
@@ -28,13 +28,13 @@
     },
     /// Answer the client that the request has failed. It may have been executed.
     Fail {
-        /// The request.
+        /// Id of the request from its [`Event::RequestReceived`](crate::Event::RequestReceived).
         id: RequestId,
     },
     /// Stop waiting for the answer to an attempt. The end of the attempt still has to be reported
     /// with an [`Event::AttemptFinished`](crate::Event::AttemptFinished).
     CancelAttempt {
-        /// The request.
+        /// Id of the request from its [`Event::RequestReceived`](crate::Event::RequestReceived).
         id: RequestId,
         /// The number of the attempt within the request.
         attempt: AttemptNumber,
--- a/crates/gateway-core/src/event.rs
+++ b/crates/gateway-core/src/event.rs
@@ -40,13 +40,13 @@
     /// The server has begun to stream its answer to the client. From then on the attempt has no
     /// deadline, and the gateway does not cancel it.
     StreamStarted {
-        /// The request.
+        /// Id of the request; the event is ignored if no such request is open.
         id: RequestId,
     },
     /// An attempt has ended. Each [`Action::SendAttempt`](crate::Action::SendAttempt) is followed
     /// by exactly one such event, even if the attempt was cancelled.
     AttemptFinished {
-        /// The request of the attempt.
+        /// Id of the request from its [`Action::SendAttempt`](crate::Action::SendAttempt).
         id: RequestId,
         /// The number of the attempt within the request.
         attempt: AttemptNumber,
@@ -59,12 +59,12 @@
     },
     /// The client no longer waits for an answer to this request.
     ClientDisconnected {
-        /// The request.
+        /// Id of the request; the event is ignored if no such request is open.
         id: RequestId,
     },
     /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) has fired.
     TimerFired {
-        /// The token of that action.
+        /// The token of that action, which the gateway ignores.
         token: u64,
     },
     /// A message from another gateway has arrived.
--- a/crates/gateway-core/src/gateway/servers/health.rs
+++ b/crates/gateway-core/src/gateway/servers/health.rs
@@ -15,7 +15,6 @@
 pub(in crate::gateway) struct StalledAttempt {
     /// The request and the number of the attempt.
     pub(in crate::gateway) key: AttemptKey,
-    /// The stalled server.
     pub(in crate::gateway) server: ServerId,
     class: ClassId,
     sent_at: Timestamp,
@@ -25,7 +24,6 @@
 pub(in crate::gateway) enum StallEjection {
     /// The server is no longer tracked.
     UnknownServer,
-    /// The server was already ejected.
     AlreadyEjected,
     /// The server was ejected because of this attempt.
     Ejected {
--- a/crates/gateway-core/src/message/encode.rs
+++ b/crates/gateway-core/src/message/encode.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::time::DurationExt;
 
-/// Encodes a message.
+/// Encodes a message. Leaves out the health reports that do not fit into the maximum length.
 pub(crate) fn encode(message: &Message) -> Vec<u8> {
     let mut bytes = vec![VERSION];
     match message {
--- a/crates/gateway-core/src/message/mod.rs
+++ b/crates/gateway-core/src/message/mod.rs
@@ -27,9 +27,7 @@
 
 /// The sender's observations of one server for one class.
 pub(crate) struct HealthReport {
-    /// Short id of the server.
     pub(crate) server: ShortServerId,
-    /// Class of requests.
     pub(crate) class: ClassId,
     /// Fraction of attempts that fail, from 0 to 1.
     pub(crate) failure_rate: f64,
@@ -49,7 +47,7 @@
     /// Latency ratio of each class: mean latency relative to the latency objective; `None` while
     /// unknown.
     pub(crate) latency_ratios: Vec<Option<f64>>,
-    /// Health reports on servers.
+    /// Health reports on servers. The encoding leaves out those that do not fit into a message.
     pub(crate) reports: Vec<HealthReport>,
 }
 
@@ -70,7 +68,6 @@
 /// of [`USAGE_STEP`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct UsageCount {
-    /// Id of the customer.
     pub(crate) customer: CustomerId,
     /// Running count of steps, which wraps around.
     pub(crate) count: u16,
@@ -98,9 +95,7 @@
 pub(crate) struct LeaseRequest {
     /// Sequence number, which the response repeats.
     pub(crate) sequence: u16,
-    /// Id of the customer.
     pub(crate) customer: CustomerId,
-    /// Plan of the customer.
     pub(crate) plan: PlanId,
     /// The gateways that receive the customer's requests.
     pub(crate) gateways: GatewaySet,
@@ -153,7 +148,6 @@
 pub(crate) struct PermitRelease {
     /// Sequence number of the lease request.
     pub(crate) sequence: u16,
-    /// Id of the customer.
     pub(crate) customer: CustomerId,
 }
 
@@ -165,7 +159,6 @@
     LeaseRequest(LeaseRequest, GossipDigest),
     /// Responds to a lease request.
     LeaseResponse(LeaseResponse, GossipDigest),
-    /// Releases a concurrency permit.
     PermitRelease(PermitRelease),
 }
 
--- a/crates/gateway-core/src/policy/load_balancing/subset.rs
+++ b/crates/gateway-core/src/policy/load_balancing/subset.rs
@@ -42,7 +42,6 @@
 pub(crate) struct Subset {
     /// Gateway that uses the subset, which begins at the gateway's position on the hash ring.
     gateway: GatewayId,
-    /// Number of gateways in the fleet.
     gateway_count: u32,
 }
 
--- a/crates/gateway-core/src/policy/outlier_detection/large_fleet.rs
+++ b/crates/gateway-core/src/policy/outlier_detection/large_fleet.rs
@@ -22,7 +22,6 @@
 /// Outlier detection rules of a large fleet.
 #[derive(Clone, Copy)]
 pub(crate) struct LargeFleet {
-    /// Number of gateways in the fleet.
     gateway_count: f64,
 }
 
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -232,7 +232,7 @@
     TimedOut {
         /// Lease request without a response.
         pending: PendingLeaseRequest,
-        /// Decision on the request.
+        /// Decision on the request for which the lease request was sent.
         next: TimeoutDecision,
     },
 }
--- a/crates/gateway-core/src/policy/quota_sharing/owner.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/owner.rs
@@ -86,7 +86,6 @@
 pub(crate) struct ReceivedLeaseRequest<'a> {
     /// Gateway that sent the lease request.
     from: GatewayId,
-    /// Lease request as it was received.
     request: &'a LeaseRequest,
     /// Owners of the customer's quota.
     owners: QuotaOwners,
--- a/crates/gateway-core/src/reconnect.rs
+++ b/crates/gateway-core/src/reconnect.rs
@@ -52,7 +52,7 @@
     (drain_grace / FIRST_LIST_TIMEOUTS_PER_GRACE).min(MAX_FIRST_LIST_TIMEOUT)
 }
 
-/// An event on the open watch.
+/// What discovery has sent on the open watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
     /// Discovery sent a message other than a list.
--- a/crates/gateway-core/src/settings/mod.rs
+++ b/crates/gateway-core/src/settings/mod.rs
@@ -141,7 +141,7 @@
 pub struct Settings {
     /// Number of this gateway, less than `gateway_count`.
     pub gateway_id: GatewayId,
-    /// Number of gateways of the fleet.
+    /// Number of gateways of the fleet, whether they are up or down; at least 1.
     pub gateway_count: u32,
     /// Availability zone that this gateway runs in.
     pub zone: ZoneId,
--- a/crates/gateway-core/src/settings/parse.rs
+++ b/crates/gateway-core/src/settings/parse.rs
@@ -30,7 +30,7 @@
     /// A class with an idempotency key has no deduplication scope.
     #[error("class {class}: group is required with an idempotency key")]
     MissingScope {
-        /// The name of the class.
+        /// Name of the class in the settings.
         class: String,
     },
 }
--- a/crates/gateway-core/src/state/attempt.rs
+++ b/crates/gateway-core/src/state/attempt.rs
@@ -17,9 +17,7 @@
 pub(crate) struct Attempt {
     /// The server that the attempt was sent to.
     pub(crate) server: ServerId,
-    /// The customer of the request.
     pub(crate) customer: CustomerId,
-    /// The class of the request.
     pub(crate) class: ClassId,
     /// The time from which the request could have been sent, had a server been available.
     pub(crate) eligible_since: Timestamp,
--- a/crates/gateway-core/src/state/latency_samples.rs
+++ b/crates/gateway-core/src/state/latency_samples.rs
@@ -11,7 +11,6 @@
 }
 
 impl ClassSamples {
-    /// Adds a latency ratio.
     pub(crate) fn add(&mut self, ratio: f64) {
         self.sum += ratio;
         self.count += 1.0;
@@ -32,7 +31,6 @@
         LatencySamples(vec![ClassSamples::default(); classes])
     }
 
-    /// Returns the samples of one class.
     pub(crate) fn class_samples_mut(&mut self, class: ClassId) -> &mut ClassSamples {
         &mut self.0[class.0]
     }
--- a/crates/gateway-core/src/state/quota/account.rs
+++ b/crates/gateway-core/src/state/quota/account.rs
@@ -18,7 +18,6 @@
 pub(crate) struct AccountConfig<'a> {
     /// The plan that the customer's requests name.
     pub(crate) plan_id: PlanId,
-    /// The limits of the plan.
     pub(crate) plan: &'a Plan,
     /// The gateways that the customer's requests come through.
     pub(crate) gateways: GatewaySet,
--- a/crates/gateway-core/src/state/quota/owned.rs
+++ b/crates/gateway-core/src/state/quota/owned.rs
@@ -17,7 +17,6 @@
 pub(crate) struct OwnedQuotaConfig<'a> {
     /// The plan named by the first lease request for the customer.
     pub(crate) plan_id: PlanId,
-    /// The limits of the plan.
     pub(crate) plan: &'a Plan,
     /// Fraction of the plan's rate and burst that this gateway owns.
     pub(crate) quota_fraction: f64,
--- a/crates/gateway-core/src/state/quota/owners.rs
+++ b/crates/gateway-core/src/state/quota/owners.rs
@@ -11,7 +11,6 @@
     count: u32,
     /// The gateways that the customer's requests come through.
     gateways: GatewaySet,
-    /// Number of gateways in the fleet.
     gateway_count: u32,
     /// Hash of the customer, which selects the first owner among the customer's gateways.
     hash: u32,
--- a/crates/gateway-core/src/state/quota/progress.rs
+++ b/crates/gateway-core/src/state/quota/progress.rs
@@ -8,7 +8,6 @@
 pub(crate) struct QuotaOwner {
     /// The owner's index among the customer's owners.
     pub(crate) index: u32,
-    /// The gateway that is the owner.
     pub(crate) gateway: GatewayId,
 }
 
--- a/crates/gateway-core/src/state/servers/server.rs
+++ b/crates/gateway-core/src/state/servers/server.rs
@@ -65,7 +65,6 @@
         Server { in_flight, ..self }
     }
 
-    /// Returns the server's id.
     pub(crate) fn id(&self) -> ServerId {
         self.endpoint.server
     }
--- a/crates/gateway-core/src/state/servers/server_table/candidates.rs
+++ b/crates/gateway-core/src/state/servers/server_table/candidates.rs
@@ -13,7 +13,6 @@
     pub(crate) cell: Option<CellId>,
     /// Position on the ring at which the subset begins.
     pub(crate) subset_position: usize,
-    /// Number of servers in the subset.
     pub(crate) subset_size: usize,
     /// Offset within the subset at which the visit begins.
     pub(crate) subset_start: usize,
--- a/crates/gateway-core/src/state/servers/server_table/health_summary.rs
+++ b/crates/gateway-core/src/state/servers/server_table/health_summary.rs
@@ -25,7 +25,6 @@
         self.index.observed_after(start)
     }
 
-    /// Returns the number of ready servers.
     pub(crate) fn ready_count(&self) -> usize {
         self.ring.len()
     }
--- a/crates/gateway-core/src/state/servers/server_table/mod.rs
+++ b/crates/gateway-core/src/state/servers/server_table/mod.rs
@@ -28,7 +28,6 @@
 /// All servers on the endpoint list.
 #[derive(Default)]
 pub(crate) struct ServerTable {
-    /// Number of request classes.
     classes: usize,
     /// Time that a server takes to warm up, from its start.
     warm_up_period: Duration,
--- a/crates/gateway-core/src/types.rs
+++ b/crates/gateway-core/src/types.rs
@@ -65,7 +65,7 @@
 /// An entry of the endpoint list: one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// Id of the server.
+    /// Id of the server, by which a later update refers to the same server.
     pub server: ServerId,
     /// Availability zone that the server runs in.
     pub zone: ZoneId,
--- a/crates/gateway-core/src/units.rs
+++ b/crates/gateway-core/src/units.rs
@@ -21,7 +21,7 @@
         Units(units)
     }
 
-    /// Returns the number of units.
+    /// Returns the number of units, which is negative for a debt.
     #[must_use]
     pub const fn as_f64(self) -> f64 {
         self.0
--- a/crates/gateway-core/src/warning.rs
+++ b/crates/gateway-core/src/warning.rs
@@ -17,7 +17,7 @@
     },
     /// A server accepts requests but answers none of them, so it is ejected.
     ServerStalled {
-        /// The ejected server.
+        /// The server, which stays ejected until a probe succeeds.
         server: ServerId,
     },
 }
