--- a/crates/edge-node/src/clients/phase.rs
+++ b/crates/edge-node/src/clients/phase.rs
@@ -9,7 +9,7 @@
     Starting,
     /// Ready: connections are accepted and requests are served.
     Serving,
-    /// Not ready any more. New connections and requests are still served, but each response closes
+    /// No longer ready. New connections and requests are still served, but each response closes
     /// its connection.
     Draining,
     /// No new connection is accepted, and idle connections are closed.
@@ -29,8 +29,8 @@
     }
 }
 
-/// Waits until the edge node is closing, or until the sender is dropped, after which the phase
-/// cannot change any more.
+/// Waits until the edge node is closing, or until the sender is dropped, after which the phase can
+/// no longer change.
 ///
 /// Cancel safe: the receiver is owned by the future, and the phase never leaves `Closing`.
 pub(super) async fn wait_for_closing(mut phase: watch::Receiver<Phase>) {
--- a/crates/edge-node/src/clients/request_head.rs
+++ b/crates/edge-node/src/clients/request_head.rs
@@ -119,7 +119,7 @@
         .ok_or(RequestError::InvalidPlan)
 }
 
-/// Returns the customer, which is the last segment of the path. The first segment has to be the
+/// Returns the customer, which is the last segment of the path. The first segment must be the
 /// class; any number of segments may lie between the two.
 fn parse_path(uri: &Uri, class_name: &str) -> Result<CustomerId, RequestError> {
     let mut segments = uri.path().trim_start_matches('/').split('/');
--- a/crates/edge-node/src/config/schema/spec.rs
+++ b/crates/edge-node/src/config/schema/spec.rs
@@ -108,7 +108,8 @@
     Ignored,
 }
 
-/// The specification of a key. Its paths begin at the root; `[]` stands for each item of a list.
+/// The specification of a key. Its paths begin at the root; `[]` marks a list and means each of its
+/// items.
 #[derive(Debug)]
 pub(super) struct KeySpec {
     /// Path in operators' TOML, by which docs/CONFIGURATION.md names the key.
--- a/crates/edge-node/src/discovery/list_reader.rs
+++ b/crates/edge-node/src/discovery/list_reader.rs
@@ -3,7 +3,7 @@
 //! object is buffered, and unreadable text is skipped.
 //!
 //! Neither a line codec nor `serde_json`'s stream deserializer can be used: an object may span
-//! lines, and the readable entries of a malformed object have to be applied, because a draining
+//! lines, and the readable entries of a malformed object must be applied, because a draining
 //! server may be among them.
 
 use crate::endpoint_list::{EndpointEntry, EndpointList};
--- a/crates/edge-node/src/log/rate_limiter.rs
+++ b/crates/edge-node/src/log/rate_limiter.rs
@@ -15,7 +15,7 @@
 /// Result of [`RateLimiter::check`] for one event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The event passes.
+    /// The event is within the limit of its window.
     Pass {
         /// Number of events of the same kind that were suppressed in the kind's previous window.
         /// Set on the first event of a window only, 0 on all others.
--- a/crates/edge-node/src/node/clock.rs
+++ b/crates/edge-node/src/node/clock.rs
@@ -7,7 +7,7 @@
 /// A monotonic clock that shows Unix time in microseconds: the wall clock is read once, and the
 /// time elapsed since then is added.
 ///
-/// Discovery reports the start times of servers as Unix time, too, so only their unit has to be
+/// Discovery reports the start times of servers as Unix time, too, so only their unit must be
 /// converted.
 pub(super) struct Clock {
     started: Instant,
--- a/crates/edge-node/src/upstream/response.rs
+++ b/crates/edge-node/src/upstream/response.rs
@@ -16,7 +16,7 @@
 /// Header, with the value `1`, by which a server states that it has not executed the request.
 const NOT_RUN: &str = "x-not-run";
 
-/// Reason why a response is not used. Its connection is in an unknown state and has to be closed.
+/// Reason why a response is not used. Its connection is in an unknown state and must be closed.
 #[derive(Debug, Error)]
 pub(super) enum ResponseError {
     /// The response names the request that was previously answered on this connection.
--- a/crates/edge-node/tests/edge/invalid_requests.rs
+++ b/crates/edge-node/tests/edge/invalid_requests.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Sends the invalid request on its own connection, which has to be closed after the response.
+    /// Sends the invalid request on its own connection, which must be closed after the response.
     fn assert_answered_and_closed(&self, node: &EdgeNode) {
         let mut client = node.client();
         let answer = client.exchange(&valid_request().replacen(self.original, self.replacement, 1));
--- a/crates/edge-node/tests/edge/start.rs
+++ b/crates/edge-node/tests/edge/start.rs
@@ -1,4 +1,4 @@
-//! Tests startup: 90 % of restarted processes have to be ready within 10 s, whatever discovery does
+//! Tests startup: 90 % of restarted processes must be ready within 10 s, whatever discovery does
 //! and even if another process still uses their addresses.
 
 use super::support::*;
--- a/crates/edge-node/tests/edge/watch.rs
+++ b/crates/edge-node/tests/edge/watch.rs
@@ -62,7 +62,7 @@
     )
 }
 
-/// Returns the next watch, which has to be opened within the drain grace. The drain grace is so
+/// Returns the next watch, which must be opened within the drain grace. The drain grace is so
 /// long here that a slow machine does not exceed it.
 fn next_watch_in_time(discovery: &FakeDiscovery) -> std::net::TcpStream {
     let started_at = Instant::now();
--- a/crates/edge-node/tests/support/node.rs
+++ b/crates/edge-node/tests/support/node.rs
@@ -77,7 +77,7 @@
 
 impl EdgeNode {
     /// Starts an edge node whose configuration contains this discovery address and an endpoint list
-    /// with these entries. `tag` is part of the name of the configuration file and has to be unique
+    /// with these entries. `tag` is part of the name of the configuration file and must be unique
     /// within the test target.
     pub(crate) fn start(tag: &str, discovery: SocketAddr, entries: &[String]) -> EdgeNode {
         EdgeNode::start_with_edited_config(tag, discovery, entries, |config| config)
--- a/crates/fleet-lab/src/hybrid/customers.rs
+++ b/crates/fleet-lab/src/hybrid/customers.rs
@@ -79,7 +79,7 @@
 }
 
 /// Derives a customer's id from its number. Nodes choose a customer's quota owners by the hash of
-/// its id, so ids have to be well mixed.
+/// its id, so ids must be well mixed.
 pub(super) fn customer_id(number: u64) -> CustomerId {
     CustomerId(number.wrapping_mul(ID_MULTIPLIER) & MAX_CUSTOMER_ID)
 }
--- a/crates/fleet-lab/src/hybrid/datagrams.rs
+++ b/crates/fleet-lab/src/hybrid/datagrams.rs
@@ -50,7 +50,7 @@
 }
 
 /// Addresses of all nodes. Nodes that are in the settings but do not run share one address, from
-/// which nobody answers.
+/// which no node answers.
 pub(super) struct Datagrams {
     nodes: Vec<NodeAddress>,
     absent_socket: UdpSocket,
--- a/crates/fleet-lab/src/hybrid/report.rs
+++ b/crates/fleet-lab/src/hybrid/report.rs
@@ -23,7 +23,7 @@
 /// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Factor within which the values of both kinds have to agree.
+    /// Factor within which the values of both kinds must agree.
     #[serde(rename = "within")]
     pub factor: f64,
     /// Number of requests at the real nodes and at the hollow nodes.
--- a/crates/fleet-lab/src/world/discovery.rs
+++ b/crates/fleet-lab/src/world/discovery.rs
@@ -28,7 +28,7 @@
     Update(Event),
     /// The gateway's call to discovery fails.
     CallFailed,
-    /// The gateway cannot reach discovery. The poll has to be repeated at this time.
+    /// The gateway cannot reach discovery. The poll must be repeated at this time.
     RetryAt(Timestamp),
     /// The gateway has already received all changes.
     NoChange,
--- a/crates/fleet-lab/src/world/draining.rs
+++ b/crates/fleet-lab/src/world/draining.rs
@@ -1,4 +1,5 @@
-//! Which servers a gateway knows to be draining or gone, and how long it may go on sending to them.
+//! Which servers a gateway knows to be draining or gone, and how long it may continue to send to
+//! them.
 
 use gateway_core::{EndpointState, ServerId, Timestamp};
 use std::collections::BTreeMap;
@@ -36,13 +37,13 @@
     }
 }
 
-/// Time for which a gateway may go on sending to a server once it knows that the server is draining
-/// or gone.
+/// Time for which a gateway may continue to send to a server once it knows that the server is
+/// draining or gone.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainGrace(pub Duration);
 
 impl DrainGrace {
-    /// Returns whether the drain grace is over for a gateway that has known of the drain since
+    /// Returns whether the drain grace has ended for a gateway that has known of the drain since
     /// `draining_since`.
     pub fn is_over(self, now: Timestamp, draining_since: Timestamp) -> bool {
         now > draining_since + self.0
--- a/crates/gateway-core/src/action.rs
+++ b/crates/gateway-core/src/action.rs
@@ -31,7 +31,7 @@
         /// Id of the request from its [`Event::RequestReceived`](crate::Event::RequestReceived).
         id: RequestId,
     },
-    /// Stop waiting for the answer to an attempt. The end of the attempt still has to be reported
+    /// Stop waiting for the answer to an attempt. The end of the attempt must still be reported
     /// with an [`Event::AttemptFinished`](crate::Event::AttemptFinished).
     CancelAttempt {
         /// Id of the request from its [`Event::RequestReceived`](crate::Event::RequestReceived).
--- a/crates/gateway-core/src/gateway/requests.rs
+++ b/crates/gateway-core/src/gateway/requests.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Cancels attempts whose answers would have no value any more, and gives expired requests
+    /// Cancels attempts whose answers would no longer have any value, and gives expired requests
     /// their final answer.
     pub(super) fn expire_requests(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let expired = self.expired_requests(now);
--- a/crates/gateway-core/src/message/layout.rs
+++ b/crates/gateway-core/src/message/layout.rs
@@ -38,7 +38,7 @@
 pub(super) const AGE_STEP: Duration = Duration::from_millis(32);
 /// Encoding of an unknown latency ratio or load.
 pub(super) const UNKNOWN: u8 = 255;
-/// Number of steps of an encoded failure rate; the last step stands for 1.
+/// Number of steps of an encoded failure rate; the last step represents 1.
 pub(super) const FAILURE_RATE_STEPS: u8 = 31;
 /// Maximum number of classes that a message can state.
 pub(super) const MAX_CLASSES: usize = 8;
--- a/crates/gateway-core/src/message/mod.rs
+++ b/crates/gateway-core/src/message/mod.rs
@@ -51,7 +51,7 @@
     pub(crate) reports: Vec<HealthReport>,
 }
 
-/// Units that one step of a usage count stands for; small enough to count fractions of units.
+/// Units that one step of a usage count represents; small enough to count fractions of units.
 const USAGE_STEP: Units = Units::new(1.0 / 8.0);
 
 /// Returns the usage count for this many forwarded units. It wraps around at 2^16 steps.
@@ -59,7 +59,7 @@
     (forwarded.as_f64() / USAGE_STEP.as_f64()).round() as u64 as u16
 }
 
-/// Returns the units that this many steps of a usage count stand for.
+/// Returns the units that this many steps of a usage count represent.
 pub(crate) fn units_of_usage_steps(steps: u16) -> Units {
     Units::new(f64::from(steps) * USAGE_STEP.as_f64())
 }
--- a/crates/gateway-core/src/reconnect.rs
+++ b/crates/gateway-core/src/reconnect.rs
@@ -31,7 +31,7 @@
 /// A watch that lasted longer than this was stable: its end is a new failure, and not the previous
 /// failure repeated.
 const STABLE_AFTER: Duration = MAX_BACKOFF;
-/// Upper bound of the wait for the first list, because a restarted edge node has to be ready soon.
+/// Upper bound of the wait for the first list, because a restarted edge node must be ready soon.
 const MAX_FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Drain grace divided by the answer timeout.
--- a/crates/gateway-core/src/settings/parse.rs
+++ b/crates/gateway-core/src/settings/parse.rs
@@ -230,7 +230,7 @@
     rate: f64,
     #[serde(rename = "storeSize")]
     burst: f64,
-    /// 0 stands for no limit.
+    /// 0 means no limit.
     #[serde(default, rename = "atOnce")]
     max_concurrent: u32,
     #[serde(rename = "price")]
@@ -239,7 +239,7 @@
     over_quota_weight: f64,
     #[serde(default, rename = "overrunCost")]
     over_quota_cost: f64,
-    /// 0 stands for no hard limit.
+    /// 0 means no hard limit.
     #[serde(default, rename = "capRate")]
     hard_limit_rate: f64,
     #[serde(default, rename = "neverOverDepth")]
--- a/crates/gateway-core/src/state/servers/server_table/mod.rs
+++ b/crates/gateway-core/src/state/servers/server_table/mod.rs
@@ -43,7 +43,7 @@
     cells: BTreeSet<(CellId, ServerId)>,
     /// The ready servers that are warming up, ordered by the time of their start.
     warming_up: BTreeSet<(Timestamp, ServerId)>,
-    /// Server ids by the short ids that stand for them in health reports.
+    /// Server ids by the short ids that health reports have instead of them.
     by_short_id: HashMap<ShortServerId, ServerId>,
     index: ServerIndex,
     /// Number of servers visited since the gateway started.
@@ -93,7 +93,7 @@
         self.tracked.len() + self.untracked.len() + self.by_short_id.len()
     }
 
-    /// Returns the server that a short id stands for in health reports.
+    /// Returns the server that a short id in a health report identifies.
     pub(crate) fn by_short_id(&self, short: ShortServerId) -> Option<ServerId> {
         self.by_short_id.get(&short).copied()
     }
--- a/crates/gateway-core/src/state/servers/server_table/update.rs
+++ b/crates/gateway-core/src/state/servers/server_table/update.rs
@@ -94,7 +94,7 @@
     }
 
     /// Updates the ring, cells and warm-ups after a server's ready endpoint changed from `before`
-    /// to `after`; `None` stands for a server that is not ready.
+    /// to `after`; `None` means that the server is not ready.
     fn reindex(&mut self, now: Timestamp, before: Option<Endpoint>, after: Option<Endpoint>) {
         if before == after {
             return;
--- a/crates/gateway-core/src/time.rs
+++ b/crates/gateway-core/src/time.rs
@@ -21,7 +21,7 @@
 impl Timestamp {
     /// The first instant of the clock.
     pub const EPOCH: Timestamp = Timestamp(0);
-    /// The last instant of the clock, which stands for "never".
+    /// The last instant of the clock, which means "never".
     pub const MAX: Timestamp = Timestamp(u64::MAX);
 
     /// Returns the instant this many microseconds after the epoch.
