--- a/crates/edge-node/src/config/error.rs
+++ b/crates/edge-node/src/config/error.rs
@@ -27,7 +27,7 @@
         variable: &'static str,
         /// Text that the variable is set to.
         value: String,
-        /// The error of parsing the value.
+        /// Why the value is not an IP address with a port.
         source: AddrParseError,
     },
     /// The configuration file was read, but its content is invalid.
--- a/crates/edge-node/src/config/schema/locate.rs
+++ b/crates/edge-node/src/config/schema/locate.rs
@@ -71,7 +71,6 @@
     locations
 }
 
-/// Returns the location of an entry of a table.
 fn entry_location<'a>(table: Location<'a>, name: &str) -> Location<'a> {
     let item = table.item.and_then(|item| item.get(name));
     Location {
--- a/crates/edge-node/src/config/schema/spec.rs
+++ b/crates/edge-node/src/config/schema/spec.rs
@@ -36,7 +36,6 @@
         min: f64,
         max: f64,
     },
-    /// One of these choices.
     Choice(&'static [Choice]),
 }
 
--- a/crates/edge-node/src/node/pending_requests.rs
+++ b/crates/edge-node/src/node/pending_requests.rs
@@ -110,7 +110,6 @@
 }
 
 impl PendingRequests {
-    /// Returns the number of pending requests.
     pub(super) fn len(&self) -> usize {
         self.by_id.borrow().len()
     }
--- a/crates/edge-node/src/upstream/connection.rs
+++ b/crates/edge-node/src/upstream/connection.rs
@@ -154,7 +154,6 @@
         self.request_written.get()
     }
 
-    /// Returns the id of the last request that was answered on this connection.
     pub(super) fn last_answered(&self) -> Option<&RequestId> {
         self.last_answered.as_ref()
     }
--- a/crates/edge-node/tests/documentation.rs
+++ b/crates/edge-node/tests/documentation.rs
@@ -55,7 +55,6 @@
         .collect()
 }
 
-/// Reads all documentation pages.
 fn pages() -> Vec<Page> {
     let root = root();
     let mut paths = vec![root.join("README.md"), root.join("CONTRIBUTING.md")];
--- a/crates/edge-node/tests/unit/client_response.rs
+++ b/crates/edge-node/tests/unit/client_response.rs
@@ -4,7 +4,6 @@
 use http_body_util::BodyExt;
 use hyper::header::HeaderMap;
 
-/// Returns the status, headers and body of a response.
 fn status_headers_and_body(response: BufferedResponse) -> (u16, HeaderMap, Bytes) {
     let (parts, body) = response.into_parts();
     // The body is in memory, so collecting it never waits.
--- a/crates/fleet-lab/src/hybrid/customers.rs
+++ b/crates/fleet-lab/src/hybrid/customers.rs
@@ -57,11 +57,11 @@
     pub(super) id: CustomerId,
     /// Plan of the customer, as an index into [`PLANS`].
     pub(super) plan: PlanId,
-    /// First of the consecutive nodes at which its requests arrive.
+    /// First of the consecutive nodes at which the customer's requests arrive.
     pub(super) first_node: GatewayId,
-    /// Number of nodes at which its requests arrive.
+    /// Number of nodes at which the customer's requests arrive.
     pub(super) node_count: u32,
-    /// Mean units per second of its requests.
+    /// Mean units per second of the customer's requests.
     pub(super) demand: f64,
 }
 
--- a/crates/fleet-lab/src/hybrid/hollow_node.rs
+++ b/crates/fleet-lab/src/hybrid/hollow_node.rs
@@ -25,7 +25,6 @@
     attempts: u32,
 }
 
-/// Key of one attempt of a request.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct AttemptKey {
     id: RequestId,
--- a/crates/fleet-lab/src/main.rs
+++ b/crates/fleet-lab/src/main.rs
@@ -7,7 +7,6 @@
 use std::alloc::System;
 use std::process::ExitCode;
 
-/// Exit status for invalid arguments.
 const INVALID_ARGUMENTS_STATUS: u8 = 2;
 
 /// Counts allocations for `fleet-lab scaling`, at the cost of a few atomic additions per
--- a/crates/fleet-lab/src/scaling/fleet.rs
+++ b/crates/fleet-lab/src/scaling/fleet.rs
@@ -22,7 +22,6 @@
 /// throttle their lease requests. If more requests stay open, each open request has a customer of
 /// its own.
 pub(super) const MIN_ACTIVE_CUSTOMERS: u64 = 64;
-/// Number of zones of the fleet.
 const ZONE_COUNT: u32 = 29;
 /// Exclusive upper limit of customer ids, which have at most 33 bits by the protocol.
 pub(super) const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
@@ -99,7 +98,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Customer {
     pub(super) id: CustomerId,
-    /// First of the consecutive gateways at which its requests arrive.
+    /// First of the consecutive gateways at which the customer's requests arrive.
     pub(super) first_gateway: GatewayId,
 }
 
--- a/crates/fleet-lab/src/simulate/engine/state.rs
+++ b/crates/fleet-lab/src/simulate/engine/state.rs
@@ -19,7 +19,6 @@
 }
 
 impl SimulatedGateway {
-    /// Returns whether the gateway is up.
     pub(super) fn is_up(&self) -> bool {
         self.module.is_some()
     }
--- a/crates/fleet-lab/src/simulate/experiment.rs
+++ b/crates/fleet-lab/src/simulate/experiment.rs
@@ -97,7 +97,7 @@
     pub rate: f64,
     /// Names of the faults, as on the command line.
     pub fault_names: Vec<String>,
-    /// Times of all faults.
+    /// All faults with their times, drawn from the seed.
     pub faults: FaultSchedule,
 }
 
--- a/crates/fleet-lab/src/simulate/fault_schedule.rs
+++ b/crates/fleet-lab/src/simulate/fault_schedule.rs
@@ -44,7 +44,7 @@
     pub action: FaultAction,
 }
 
-/// All faults of a simulation.
+/// All faults of a simulation, drawn before it starts.
 #[derive(Clone, Debug, Default)]
 pub struct FaultSchedule {
     /// Changes to servers and gateways. Changes at the same time are made in this order.
--- a/crates/fleet-lab/src/time.rs
+++ b/crates/fleet-lab/src/time.rs
@@ -9,7 +9,6 @@
 
 /// One microsecond, the resolution of all timestamps and durations.
 pub(crate) const MICROSECOND: Duration = Duration::from_micros(1);
-/// Microseconds in a second.
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Converts seconds to a duration, rounded to whole microseconds.
--- a/crates/fleet-lab/src/world/client_request.rs
+++ b/crates/fleet-lab/src/world/client_request.rs
@@ -39,7 +39,7 @@
 /// A retry that a client is going to send.
 #[derive(Clone, Debug)]
 pub struct ClientRetry {
-    /// Time at which the client sends it.
+    /// Time at which the client sends the retry.
     pub at: Timestamp,
     /// The request with its retry count increased.
     pub request: ClientRequest,
--- a/crates/fleet-lab/src/world/invariant.rs
+++ b/crates/fleet-lab/src/world/invariant.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// The violations of one invariant.
+/// The violations of one invariant: their number, and the first few with their times.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Violations {
     /// Number of all violations, including those without an example.
--- a/crates/gateway-core/src/event.rs
+++ b/crates/gateway-core/src/event.rs
@@ -69,7 +69,7 @@
     },
     /// A message from another gateway has arrived.
     PeerMessage {
-        /// The gateway that sent it.
+        /// The gateway that sent the message.
         from: GatewayId,
         /// The encoded message, which may have been delayed or duplicated, and may be malformed.
         bytes: Vec<u8>,
--- a/crates/gateway-core/src/settings/mod.rs
+++ b/crates/gateway-core/src/settings/mod.rs
@@ -58,7 +58,7 @@
     pub latency_objective: Duration,
     /// Fraction of the priority weight that an answer after the latency objective still earns.
     pub late_weight: f64,
-    /// Priority weight of one request.
+    /// Priority of a request within its latency objective, before the plan's weight multiplies it.
     pub priority_weight: f64,
     /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
--- a/crates/gateway-core/src/state/attempt.rs
+++ b/crates/gateway-core/src/state/attempt.rs
@@ -7,7 +7,6 @@
 /// The request and number that identify an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
-    /// The request that the attempt belongs to.
     pub(crate) request: RequestId,
     /// The attempt's number within the request, from 0.
     pub(crate) number: AttemptNumber,
--- a/crates/gateway-core/src/state/quota/held_lease.rs
+++ b/crates/gateway-core/src/state/quota/held_lease.rs
@@ -40,7 +40,6 @@
         self.units > Units::ZERO
     }
 
-    /// Returns the index of the owner that granted the lease.
     pub(crate) fn owner_index(&self) -> u32 {
         self.owner_index
     }
--- a/crates/gateway-core/src/state/request.rs
+++ b/crates/gateway-core/src/state/request.rs
@@ -73,7 +73,6 @@
         }
     }
 
-    /// Returns the request's class.
     pub(crate) fn class(&self) -> ClassId {
         self.details.class
     }
@@ -93,7 +92,6 @@
         self.details.units
     }
 
-    /// Returns when the request arrived.
     pub(crate) fn arrived_at(&self) -> Timestamp {
         self.arrived_at
     }
@@ -145,7 +143,6 @@
             .is_some_and(|attempt| !attempt.is_cancellable)
     }
 
-    /// Returns whether any attempt has reached a server.
     pub(crate) fn has_reached_server(&self) -> bool {
         self.has_reached_server
     }
--- a/crates/gateway-core/src/time.rs
+++ b/crates/gateway-core/src/time.rs
@@ -7,7 +7,6 @@
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 /// Microseconds in a second, for integer arithmetic.
 const WHOLE_MICROS_PER_SECOND: u64 = 1_000_000;
-/// Microseconds in a millisecond.
 const MICROS_PER_MILLISECOND: u64 = 1_000;
 
 /// An instant, in whole microseconds since an epoch that the embedding program chooses. All
--- a/crates/gateway-core/src/types.rs
+++ b/crates/gateway-core/src/types.rs
@@ -112,7 +112,7 @@
 }
 
 impl AttemptOutcome {
-    /// Returns whether the attempt reached a server.
+    /// Returns whether the attempt got as far as an open connection to a server.
     #[must_use]
     pub fn reached_server(self) -> bool {
         !matches!(self, AttemptOutcome::Unreachable | AttemptOutcome::NotSent)
