--- a/crates/edge-node/src/clients/connection.rs
+++ b/crates/edge-node/src/clients/connection.rs
@@ -77,7 +77,7 @@
     server
 }
 
-/// Waits until the connection is to be shut down gracefully.
+/// Waits until the connection must be shut down gracefully.
 ///
 /// Yields to the runtime once between the phase change and the shutdown, so that a request that has
 /// already arrived is read and answered. An immediate shutdown would drop the request unread.
--- a/crates/edge-node/src/config/mod.rs
+++ b/crates/edge-node/src/config/mod.rs
@@ -32,7 +32,7 @@
     pub listen: SocketAddr,
     /// Address on which the discovery agent listens.
     pub discovery: SocketAddr,
-    /// Seed of all random decisions.
+    /// Seed of all random decisions; random if the file gives none.
     pub seed: u64,
     /// Maximum number of file descriptors of the process.
     pub max_file_descriptors: usize,
--- a/crates/edge-node/src/config/schema/spec.rs
+++ b/crates/edge-node/src/config/schema/spec.rs
@@ -14,6 +14,7 @@
 pub(super) enum ValueType {
     /// A non-empty string; the platform's JSON may have an empty one.
     String,
+    /// A list of strings.
     StringList,
     /// An IP address with a port.
     Address,
@@ -21,21 +22,14 @@
     AddressList,
     /// `true` or `false`.
     Boolean,
-    Integer {
-        min: u64,
-        max: u64,
-    },
+    /// An integer, not written as a float.
+    Integer { min: u64, max: u64 },
     /// An integer or a float.
-    Number {
-        min: f64,
-        max: f64,
-    },
+    Number { min: f64, max: f64 },
     /// A time in milliseconds, which may have a fraction. The platform's JSON has whole
     /// microseconds instead.
-    Milliseconds {
-        min: f64,
-        max: f64,
-    },
+    Milliseconds { min: f64, max: f64 },
+    /// One of these choices.
     Choice(&'static [Choice]),
 }
 
@@ -70,18 +64,18 @@
 pub(super) enum DefaultValue {
     /// No value: the key must be present.
     Required,
+    /// The integer of a key of the type [`ValueType::Integer`].
     Integer(u64),
     /// An integer or a float.
     Number(f64),
+    /// A time in milliseconds.
     Milliseconds(f64),
     /// `true` or `false`.
     Boolean(bool),
     /// The name of a choice in operators' TOML.
     Choice(&'static str),
     /// No value: the key stays absent. `meaning` says in docs/CONFIGURATION.md what that means.
-    Absent {
-        meaning: &'static str,
-    },
+    Absent { meaning: &'static str },
 }
 
 /// Whether a key is present in the platform's JSON.
--- a/crates/fleet-lab/src/hybrid/figure.rs
+++ b/crates/fleet-lab/src/hybrid/figure.rs
@@ -7,9 +7,9 @@
 pub struct Figure {
     /// Value as measured, between the two bounds.
     pub value: f64,
-    /// Lower bound.
+    /// Lower bound of the true value.
     pub low: f64,
-    /// Upper bound.
+    /// Upper bound of the true value.
     pub high: f64,
 }
 
--- a/crates/fleet-lab/src/hybrid/invariant_checker.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_checker.rs
@@ -157,7 +157,7 @@
     }
 
     /// Checks all invariants. A request that is still open counts as one without a final answer, so
-    /// this is to be called after all requests have ended.
+    /// this must be called after all requests have ended.
     pub fn check(&self) -> Vec<InvariantResult> {
         vec![
             self.check_quotas(),
--- a/crates/fleet-lab/src/hybrid/quotas.rs
+++ b/crates/fleet-lab/src/hybrid/quotas.rs
@@ -8,7 +8,7 @@
 /// information.
 #[derive(Clone, Copy, Debug)]
 pub struct Quota {
-    /// Units per second.
+    /// Units per second that may be used in the long run.
     pub rate: f64,
     /// Units that may be used at once.
     pub burst: f64,
--- a/crates/fleet-lab/src/scaling/cost.rs
+++ b/crates/fleet-lab/src/scaling/cost.rs
@@ -67,7 +67,7 @@
 
 /// Returns the number of bytes that the whole process has allocated and not freed. The difference
 /// between two calls is the memory of the measured gateway only if nothing else allocates
-/// meanwhile.
+/// between them.
 pub(super) fn live_bytes() -> u64 {
     let stats = INSTRUMENTED_SYSTEM.stats();
     stats
--- a/crates/fleet-lab/src/simulate/engine/queue.rs
+++ b/crates/fleet-lab/src/simulate/engine/queue.rs
@@ -55,35 +55,23 @@
 /// An event of the simulation. Servers are identified by their index.
 pub(super) enum SimulationEvent {
     /// A customer's next request arrives.
-    Arrival {
-        customer: usize,
-    },
+    Arrival { customer: usize },
+    /// A client sends a request again after an error.
     Retry(Box<ClientRequest>),
     /// A timer that a gateway has set fires.
-    TimerFired {
-        run: GatewayRun,
-        token: u64,
-    },
+    TimerFired { run: GatewayRun, token: u64 },
     /// A message arrives at a gateway.
     Datagram {
         from: GatewayId,
         to: GatewayId,
         bytes: Vec<u8>,
     },
-    AttemptArrives {
-        server: usize,
-        job: Job,
-    },
+    /// An attempt arrives at a server.
+    AttemptArrives { server: usize, job: Job },
     /// The execution of a request is due to complete at a server.
-    ExecutionDue {
-        server: usize,
-        execution: u64,
-    },
+    ExecutionDue { server: usize, execution: u64 },
     /// A server learns that a gateway no longer waits for an attempt.
-    AttemptCancelled {
-        server: usize,
-        attempt: AttemptKey,
-    },
+    AttemptCancelled { server: usize, attempt: AttemptKey },
     /// A gateway learns how an attempt ended.
     AttemptFinished {
         attempt: AttemptKey,
@@ -91,15 +79,13 @@
     },
     /// A client disconnects, unless its request has already ended.
     ClientDisconnects(RequestNumber),
-    /// The time for a final answer is over.
+    /// The time for a final answer has ended.
     AnswerOverdue(RequestNumber),
     /// A gateway's endpoint list is brought up to date.
-    Poll {
-        gateway: GatewayId,
-        kind: PollKind,
-    },
+    Poll { gateway: GatewayId, kind: PollKind },
     /// A gateway's call to discovery fails, unless the gateway has been killed since the call.
     DiscoveryCallFails(GatewayRun),
+    /// A fault is injected.
     Fault(FaultAction),
 }
 
--- a/crates/fleet-lab/src/world/invariant_checker/answers.rs
+++ b/crates/fleet-lab/src/world/invariant_checker/answers.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Records that the time for a final answer is over, which is a violation if the request is
+    /// Records that the time for a final answer has ended, which is a violation if the request is
     /// still open. Returns whether the request was open.
     pub fn answer_overdue(&mut self, now: Timestamp, number: RequestNumber) -> bool {
         let Some(request) = self.close(number) else {
--- a/crates/fleet-lab/src/world/server_events.rs
+++ b/crates/fleet-lab/src/world/server_events.rs
@@ -29,7 +29,7 @@
     Started {
         /// Number to pass to [`Server::complete`](super::servers::Server::complete).
         execution: u64,
-        /// Time at which the execution is done, unless the server hangs meanwhile.
+        /// Time at which the execution is done, unless the server hangs before then.
         done_at: Timestamp,
         /// Attempt that begins to run.
         job: Job,
--- a/crates/gateway-core/src/gateway/control_loop.rs
+++ b/crates/gateway-core/src/gateway/control_loop.rs
@@ -49,7 +49,7 @@
 
     /// Runs a control tick: updates the latency ratios and the mean numbers of attempts in flight
     /// with the observations since the last tick, and adjusts the in-flight limit. Returns a
-    /// warning if the limit starts at this tick and operators are to be warned of it.
+    /// warning if the limit starts at this tick and operators must be warned of it.
     pub(super) fn tick(
         &mut self,
         now: Timestamp,
--- a/crates/gateway-core/src/policy/deadlines.rs
+++ b/crates/gateway-core/src/policy/deadlines.rs
@@ -83,7 +83,7 @@
     context.now < objective_at && answered_at_us > objective_at.as_micros_f64()
 }
 
-/// Returns the attempt in flight if it is to be cancelled because the latency objective has passed:
+/// Returns the attempt in flight if it must be cancelled because the latency objective has passed:
 /// the attempt would only occupy a server.
 fn attempt_past_objective(context: Context<'_>, request: &Request) -> Option<AttemptNumber> {
     let deployment = context.deployment;
--- a/crates/gateway-core/src/policy/load_balancing/eligibility.rs
+++ b/crates/gateway-core/src/policy/load_balancing/eligibility.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns whether a server is not ejected for the request's class, or its probe is due:
-    /// nothing is in flight there and the time of the probe has come.
+    /// nothing is in flight there and the time of the probe has been reached.
     fn is_available(&self, choice: &Choice<'_>, server: &Server) -> bool {
         let probe_at = server.class_health(choice.request.class()).next_probe_at();
         probe_at.is_none_or(|at| at <= self.context.now && server.in_flight() == 0)
--- a/crates/gateway-core/src/reconnect.rs
+++ b/crates/gateway-core/src/reconnect.rs
@@ -206,7 +206,7 @@
         now.saturating_sub(self.attempt_started_at) > STABLE_AFTER
     }
 
-    /// Records that the watch has ended, and returns when the next watch is to be opened. `jitter`,
+    /// Records that the watch has ended, and returns when the next watch must be opened. `jitter`,
     /// from 0 to 1, spreads the attempts of the edge nodes, which would otherwise reconnect at the
     /// same moment.
     pub fn attempt_failed(
--- a/crates/gateway-core/src/settings/mod.rs
+++ b/crates/gateway-core/src/settings/mod.rs
@@ -126,7 +126,7 @@
 /// What the deployment permits gateways to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permissions {
-    /// Maximum number of attempts for one request.
+    /// Maximum number of attempts for one request, the first one included.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub cancel_attempts: bool,
