--- a/crates/gateway-core/tests/common/fleet.rs
+++ b/crates/gateway-core/tests/common/fleet.rs
@@ -1,7 +1,7 @@
 //! A simulated fleet of gateways with one clock. Messages between the gateways are lost, delayed,
 //! duplicated and reordered.
 
-use super::{GatewayHarness, Micros, SettingsBuilder, CUSTOMER, IDEMPOTENT, MS, S};
+use super::{GatewayHarness, Micros, SettingsBuilder, CUSTOMER, IDEMPOTENT, MILLISECOND, SECOND};
 use gateway_core::*;
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
     ) -> Self {
         let gateway = |number| {
             let settings = customize(SettingsBuilder::new(number, gateways)).build();
-            GatewayHarness::with_servers(u64::from(number), settings, S, servers)
+            GatewayHarness::with_servers(u64::from(number), settings, SECOND, servers)
         };
         let gateways: Vec<_> = (0..gateways).map(gateway).collect();
         Fleet {
@@ -66,7 +66,7 @@
         let end = self.now() + span;
         while self.now() < end {
             for index in 0..self.gateways.len() {
-                self.gateways[index].advance(2 * MS);
+                self.gateways[index].advance(2 * MILLISECOND);
                 self.collect_messages(index);
             }
             self.deliver_messages();
@@ -101,7 +101,7 @@
                         from: GatewayId(from as u32),
                         bytes: bytes.clone(),
                     };
-                    let arrives_at = gateway.now + self.random.u64(5..40) * MS;
+                    let arrives_at = gateway.now + self.random.u64(5..40) * MILLISECOND;
                     self.network.push(Delivery {
                         arrives_at,
                         to: to.0 as usize,
@@ -142,9 +142,9 @@
         let mut sent = 0;
         for _ in 0..seconds * rate {
             let index = choose(&mut self.random, self.gateways.len());
-            self.gateways[index].request(IDEMPOTENT, plan, CUSTOMER, 2 * S);
+            self.gateways[index].request(IDEMPOTENT, plan, CUSTOMER, 2 * SECOND);
             self.collect_messages(index);
-            self.advance(S / rate);
+            self.advance(SECOND / rate);
             sent += self.complete_all();
         }
         sent
--- a/crates/gateway-core/tests/common/harness.rs
+++ b/crates/gateway-core/tests/common/harness.rs
@@ -2,13 +2,13 @@
 //! gateway's state, checks every action against the rules of the platform.
 
 use super::request_log::RequestLog;
-use super::{Micros, CUSTOMER, IDEMPOTENT, MS, S, UNLIMITED};
+use super::{Micros, CUSTOMER, IDEMPOTENT, MILLISECOND, SECOND, UNLIMITED};
 use gateway_core::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Step of the clock, after which due timers fire.
-const TIMER_STEP: Micros = 2 * MS;
+const TIMER_STEP: Micros = 2 * MILLISECOND;
 
 pub(crate) struct PendingTimer {
     pub(crate) fires_at: Micros,
@@ -146,7 +146,7 @@
     ) -> Vec<ServerId> {
         let mut servers = Vec::new();
         for _ in 0..count {
-            let id = self.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
+            let id = self.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * SECOND);
             if let Some(server) = self.server_of(&id) {
                 servers.push(server);
                 self.finish(&id, AttemptOutcome::Success);
--- a/crates/gateway-core/tests/common/mod.rs
+++ b/crates/gateway-core/tests/common/mod.rs
@@ -16,9 +16,9 @@
 pub(crate) type Micros = u64;
 
 /// One millisecond.
-pub(crate) const MS: Micros = 1_000;
+pub(crate) const MILLISECOND: Micros = 1_000;
 /// One second.
-pub(crate) const S: Micros = 1_000_000;
+pub(crate) const SECOND: Micros = 1_000_000;
 
 /// The customer of tests that need only one.
 pub(crate) const CUSTOMER: CustomerId = CustomerId(7);
--- a/crates/gateway-core/tests/common/request_log.rs
+++ b/crates/gateway-core/tests/common/request_log.rs
@@ -4,13 +4,13 @@
 //! 2. No request is executed more often than its class permits.
 //! 3. No attempt is sent to a server that is draining or gone.
 
-use super::{Micros, MS};
+use super::{Micros, MILLISECOND};
 use gateway_core::*;
 use std::collections::BTreeMap;
 
 /// Time by which a final answer may be later than the client's deadline, because timers fire in
 /// steps.
-const TIMER_TOLERANCE: Micros = 8 * MS;
+const TIMER_TOLERANCE: Micros = 8 * MILLISECOND;
 
 #[derive(Default)]
 struct RequestRecord {
--- a/crates/gateway-core/tests/policy/admission.rs
+++ b/crates/gateway-core/tests/policy/admission.rs
@@ -6,12 +6,12 @@
 /// Rejections are counted by reason and plan, so that operators can tell their causes apart.
 #[test]
 fn counts_rejections_by_reason_and_plan() {
-    let mut gateway = GatewayHarness::new(1, settings(0, 2), S);
+    let mut gateway = GatewayHarness::new(1, settings(0, 2), SECOND);
     for _ in 0..5 {
-        gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * S);
+        gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * SECOND);
     }
-    gateway.request(IDEMPOTENT, UNLIMITED, CustomerId(8), 5 * MS);
-    gateway.advance(2 * S);
+    gateway.request(IDEMPOTENT, UNLIMITED, CustomerId(8), 5 * MILLISECOND);
+    gateway.advance(2 * SECOND);
     let counted: Vec<_> = gateway.gateway.rejections().collect();
     let expected = [
         (RejectReason::DeadlineTooShort, UNLIMITED, 1),
--- a/crates/gateway-core/tests/policy/controller_inputs.rs
+++ b/crates/gateway-core/tests/policy/controller_inputs.rs
@@ -6,8 +6,8 @@
 /// would look like many slow requests, and the gateway would shed others.
 #[test]
 fn hanging_request_does_not_shed_others() {
-    let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), S, 4);
-    gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, 6 * S);
+    let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), SECOND, 4);
+    gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, 6 * SECOND);
     let mut sent = 0;
     for number in 0..55 {
         let class = if number % 2 == 0 {
@@ -15,8 +15,8 @@
         } else {
             IDEMPOTENT
         };
-        sent += usize::from(gateway.request_and_complete(class, UNLIMITED, CUSTOMER, 2 * S));
-        gateway.advance(100 * MS);
+        sent += usize::from(gateway.request_and_complete(class, UNLIMITED, CUSTOMER, 2 * SECOND));
+        gateway.advance(100 * MILLISECOND);
     }
     assert!(sent >= 52, "{sent} of 55 requests were sent");
 }
--- a/crates/gateway-core/tests/policy/deadlines.rs
+++ b/crates/gateway-core/tests/policy/deadlines.rs
@@ -19,11 +19,11 @@
 /// delayed.
 #[test]
 fn rejection_states_when_token_bucket_will_cover_request() {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, 1), S, 8);
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, 1), SECOND, 8);
     let mut retry_after = |wait: Micros| {
         gateway.now += wait;
         gateway.actions.clear();
-        gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * S);
+        gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * SECOND);
         retry_afters(&gateway.actions).into_iter().flatten().next()
     };
     for _ in 0..4 {
@@ -31,13 +31,16 @@
     }
     assert_eq!(
         retry_after(0),
-        Some(80 * MS),
+        Some(80 * MILLISECOND),
         "a whole unit is missing, so the longest Retry-After applies"
     );
-    let soon = retry_after(950 * MS).expect("the token bucket is still short");
-    assert!((49 * MS..51 * MS).contains(&soon), "{soon}");
+    let soon = retry_after(950 * MILLISECOND).expect("the token bucket is still short");
+    assert!(
+        (49 * MILLISECOND..51 * MILLISECOND).contains(&soon),
+        "{soon}"
+    );
     assert_eq!(
-        retry_after(50 * MS),
+        retry_after(50 * MILLISECOND),
         None,
         "the token bucket covers the request after the Retry-After"
     );
@@ -49,16 +52,16 @@
 fn retry_after_stays_within_configured_maximum() {
     for (max_retry_after, expected) in [
         (None, None),
-        (Some(5 * MS), Some(5 * MS)),
-        (Some(10 * S), Some(80 * MS)),
+        (Some(5 * MILLISECOND), Some(5 * MILLISECOND)),
+        (Some(10 * SECOND), Some(80 * MILLISECOND)),
     ] {
         let settings = SettingsBuilder::new(0, 2)
             .max_retry_after(max_retry_after.map(Duration::from_micros))
             .build();
-        let mut gateway = GatewayHarness::with_servers(1, settings, S, 2);
+        let mut gateway = GatewayHarness::with_servers(1, settings, SECOND, 2);
         gateway.actions.clear();
         for _ in 0..20 {
-            gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * S);
+            gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * SECOND);
         }
         assert_eq!(
             retry_afters(&gateway.actions).last(),
@@ -72,11 +75,11 @@
 /// client can still retry elsewhere.
 #[test]
 fn rejects_unsent_request_at_half_time() {
-    let mut gateway = GatewayHarness::new(1, settings(0, 2), S);
+    let mut gateway = GatewayHarness::new(1, settings(0, 2), SECOND);
     for (class, timeout) in [
-        (IDEMPOTENT, 2 * S),
-        (NON_IDEMPOTENT, S),
-        (KEYED_BY_CELL, 600 * MS),
+        (IDEMPOTENT, 2 * SECOND),
+        (NON_IDEMPOTENT, SECOND),
+        (KEYED_BY_CELL, 600 * MILLISECOND),
     ] {
         let id = gateway.request(class, UNLIMITED, CUSTOMER, timeout);
         gateway.advance(timeout / 2);
@@ -96,8 +99,8 @@
 
 #[test]
 fn rejects_request_with_short_timeout_immediately() {
-    for timeout in [0, 1, 5 * MS, 19 * MS] {
-        let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 0);
+    for timeout in [0, 1, 5 * MILLISECOND, 19 * MILLISECOND] {
+        let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), SECOND, 0);
         let id = gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, timeout);
         let is_rejection =
             |action: &Action| matches!(action, Action::Reject { id: found, .. } if *found == id);
--- a/crates/gateway-core/tests/policy/gateway.rs
+++ b/crates/gateway-core/tests/policy/gateway.rs
@@ -7,11 +7,11 @@
 #[test]
 fn same_events_produce_same_actions() {
     let run = || {
-        let mut gateway = GatewayHarness::with_servers(11, settings(0, 2), S, 5);
+        let mut gateway = GatewayHarness::with_servers(11, settings(0, 2), SECOND, 5);
         for step in 0..300u64 {
             let class = ClassId((step % 4) as usize);
-            gateway.request(class, UNLIMITED, CustomerId(step % 5), S);
-            gateway.advance(10 * MS);
+            gateway.request(class, UNLIMITED, CustomerId(step % 5), SECOND);
+            gateway.advance(10 * MILLISECOND);
             let outcome = if step % 3 == 0 {
                 AttemptOutcome::ServerError
             } else {
@@ -63,7 +63,7 @@
 fn request_of_unknown_class_or_plan_fails_without_other_actions() {
     let unknown = [(ClassId(99), UNLIMITED), (IDEMPOTENT, PlanId(99))];
     for (class, plan) in unknown {
-        let now = Timestamp::from_micros(S);
+        let now = Timestamp::from_micros(SECOND);
         let mut gateway = Gateway::new(1, settings(0, 2), now).expect("valid settings");
         let id = RequestId("unknown".into());
         let event = Event::RequestReceived {
@@ -92,7 +92,7 @@
 /// each. Memory must not grow with the number of servers and customers ever seen.
 #[test]
 fn evicts_gone_servers_and_idle_customers() {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
     for number in 0..300 {
         let gone = Endpoint {
             state: EndpointState::Gone,
@@ -101,11 +101,11 @@
         let fresh = ready_endpoint(4 + number);
         gateway.update_endpoints(EndpointUpdate::Delta, vec![gone, fresh]);
         let plan = PlanId(number as usize % PLAN_COUNT);
-        gateway.request(IDEMPOTENT, plan, CustomerId(1000 + number), 2 * S);
+        gateway.request(IDEMPOTENT, plan, CustomerId(1000 + number), 2 * SECOND);
         gateway.complete_all();
-        gateway.advance(20 * MS);
+        gateway.advance(20 * MILLISECOND);
     }
-    gateway.advance(90 * S);
+    gateway.advance(90 * SECOND);
     let tracked = gateway.gateway.tracked_entries();
     assert!(tracked <= 8, "{tracked} entries are still tracked");
 }
@@ -133,7 +133,7 @@
 impl RandomEvents {
     fn new(seed: u64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
-        let gateway = GatewayHarness::with_servers(seed, settings(0, 2), S, random.u64(1..8));
+        let gateway = GatewayHarness::with_servers(seed, settings(0, 2), SECOND, random.u64(1..8));
         RandomEvents { gateway, random }
     }
 
@@ -151,7 +151,7 @@
                 self.gateway.disconnect(&id);
             }
             _ => {
-                self.gateway.advance(self.random.u64(0..20) * MS);
+                self.gateway.advance(self.random.u64(0..20) * MILLISECOND);
             }
         }
     }
@@ -159,7 +159,11 @@
     fn receive_request(&mut self) {
         let class = ClassId(self.random.usize(0..CLASS_COUNT));
         let is_short = self.random.u8(0..9) == 0;
-        let timeout = if is_short { 0..30 * MS } else { MS..3 * S };
+        let timeout = if is_short {
+            0..30 * MILLISECOND
+        } else {
+            MILLISECOND..3 * SECOND
+        };
         let timeout = self.random.u64(timeout);
         let plan = PlanId(self.random.usize(0..PLAN_COUNT));
         let customer = CustomerId(self.random.u64(0..6));
@@ -221,7 +225,7 @@
         for _ in 0..1500 {
             events.step();
         }
-        events.gateway.advance(4 * S);
+        events.gateway.advance(4 * SECOND);
         sent += events.gateway.sent_count();
         unserved += events.gateway.rejected_or_failed_count();
     }
--- a/crates/gateway-core/tests/policy/gossip.rs
+++ b/crates/gateway-core/tests/policy/gossip.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn ignores_malformed_messages() {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
     for bytes in [vec![], vec![9; 40], vec![1], vec![1; 300], vec![1; 13]] {
         gateway.handle(Event::PeerMessage {
             from: GatewayId(1),
@@ -17,13 +17,13 @@
         from: GatewayId(77),
         bytes: vec![1; 12],
     });
-    let id = gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * S);
+    let id = gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * SECOND);
     assert_eq!(gateway.in_flight[0].request, id);
 }
 
 #[test]
 fn random_messages_of_one_peer_eject_no_server_in_large_fleet() {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, LARGE_FLEET), S, 4);
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, LARGE_FLEET), SECOND, 4);
     let mut random = fastrand::Rng::with_seed(3);
     for kind in 0..6u8 {
         for size in 0..80 {
@@ -39,8 +39,8 @@
     // used.
     let mut used = BTreeSet::new();
     for customer in 0..200 {
-        let id = gateway.request(IDEMPOTENT, UNLIMITED, CustomerId(customer), 2 * S);
-        gateway.advance(400 * MS);
+        let id = gateway.request(IDEMPOTENT, UNLIMITED, CustomerId(customer), 2 * SECOND);
+        gateway.advance(400 * MILLISECOND);
         if let Some(server) = gateway.server_of(&id) {
             used.insert(server);
             gateway.finish(&id, AttemptOutcome::Success);
--- a/crates/gateway-core/tests/policy/in_flight_limit.rs
+++ b/crates/gateway-core/tests/policy/in_flight_limit.rs
@@ -6,12 +6,12 @@
 /// Returns whether the in-flight limit has started after requests of a plan have arrived faster
 /// than they were served.
 fn has_limit_after_overload(plan: PlanId) -> bool {
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
+    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), SECOND, 4);
     for _ in 0..40 {
-        gateway.request(NON_IDEMPOTENT, plan, CUSTOMER, 5 * S);
+        gateway.request(NON_IDEMPOTENT, plan, CUSTOMER, 5 * SECOND);
     }
     for _ in 0..16 {
-        gateway.advance(150 * MS);
+        gateway.advance(150 * MILLISECOND);
         // With a concurrency limit, attempts in flight are completed soon; without one, all of them
         // hang.
         if plan == TWO_CONCURRENT {
--- a/crates/gateway-core/tests/policy/lease.rs
+++ b/crates/gateway-core/tests/policy/lease.rs
@@ -56,13 +56,13 @@
         for round in 0..4 {
             // Bursts and pauses, so that leases expire, are returned and are granted again.
             sent += fleet.drive_chosen_gateways(HARD_LIMITED, 100, 1, choose_mostly_one_gateway);
-            fleet.advance(S);
+            fleet.advance(SECOND);
             sent += fleet.complete_all();
             if round % 2 == 1 {
                 fleet.restart_all(seed + round, 40);
             }
         }
-        let seconds = (fleet.now() - started_at) as f64 / S as f64;
+        let seconds = (fleet.now() - started_at) as f64 / SECOND as f64;
         let max_sent = 12.0 + 8.0 * seconds;
         assert!(
             sent as f64 <= max_sent && sent >= 10,
@@ -104,14 +104,14 @@
     /// Creates a scenario with one gateway. The owner's part of the hard limit has had time to
     /// fill.
     fn new() -> Self {
-        let gateway = GatewayHarness::with_servers(1, hard_limited_settings(3), S, 40);
+        let gateway = GatewayHarness::with_servers(1, hard_limited_settings(3), SECOND, 40);
         let mut scenario = LeaseScenario {
             gateway,
             owner: None,
             sent: 0,
         };
         scenario.request(1);
-        scenario.gateway.advance(5 * S);
+        scenario.gateway.advance(5 * SECOND);
         scenario.sent = 0;
         scenario.gateway.actions.clear();
         scenario
@@ -123,7 +123,7 @@
         let actions_before = self.gateway.actions.len();
         let id = self
             .gateway
-            .request(IDEMPOTENT, HARD_LIMITED, CUSTOMER, 2 * S);
+            .request(IDEMPOTENT, HARD_LIMITED, CUSTOMER, 2 * SECOND);
         let sent_immediately = self.gateway.server_of(&id).is_some();
         let actions = self.gateway.actions[actions_before..].to_vec();
         for action in actions {
@@ -164,13 +164,13 @@
         let mut sent_on_lease = 0;
         for _ in 0..24 {
             sent_on_lease += u32::from(self.request(1));
-            self.gateway.advance(50 * MS);
+            self.gateway.advance(50 * MILLISECOND);
         }
         assert!(
             sent_on_lease >= 12,
             "{sent_on_lease} of 24 requests were sent on a lease"
         );
-        self.gateway.advance(520 * MS);
+        self.gateway.advance(520 * MILLISECOND);
     }
 
     /// Receives one request at each of these gateways, which leaves the owner with fewer units.
@@ -221,9 +221,9 @@
 /// would cause more losses.
 #[test]
 fn repeats_unanswered_lease_request_at_growing_intervals() {
-    let mut gateway = GatewayHarness::with_servers(5, settings(0, LARGE_FLEET), S, 40);
-    gateway.request(IDEMPOTENT, HARD_LIMITED, CUSTOMER, 8 * S);
-    gateway.advance(3900 * MS);
+    let mut gateway = GatewayHarness::with_servers(5, settings(0, LARGE_FLEET), SECOND, 40);
+    gateway.request(IDEMPOTENT, HARD_LIMITED, CUSTOMER, 8 * SECOND);
+    gateway.advance(3900 * MILLISECOND);
     let is_message = |action: &&Action| matches!(action, Action::SendToPeer { .. });
     let lease_requests = gateway.actions.iter().filter(is_message).count();
     assert!(
@@ -263,15 +263,16 @@
             .rate(HARD_LIMITED, 20.0)
             .hard_limit(HARD_LIMITED, exhausted_hard_limit)
     };
-    let mut gateway = GatewayHarness::with_servers(1, settings(3).build(), S, 40);
+    let mut gateway = GatewayHarness::with_servers(1, settings(3).build(), SECOND, 40);
     let mut owner: Option<GatewayHarness> = None;
     for _ in 0..5 {
         gateway.actions.clear();
-        gateway.request(IDEMPOTENT, HARD_LIMITED, CUSTOMER, 2 * S);
-        gateway.advance(100 * MS); // the first lease request is lost, and repeated
+        gateway.request(IDEMPOTENT, HARD_LIMITED, CUSTOMER, 2 * SECOND);
+        gateway.advance(100 * MILLISECOND); // the first lease request is lost, and repeated
         let sent = sent_messages(&gateway.actions);
         let SentMessage { to, bytes } = sent.last().expect("a lease request was sent").clone();
-        let owner = owner.get_or_insert_with(|| GatewayHarness::new(1, settings(to.0).build(), S));
+        let owner =
+            owner.get_or_insert_with(|| GatewayHarness::new(1, settings(to.0).build(), SECOND));
         assert!(
             sent.iter()
                 .all(|message| message.to == owner.settings.gateway_id),
--- a/crates/gateway-core/tests/policy/load_balancing.rs
+++ b/crates/gateway-core/tests/policy/load_balancing.rs
@@ -6,14 +6,14 @@
 
 #[test]
 fn sends_no_attempt_to_draining_or_removed_server() {
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 2);
+    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), SECOND, 2);
     let draining = Endpoint {
         state: EndpointState::Draining,
         ..ready_endpoint(0)
     };
     gateway.update_endpoints(EndpointUpdate::Delta, vec![draining]);
     for _ in 0..3 {
-        gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, S);
+        gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, SECOND);
     }
     assert!(gateway
         .in_flight
@@ -21,22 +21,22 @@
         .all(|attempt| attempt.server == ServerId(1)));
     gateway.update_endpoints(EndpointUpdate::Snapshot, Vec::new());
     let before = gateway.sent_count();
-    gateway.request(IDEMPOTENT, UNLIMITED, CustomerId(8), S);
+    gateway.request(IDEMPOTENT, UNLIMITED, CustomerId(8), SECOND);
     assert_eq!(gateway.sent_count() - before, 0);
 }
 
 /// Returns the number of attempts that one gateway of a fleet has in flight at twelve slow servers.
 fn in_flight_at_slow_servers(gateways: u32) -> usize {
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, gateways), S, 12);
+    let mut gateway = GatewayHarness::with_servers(3, settings(0, gateways), SECOND, 12);
     for _ in 0..40 {
         for customer in 0..8 {
-            gateway.request(IDEMPOTENT, UNLIMITED, CustomerId(customer), 3 * S);
+            gateway.request(IDEMPOTENT, UNLIMITED, CustomerId(customer), 3 * SECOND);
         }
-        gateway.advance(700 * MS);
+        gateway.advance(700 * MILLISECOND);
         gateway.complete_all();
     }
     for customer in 0..40 {
-        gateway.request(IDEMPOTENT, UNLIMITED, CustomerId(customer), 3 * S);
+        gateway.request(IDEMPOTENT, UNLIMITED, CustomerId(customer), 3 * SECOND);
     }
     gateway.in_flight.len()
 }
@@ -59,13 +59,13 @@
 #[test]
 fn large_fleet_prefers_servers_with_low_reported_load() {
     const FULL: ServerId = ServerId(0);
-    let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), S, 4);
+    let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), SECOND, 4);
     let load = |server| if server == FULL { 30.0 } else { 0.0 };
     gateway.reported_loads = (0..4)
         .map(ServerId)
         .map(|server| (server, load(server)))
         .collect();
-    let servers = gateway.complete_sequential_requests(200, 100 * MS);
+    let servers = gateway.complete_sequential_requests(200, 100 * MILLISECOND);
     let sent = servers.len();
     let to_full = servers.iter().filter(|server| **server == FULL).count();
     assert!(
@@ -79,13 +79,17 @@
 fn gateway_of_large_fleet_uses_subset_of_servers() {
     let mut used_by_fleet = BTreeSet::new();
     for number in 0..60 {
-        let mut gateway =
-            GatewayHarness::sole_gateway(u64::from(number), settings(number, LARGE_FLEET), S, 60);
+        let mut gateway = GatewayHarness::sole_gateway(
+            u64::from(number),
+            settings(number, LARGE_FLEET),
+            SECOND,
+            60,
+        );
         let mut used = BTreeSet::new();
         for _ in 0..60 {
-            let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
+            let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * SECOND);
             used.extend(gateway.in_flight.iter().map(|attempt| attempt.server));
-            gateway.advance(100 * MS); // the expected latency of an unknown server
+            gateway.advance(100 * MILLISECOND); // the expected latency of an unknown server
             gateway.finish(&id, AttemptOutcome::Success);
         }
         assert!(
@@ -105,12 +109,12 @@
     let mut used = BTreeSet::new();
     for number in 0..23 {
         let mut gateway =
-            GatewayHarness::sole_gateway(u64::from(number), settings(number, 23), S, 200);
+            GatewayHarness::sole_gateway(u64::from(number), settings(number, 23), SECOND, 200);
         for _ in 0..400 {
-            let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
+            let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * SECOND);
             used.extend(gateway.in_flight.iter().map(|attempt| attempt.server));
             gateway.finish(&id, AttemptOutcome::Success);
-            gateway.advance(10 * MS);
+            gateway.advance(10 * MILLISECOND);
         }
     }
     assert_eq!(used.len(), 200);
@@ -119,8 +123,8 @@
 #[test]
 fn retry_goes_to_other_of_two_equal_servers() {
     for seed in 0..20 {
-        let mut gateway = GatewayHarness::with_servers(seed, settings(0, 2), S, 2);
-        let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
+        let mut gateway = GatewayHarness::with_servers(seed, settings(0, 2), SECOND, 2);
+        let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * SECOND);
         let first = gateway.server_of(&id).expect("a first attempt");
         gateway.finish(&id, AttemptOutcome::NotSent); // reveals nothing about the server
         assert_ne!(gateway.server_of(&id), Some(first), "seed {seed}");
--- a/crates/gateway-core/tests/policy/outlier_detection.rs
+++ b/crates/gateway-core/tests/policy/outlier_detection.rs
@@ -14,24 +14,24 @@
 /// so the gateway must not yet consider the server stalled.
 #[test]
 fn late_timer_cancels_no_attempt() {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
-    gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 9 * S);
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
+    gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 9 * SECOND);
     assert_eq!(gateway.in_flight.len(), 1);
-    gateway.now += 1500 * MS;
+    gateway.now += 1500 * MILLISECOND;
     let actions_of_late_timer = gateway.handle(Event::TimerFired { token: 0 });
     assert!(!cancels_attempt(&actions_of_late_timer));
     assert!(
-        cancels_attempt(&gateway.advance(50 * MS)),
+        cancels_attempt(&gateway.advance(50 * MILLISECOND)),
         "the next timer cancels the attempt at the stalled server"
     );
 }
 
 #[test]
 fn retries_idempotent_request_of_stalled_server_on_another_server() {
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
-    let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 3 * S);
+    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), SECOND, 4);
+    let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 3 * SECOND);
     let stalled = gateway.server_of(&id);
-    let actions = gateway.advance(700 * MS);
+    let actions = gateway.advance(700 * MILLISECOND);
     assert!(actions.contains(&Action::CancelAttempt {
         id: id.clone(),
         attempt: AttemptNumber(0)
@@ -53,18 +53,18 @@
     const HUNG: ServerId = ServerId(0);
     /// The other server in the zone of the hung server.
     const NEIGHBOUR: ServerId = ServerId(2);
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
+    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), SECOND, 4);
     let mut to_neighbour = 0;
     for number in 0..600 {
         let is_known_to_hang = number >= 300;
-        let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
-        gateway.advance(10 * MS);
+        let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * SECOND);
+        gateway.advance(10 * MILLISECOND);
         while let Some(server) = gateway.server_of(&id) {
             let outcome = match server {
                 HUNG if is_known_to_hang => AttemptOutcome::Unreachable,
                 HUNG => {
                     // The server stalls until the attempt is cancelled and the server is ejected.
-                    gateway.advance(900 * MS);
+                    gateway.advance(900 * MILLISECOND);
                     AttemptOutcome::Cancelled
                 }
                 _ => AttemptOutcome::Success,
@@ -72,7 +72,7 @@
             gateway.finish(&id, outcome);
             to_neighbour += u32::from(is_known_to_hang && server == NEIGHBOUR);
         }
-        gateway.advance(40 * MS);
+        gateway.advance(40 * MILLISECOND);
     }
     assert!(
         to_neighbour > 60,
@@ -84,11 +84,11 @@
 /// servers are unreachable, so that at most 3 of 100 requests fail because of them.
 #[test]
 fn large_fleet_backs_off_from_unreachable_servers() {
-    let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), S, 10);
+    let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), SECOND, 10);
     let mut served = 0;
     let mut unreachable = 0;
     for _ in 0..100 {
-        let id = gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
+        let id = gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * SECOND);
         while let Some(server) = gateway.server_of(&id) {
             if server.0 < 6 {
                 unreachable += 1;
@@ -98,7 +98,7 @@
                 gateway.finish(&id, AttemptOutcome::Success);
             }
         }
-        gateway.advance(50 * MS);
+        gateway.advance(50 * MILLISECOND);
     }
     // In 5 s each of the six servers is tried about four times, as its backoff doubles from 0.5 s
     // on.
--- a/crates/gateway-core/tests/policy/quota.rs
+++ b/crates/gateway-core/tests/policy/quota.rs
@@ -33,21 +33,21 @@
 /// how many were sent.
 fn count_admitted(gateway: &mut GatewayHarness, plan: PlanId, requests: usize) -> usize {
     let sent =
-        (0..requests).map(|_| gateway.request_and_complete(IDEMPOTENT, plan, CUSTOMER, 2 * S));
+        (0..requests).map(|_| gateway.request_and_complete(IDEMPOTENT, plan, CUSTOMER, 2 * SECOND));
     sent.filter(|sent| *sent).count()
 }
 
 /// Receives a message from the peer twice a second for ten seconds.
 fn receive_for_ten_seconds(gateway: &mut GatewayHarness, message: &Event) {
     for _ in 0..20 {
-        gateway.now += 500 * MS;
+        gateway.now += 500 * MILLISECOND;
         gateway.handle(message.clone());
     }
 }
 
 #[test]
 fn token_bucket_rejects_uncovered_request_and_refills_at_rate() {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
     count_admitted(&mut gateway, SMALL_QUOTA, 5);
     let is_rejection = |action: &&Action| matches!(action, Action::Reject { .. });
     let rejected = gateway.actions.iter().filter(is_rejection).count();
@@ -59,9 +59,9 @@
     let before = gateway.sent_count();
     for _ in 0..2 {
         gateway.handle(heartbeat(1));
-        gateway.now += 700 * MS;
+        gateway.now += 700 * MILLISECOND;
     }
-    gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * S);
+    gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * SECOND);
     assert_eq!(
         gateway.sent_count(),
         before + 1,
@@ -71,10 +71,10 @@
 
 #[test]
 fn does_not_refill_even_part_of_silent_peer() {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
     let mut sent = 0;
     for _ in 0..12 {
-        gateway.now += S;
+        gateway.now += SECOND;
         sent += count_admitted(&mut gateway, SMALL_QUOTA, 1);
     }
     assert!(
@@ -86,8 +86,8 @@
 /// Returns how many of six requests are sent after a peer has reported these counts, after an
 /// earlier count of ten units.
 fn count_admitted_after(counts: &[u16]) -> usize {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
-    let first = gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * S);
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
+    let first = gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * SECOND);
     gateway.finish(&first, AttemptOutcome::Success);
     let known = usage(5, CUSTOMER, 10);
     gateway.handle(known.clone());
@@ -120,8 +120,8 @@
 /// A peer that has evicted a customer counts its usage from zero again.
 #[test]
 fn merges_peer_count_that_restarts_from_zero() {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
-    let first = gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * S);
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
+    let first = gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * SECOND);
     gateway.finish(&first, AttemptOutcome::Success);
     gateway.handle(usage(5, CUSTOMER, 90));
     receive_for_ten_seconds(&mut gateway, &usage(5, CustomerId(8), 1));
@@ -137,7 +137,7 @@
 #[test]
 fn restart_does_not_refill_token_bucket() {
     let sent = |incarnation: u32| {
-        let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), 100 * S, 4);
+        let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), 100 * SECOND, 4);
         gateway.handle(usage(incarnation, CustomerId(8), 1));
         count_admitted(&mut gateway, SMALL_QUOTA, 6)
     };
@@ -152,7 +152,7 @@
 /// nor replace the right plan if it arrives later.
 #[test]
 fn single_request_with_wrong_plan_does_not_change_plan() {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
     assert_eq!(count_admitted(&mut gateway, SMALL_QUOTA, 1), 1);
     assert_eq!(
         count_admitted(&mut gateway, UNLIMITED, 20),
@@ -165,9 +165,9 @@
 
 #[test]
 fn attempts_in_flight_stay_within_even_part() {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
     for _ in 0..5 {
-        gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 2 * S);
+        gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 2 * SECOND);
     }
     assert_eq!(
         gateway.in_flight.len(),
@@ -197,27 +197,27 @@
 /// long time. Evicting the account of a customer that sends no requests does not change that.
 #[test]
 fn hard_limit_grants_no_more_after_eviction() {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
-    for (pause, expected) in [(0, 0), (10 * S, 6), (90 * S, 6)] {
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
+    for (pause, expected) in [(0, 0), (10 * SECOND, 6), (90 * SECOND, 6)] {
         gateway.advance(pause);
         assert_eq!(
-            count_sent_under_hard_limit(&mut gateway, CUSTOMER, 300 * MS),
+            count_sent_under_hard_limit(&mut gateway, CUSTOMER, 300 * MILLISECOND),
             expected,
             "after {pause} µs"
         );
-        gateway.advance(400 * MS); // queued requests are rejected
+        gateway.advance(400 * MILLISECOND); // queued requests are rejected
     }
     // A customer without an account has used nothing since the gateway started.
-    let mut fresh = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
-    fresh.now += 500 * MS;
+    let mut fresh = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
+    fresh.now += 500 * MILLISECOND;
     assert_eq!(
-        count_sent_under_hard_limit(&mut fresh, CustomerId(8), S),
+        count_sent_under_hard_limit(&mut fresh, CustomerId(8), SECOND),
         2,
         "4 units per second for 500 ms"
     );
 }
 
-const STEP: Micros = 5 * MS;
+const STEP: Micros = 5 * MILLISECOND;
 
 /// Three gateways of a customer with a hard limit of 8 units per second and a capacity of 12 units.
 struct HardLimitScenario {
@@ -230,7 +230,7 @@
 
 impl HardLimitScenario {
     fn new(seed: u64) -> Self {
-        let gateway = |number| GatewayHarness::with_servers(seed, settings(number, 3), S, 6);
+        let gateway = |number| GatewayHarness::with_servers(seed, settings(number, 3), SECOND, 6);
         HardLimitScenario {
             random: fastrand::Rng::with_seed(seed),
             gateways: (0..3).map(gateway).collect(),
@@ -253,7 +253,7 @@
             let before = gateway.sent_count();
             gateway.fire_due_timers();
             if self.random.u32(0..10) == 0 {
-                gateway.request(IDEMPOTENT, HARD_LIMITED, CustomerId(9), S);
+                gateway.request(IDEMPOTENT, HARD_LIMITED, CustomerId(9), SECOND);
             }
             gateway.complete_all();
             let sent = gateway.sent_count() - before;
@@ -268,7 +268,7 @@
     for seed in 0..6 {
         let mut scenario = HardLimitScenario::new(seed);
         for step in 0..4000 {
-            scenario.step(S + step * STEP, seed + step);
+            scenario.step(SECOND + step * STEP, seed + step);
             assert!(
                 scenario.remaining > -1e-6,
                 "the hard limit is exceeded: {} units remain",
@@ -285,7 +285,7 @@
 
 #[test]
 fn nonconsecutive_requests_with_wrong_plan_do_not_change_plan() {
-    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), S, 4);
+    let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
     let mut sent = count_admitted(&mut gateway, SMALL_QUOTA, 1);
     for _ in 0..4 {
         sent += count_admitted(&mut gateway, UNLIMITED, 2);
--- a/crates/gateway-core/tests/policy/quota_owner.rs
+++ b/crates/gateway-core/tests/policy/quota_owner.rs
@@ -109,9 +109,9 @@
 
 #[test]
 fn owner_grants_no_more_permits_than_concurrency_limit() {
-    let mut gateway = GatewayHarness::sole_gateway(1, settings(0, LARGE_FLEET), S, 40);
+    let mut gateway = GatewayHarness::sole_gateway(1, settings(0, LARGE_FLEET), SECOND, 40);
     for _ in 0..5 {
-        gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 2 * S);
+        gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 2 * SECOND);
     }
     assert_eq!(gateway.in_flight.len(), 2);
 }
@@ -127,14 +127,14 @@
     let settings = SettingsBuilder::new(0, LARGE_FLEET)
         .hard_limit(TWO_CONCURRENT, hard_limit)
         .build();
-    let mut gateway = GatewayHarness::sole_gateway(1, settings, S, 0);
+    let mut gateway = GatewayHarness::sole_gateway(1, settings, SECOND, 0);
     // The owner's part of the hard limit starts empty.
-    gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 4 * S);
-    gateway.advance(2 * S);
+    gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 4 * SECOND);
+    gateway.advance(2 * SECOND);
     let rejected_or_failed = gateway.rejected_or_failed_count();
     for _ in 0..2 {
-        gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 4 * S);
+        gateway.request(IDEMPOTENT, TWO_CONCURRENT, CUSTOMER, 4 * SECOND);
     }
-    gateway.advance(600 * MS); // a grant is valid for 375 ms
+    gateway.advance(600 * MILLISECOND); // a grant is valid for 375 ms
     assert_eq!(gateway.rejected_or_failed_count(), rejected_or_failed);
 }
--- a/crates/gateway-core/tests/policy/retry.rs
+++ b/crates/gateway-core/tests/policy/retry.rs
@@ -26,8 +26,8 @@
 }
 
 fn assert_retry(class: ClassId, outcome: AttemptOutcome) {
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
-    let id = gateway.request(class, UNLIMITED, CUSTOMER, 2 * S);
+    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), SECOND, 4);
+    let id = gateway.request(class, UNLIMITED, CUSTOMER, 2 * SECOND);
     let first = gateway.server_of(&id).expect("a first attempt");
     let actions = gateway.finish(&id, outcome);
     let was_not_executed = matches!(outcome, Overloaded | Unreachable | NotSent);
@@ -48,27 +48,27 @@
 
 #[test]
 fn keyed_request_after_its_window_fails_and_is_not_rejected() {
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
-    let id = gateway.request(KEYED_BY_CELL, UNLIMITED, CUSTOMER, 2 * S);
-    gateway.now += 600 * MS;
+    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), SECOND, 4);
+    let id = gateway.request(KEYED_BY_CELL, UNLIMITED, CUSTOMER, 2 * SECOND);
+    gateway.now += 600 * MILLISECOND;
     let actions = gateway.finish(&id, ServerError);
     assert_eq!(count_sent(&actions), 0);
-    let later = gateway.advance(2 * S);
+    let later = gateway.advance(2 * SECOND);
     assert!(later.contains(&Action::Fail { id }));
 }
 
 /// A server forgets an idempotency key one window after it first saw the request.
 #[test]
 fn key_window_begins_with_first_attempt() {
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
-    let id = gateway.request(KEYED, UNLIMITED, CUSTOMER, 2 * S);
-    gateway.now += 300 * MS;
+    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), SECOND, 4);
+    let id = gateway.request(KEYED, UNLIMITED, CUSTOMER, 2 * SECOND);
+    gateway.now += 300 * MILLISECOND;
     assert_eq!(
         count_sent(&gateway.finish(&id, ServerError)),
         1,
         "within the window of 500 ms"
     );
-    gateway.now += 300 * MS;
+    gateway.now += 300 * MILLISECOND;
     assert_eq!(
         count_sent(&gateway.finish(&id, ServerError)),
         0,
--- a/crates/gateway-core/tests/policy/slow_start.rs
+++ b/crates/gateway-core/tests/policy/slow_start.rs
@@ -6,10 +6,10 @@
 
 #[test]
 fn warming_up_server_receives_fewer_attempts_than_warm_server() {
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), 100 * S, 1);
+    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), 100 * SECOND, 1);
     for _ in 0..400 {
-        let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
-        gateway.advance(20 * MS);
+        let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * SECOND);
+        gateway.advance(20 * MILLISECOND);
         if gateway.server_of(&id).is_some() {
             gateway.finish(&id, AttemptOutcome::Success);
         }
@@ -22,8 +22,8 @@
     let mut sent = 0;
     for _ in 0..50 {
         let before = gateway.sent_count();
-        gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
-        gateway.advance(20 * MS);
+        gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * SECOND);
+        gateway.advance(20 * MILLISECOND);
         sent += gateway.sent_count() - before;
         gateway.complete_all();
     }
@@ -40,16 +40,16 @@
     let mut gateway = Gateway::new(
         u64::from(number),
         settings(number, LARGE_FLEET),
-        Timestamp::from_micros(S),
+        Timestamp::from_micros(SECOND),
     )
     .expect("valid settings");
     let endpoints = vec![Endpoint {
-        started_at: Some(Timestamp::from_micros(S)),
+        started_at: Some(Timestamp::from_micros(SECOND)),
         ..ready_endpoint(0)
     }];
     let mut actions = Vec::new();
     gateway.handle(
-        Timestamp::from_micros(S),
+        Timestamp::from_micros(SECOND),
         Event::EndpointsUpdated {
             kind: EndpointUpdate::Snapshot,
             endpoints,
@@ -58,7 +58,7 @@
     );
     let mut sent = [0; SECONDS];
     for step in 0..SECONDS as u64 * 100 {
-        let now = S + step * 10 * MS;
+        let now = SECOND + step * 10 * MILLISECOND;
         gateway.handle(
             Timestamp::from_micros(now),
             Event::TimerFired { token: 0 },
@@ -75,7 +75,7 @@
                     first: GatewayId(number),
                     count: 1,
                 },
-                client_timeout: Duration::from_micros(S),
+                client_timeout: Duration::from_micros(SECOND),
             };
             gateway.handle(Timestamp::from_micros(now), request, &mut actions);
         }
--- a/crates/gateway-core/tests/recovery.rs
+++ b/crates/gateway-core/tests/recovery.rs
@@ -12,7 +12,7 @@
 /// Number of requests in flight beyond which the throughput of a server falls.
 const THRASHING_FROM: f64 = 3.5 * CORES;
 /// Mean latency of a request without concurrent requests at a healthy server.
-const HEALTHY_SERVICE_TIME: Micros = 100 * MS;
+const HEALTHY_SERVICE_TIME: Micros = 100 * MILLISECOND;
 
 /// Results of one call of [`Simulation::drive`].
 struct DriveResult {
@@ -38,10 +38,10 @@
 impl Simulation {
     fn new(seed: u64) -> Self {
         Simulation {
-            gateway: GatewayHarness::with_servers(seed, settings(0, 1), S, SERVERS),
+            gateway: GatewayHarness::with_servers(seed, settings(0, 1), SECOND, SERVERS),
             answers_at: BTreeMap::new(),
             requests: 0,
-            next_request_at: S,
+            next_request_at: SECOND,
             lowest_class: BTreeSet::new(),
             random: fastrand::Rng::with_seed(seed),
         }
@@ -56,11 +56,11 @@
         rate: u64,
         service_time: impl Fn(ServerId) -> Micros,
     ) -> DriveResult {
-        let end = self.gateway.now + seconds * S;
+        let end = self.gateway.now + seconds * SECOND;
         self.next_request_at = self.gateway.now;
         self.lowest_class.clear();
         while self.gateway.now < end {
-            self.gateway.advance(2 * MS);
+            self.gateway.advance(2 * MILLISECOND);
             self.deliver_answers();
             self.receive_requests(rate);
             self.schedule_answers(&service_time);
@@ -80,7 +80,7 @@
 
     fn receive_requests(&mut self, rate: u64) {
         while self.next_request_at <= self.gateway.now {
-            self.next_request_at += S / rate;
+            self.next_request_at += SECOND / rate;
             self.requests += 1;
             let class = if self.requests.is_multiple_of(3) {
                 IDEMPOTENT
@@ -89,7 +89,7 @@
             };
             let id = self
                 .gateway
-                .request(class, UNLIMITED, CustomerId(self.requests), 3 * S);
+                .request(class, UNLIMITED, CustomerId(self.requests), 3 * SECOND);
             if class == IDEMPOTENT {
                 self.lowest_class.insert(id);
             }
--- a/crates/gateway-core/tests/replay/simulated_server.rs
+++ b/crates/gateway-core/tests/replay/simulated_server.rs
@@ -1,6 +1,6 @@
 //! A server of the simulation: draws the latency and the outcome of attempts.
 
-use crate::common::{Micros, MS, S};
+use crate::common::{Micros, MILLISECOND, SECOND};
 use fastrand::Rng;
 use gateway_core::*;
 
@@ -40,17 +40,17 @@
         let draw = random.u8(0..100);
         let (latency, outcome) = match self.health {
             _ if draw == 0 => (latency, ConnectionLost),
-            _ if draw == 1 => (MS, NotSent),
+            _ if draw == 1 => (MILLISECOND, NotSent),
             ServerHealth::Healthy if draw == 2 => (latency, ServerError),
             ServerHealth::Healthy => (latency, Success),
             ServerHealth::Slow if draw < 30 => (8 * latency, TimedOut),
             ServerHealth::Slow => (8 * latency, Success),
             ServerHealth::Failing if draw < 40 => (latency, ServerError),
-            ServerHealth::Failing if draw < 60 => (MS, Overloaded),
+            ServerHealth::Failing if draw < 60 => (MILLISECOND, Overloaded),
             ServerHealth::Failing if draw < 70 => (latency, ConnectionLost),
             ServerHealth::Failing => (latency, Success),
-            ServerHealth::Unreachable => (MS, Unreachable),
-            ServerHealth::Hung => (4 * S, TimedOut),
+            ServerHealth::Unreachable => (MILLISECOND, Unreachable),
+            ServerHealth::Hung => (4 * SECOND, TimedOut),
         };
         ServedAttempt { latency, outcome }
     }
--- a/crates/gateway-core/tests/replay/simulation.rs
+++ b/crates/gateway-core/tests/replay/simulation.rs
@@ -12,8 +12,8 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-const STARTED_AT: Micros = S;
-const SIMULATED_TIME: Micros = 30 * S;
+const STARTED_AT: Micros = SECOND;
+const SIMULATED_TIME: Micros = 30 * SECOND;
 /// Maximum number of gateways of a fleet that are simulated. Messages to other gateways are lost.
 const SIMULATED_GATEWAYS: u32 = 3;
 /// Fleets with more gateways than this are large: they share quotas by leases.
@@ -144,7 +144,7 @@
         for gateway in 0..self.gateways.len() {
             // The delay of a gateway is constant, so that updates arrive in order: a delta that
             // arrives after a later snapshot would add servers that no longer exist.
-            let after = 15 * MS * gateway as u64;
+            let after = 15 * MILLISECOND * gateway as u64;
             let event = Event::EndpointsUpdated {
                 kind,
                 endpoints: endpoints.clone(),
@@ -266,7 +266,7 @@
                 first: GatewayId(0),
                 count: self.gateways_of(customer),
             },
-            client_timeout: Duration::from_micros(self.random.u64(200 * MS..3 * S)),
+            client_timeout: Duration::from_micros(self.random.u64(200 * MILLISECOND..3 * SECOND)),
         };
         self.handle(gateway, event);
         match self.random.u8(0..60) {
@@ -313,7 +313,7 @@
             Action::SendToPeer { to, bytes } => self.send_message(gateway, to.0 as usize, bytes),
             Action::SetTimer { after, token } => {
                 let delay = if self.random.u8(0..200) == 0 {
-                    80 * MS
+                    80 * MILLISECOND
                 } else {
                     0
                 };
@@ -363,7 +363,7 @@
             outcome: AttemptOutcome::Cancelled,
             ..attempt
         };
-        self.finish_after(MS, cancelled);
+        self.finish_after(MILLISECOND, cancelled);
     }
 
     fn finish_after(&mut self, after: Micros, attempt: FinishedAttempt) {
@@ -374,7 +374,7 @@
 
     fn send_message(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         let is_lost = self.random.u8(0..20) == 0 || to >= self.gateways.len();
-        let after = self.random.u64(MS..25 * MS);
+        let after = self.random.u64(MILLISECOND..25 * MILLISECOND);
         if !is_lost {
             let event = Event::PeerMessage {
                 from: GatewayId(from as u32),
@@ -388,7 +388,7 @@
         match self.servers.get_mut(&server) {
             Some(server) => server.serve(&mut self.random),
             None => ServedAttempt {
-                latency: MS,
+                latency: MILLISECOND,
                 outcome: AttemptOutcome::Unreachable,
             },
         }
@@ -442,8 +442,8 @@
     pub(crate) fn run(mut self) -> SimulationResult {
         let mut next = NextSteps {
             request: STARTED_AT,
-            endpoint_change: STARTED_AT + S,
-            health_change: STARTED_AT + 2 * S,
+            endpoint_change: STARTED_AT + SECOND,
+            health_change: STARTED_AT + 2 * SECOND,
         };
         while self.now < STARTED_AT + SIMULATED_TIME {
             self.step(&mut next);
@@ -473,15 +473,19 @@
             }
         } else if first == next.request {
             self.receive_request();
-            let is_low_rate = (self.now / (5 * S)).is_multiple_of(2);
-            let mean_interval = if is_low_rate { 12 * MS } else { 3 * MS };
+            let is_low_rate = (self.now / (5 * SECOND)).is_multiple_of(2);
+            let mean_interval = if is_low_rate {
+                12 * MILLISECOND
+            } else {
+                3 * MILLISECOND
+            };
             next.request = self.now + self.random.u64(0..2 * mean_interval);
         } else if first == next.endpoint_change {
             self.change_endpoints();
-            next.endpoint_change = self.now + self.random.u64(0..800 * MS);
+            next.endpoint_change = self.now + self.random.u64(0..800 * MILLISECOND);
         } else {
             self.change_health();
-            next.health_change = self.now + self.random.u64(0..3 * S);
+            next.health_change = self.now + self.random.u64(0..3 * SECOND);
         }
     }
 }
--- a/crates/gateway-core/tests/server_table.rs
+++ b/crates/gateway-core/tests/server_table.rs
@@ -4,7 +4,7 @@
 mod common;
 mod gateway_pair;
 
-use common::{settings, GatewayHarness, KEYED_BY_CELL, S, UNLIMITED};
+use common::{settings, GatewayHarness, KEYED_BY_CELL, SECOND, UNLIMITED};
 use gateway_core::*;
 use gateway_pair::{delta, endpoint, server_number, snapshot, GatewayPair};
 use std::collections::BTreeSet;
@@ -152,11 +152,11 @@
 /// few servers.
 #[test]
 fn retry_of_request_keyed_by_cell_stays_in_cell() {
-    let mut gateway = GatewayHarness::new(3, settings(0, 4_200), S);
+    let mut gateway = GatewayHarness::new(3, settings(0, 4_200), SECOND);
     gateway.customer_gateways.count = 1;
     gateway.update_endpoints(EndpointUpdate::Snapshot, (0..5_000).map(endpoint).collect());
     for round in 0..20 {
-        let id = gateway.request(KEYED_BY_CELL, UNLIMITED, CustomerId(round), 2 * S);
+        let id = gateway.request(KEYED_BY_CELL, UNLIMITED, CustomerId(round), 2 * SECOND);
         let first = gateway.server_of(&id).expect("a first attempt");
         gateway.finish(&id, AttemptOutcome::ConnectionLost);
         let retry = gateway.server_of(&id).expect("a retry");
