--- a/crates/edge-node/tests/edge/shutdown.rs
+++ b/crates/edge-node/tests/edge/shutdown.rs
@@ -12,12 +12,12 @@
 /// idle connections stay open.
 const LONGER_THAN_DRAIN_PERIOD: Duration = Duration::from_millis(900);
 /// Request of a readiness probe, which the edge node answers with 200 until it shuts down.
-const READY_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n";
+const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n";
 
 /// Sends SIGTERM and waits until the readiness probe fails.
 fn start_shutdown(node: &EdgeNode) {
     node.terminate();
-    while node.client().exchange(READY_REQUEST).status() == 200 {}
+    while node.client().exchange(READINESS_REQUEST).status() == 200 {}
 }
 
 /// Requests arrive while the edge node closes its connections: on idle connections, on connections
@@ -30,7 +30,7 @@
         let tag = if number < 10 { "idle" } else { "unused" };
         let mut client = node.client();
         if tag == "idle" {
-            assert_eq!(client.exchange(READY_REQUEST).status(), 200);
+            assert_eq!(client.exchange(READINESS_REQUEST).status(), 200);
         }
         clients.push((format!("{tag}-{number}"), client));
     }
@@ -185,13 +185,13 @@
     let (servers, _discovery, mut node) =
         start_with_one_server("term", &[ServerBehavior::NeverRespond, RESPONDS_OK]);
     let (mut waiting_client, mut idle_client) = (node.client(), node.client());
-    assert_eq!(idle_client.exchange(READY_REQUEST).status(), 200);
+    assert_eq!(idle_client.exchange(READINESS_REQUEST).status(), 200);
     waiting_client.send(&request_text("a", "read", "20000m"));
     let received = servers.next_request();
     node.terminate();
     // New connections are still accepted for a while, and closed after the answer.
     let probe_answer = loop {
-        let answer = node.client().exchange(READY_REQUEST);
+        let answer = node.client().exchange(READINESS_REQUEST);
         if answer.status() != 200 {
             break answer;
         }
