--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The gateways of a simulation, and the endpoint lists that updates to them refer to.
+//! The gateways of a simulation, and the endpoint lists that `update` lines refer to.
 
 use crate::line::Line;
 use crate::line_error::{LineError, LineErrorKind};
@@ -8,7 +8,7 @@
 use gateway_core::{Action, Gateway, Timestamp};
 use std::collections::BTreeMap;
 
-/// A running gateway, and its settings with the names of classes, plans and zones.
+/// A running gateway, and its settings, which include the names of classes, plans and zones.
 struct GatewayInstance {
     gateway: Gateway,
     settings: ResolvedSettings,
@@ -26,8 +26,8 @@
 }
 
 impl Adapter {
-    /// Stores an endpoint list under the number by which updates refer to it, and replaces an
-    /// earlier list of the same number.
+    /// Stores an endpoint list under its number, which `update` lines refer to. Replaces an earlier
+    /// list with this number.
     pub(crate) fn register_list(&mut self, list_number: u8, endpoints: Vec<ListedEndpoint>) {
         self.endpoint_lists.insert(list_number, endpoints);
     }
@@ -36,7 +36,8 @@
     /// reply. `now` is the time of the line's frame.
     ///
     /// # Errors
-    /// Returns an error if the line is malformed or its gateway is not running.
+    /// Returns an error if the line is malformed or unknown, if its settings are invalid, or if its
+    /// gateway is not running.
     pub(crate) fn handle(
         &mut self,
         now: Timestamp,
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -8,7 +8,7 @@
 use gateway_core::Timestamp;
 use std::io::BufRead;
 
-/// Largest number of an endpoint list.
+/// Highest number under which an endpoint list can be stored.
 const MAX_LIST_NUMBER: u8 = 15;
 /// The last line of each reply.
 const END_OF_REPLY: &str = "finished\n";
@@ -16,13 +16,12 @@
 /// Reads lines and counts them.
 pub(crate) struct LineReader<R> {
     input: R,
-    /// Number of the line that was read last, from 1; 0 before any line is read.
+    /// Number of the line that is being read or was read last, from 1; 0 before the first line.
     line_number: usize,
     buffer: String,
 }
 
 impl<R: BufRead> LineReader<R> {
-    /// Creates a reader of the lines of `input`.
     pub(crate) fn new(input: R) -> LineReader<R> {
         LineReader {
             input,
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Returns an error for the line that was read last.
+    /// Returns an error for the line that is being read or was read last.
     pub(crate) fn error(&self, kind: LineErrorKind) -> LineError {
         LineError {
             line: self.line_number,
@@ -90,7 +89,7 @@
 /// the reply.
 ///
 /// # Errors
-/// Returns an error, and no reply, if a line cannot be read or is malformed.
+/// Returns an error, and no reply, if a line cannot be read or handled.
 pub(crate) fn process(
     reader: &mut LineReader<impl BufRead>,
     now: Timestamp,
@@ -115,7 +114,7 @@
 
 /// A `register` line, which precedes the lines of an endpoint list.
 struct ListHeader {
-    /// Number by which updates refer to the list.
+    /// Number that `update` lines refer to.
     list_number: u8,
     /// Number of lines that follow, one for each endpoint.
     length: usize,
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Returns the value of a field that must be a finite number, at least 0.
+    /// Returns the value of a field that must be a finite number of at least 0.
     ///
     /// # Errors
     /// Returns an error if the field is missing or has another value.
@@ -144,8 +144,7 @@
         }
     }
 
-    /// Returns the bytes that a field gives as pairs of hexadecimal digits. `-` stands for no
-    /// bytes.
+    /// Returns the bytes of a field that contains pairs of hexadecimal digits, or `-` for no bytes.
     ///
     /// # Errors
     /// Returns an error if the field is missing, has an odd number of digits, or contains another
@@ -160,7 +159,7 @@
     }
 }
 
-/// Returns the value of a text `name=value`, or `None` if the name is not `field`.
+/// Returns the value if `text` has the form `name=value` and its name is `field`.
 fn value_of<'a>(text: &'a str, field: &str) -> Option<&'a str> {
     text.strip_prefix(field)?.strip_prefix('=')
 }
--- a/crates/simulator-adapter/src/line_error.rs
+++ b/crates/simulator-adapter/src/line_error.rs
@@ -1,4 +1,5 @@
-//! Errors in the lines of the simulator's protocol.
+//! Errors that end the adapter: malformed lines of the simulator's protocol, and failed reads and
+//! writes.
 
 use gateway_core::settings::ParseError;
 use gateway_core::SettingsError;
@@ -11,7 +12,7 @@
 pub struct LineError {
     /// Number of the line in the input, from 1.
     pub line: usize,
-    /// The error.
+    /// What is wrong with the line, or which operation failed at it.
     #[source]
     pub kind: LineErrorKind,
 }
@@ -31,7 +32,7 @@
     /// Writing the reply failed.
     #[error("failed to write the reply: {0}")]
     Write(#[source] io::Error),
-    /// The protocol requires a line of another name at this place.
+    /// The protocol requires a line with another name here.
     #[error("expected {expected}, found {found:?}")]
     UnexpectedName {
         /// The required name.
@@ -39,7 +40,7 @@
         /// The name of the line.
         found: String,
     },
-    /// The protocol has no line of this name.
+    /// The protocol has no line with this name.
     #[error("unknown line name {0:?}")]
     UnknownName(String),
     /// A required field is missing.
@@ -74,7 +75,7 @@
         /// The number of the gateway.
         gateway: u64,
     },
-    /// The settings of the gateway do not have an endpoint's zone.
+    /// An endpoint's zone is not among the zones in the gateway's settings.
     #[error("update: field list: unknown zone {zone:?}")]
     UnknownZone {
         /// The name of the zone.
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// Writes a duration in µs as a field, or nothing if there is no value.
+/// Writes a field whose value is a duration in µs. Writes nothing if the duration is `None`.
 fn write_optional(
     formatter: &mut fmt::Formatter<'_>,
     field: &str,
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -1,4 +1,4 @@
-//! Translates lines of the simulator's protocol to events of a gateway.
+//! Translates lines of the simulator's protocol into events for a gateway.
 
 use crate::line::Line;
 use crate::line_error::{LineError, LineErrorKind};
@@ -20,7 +20,8 @@
 }
 
 impl ListedEndpoint {
-    /// Returns the endpoint with the id that its zone has among `zone_names`.
+    /// Returns the endpoint with the id of its zone, which is looked up in `zone_names`. `line`
+    /// refers to the endpoint's list, and an error names that line.
     fn resolve(&self, line: &Line, zone_names: &[String]) -> Result<Endpoint, LineError> {
         let Some(zone) = settings::zone_by_name(zone_names, &self.zone_name) else {
             return Err(line.error(LineErrorKind::UnknownZone {
@@ -95,8 +96,8 @@
             token: line.parsed("nonce")?,
         },
         "whisper" => peer_message(line)?,
-        // Responses to health probes and to requests to the simulator's counter. A gateway sends
-        // neither, so these lines are only validated.
+        // Responses to health probes and to requests for the simulator's counter. Gateways send
+        // neither probes nor such requests, so the lines are only validated.
         "echo" | "counter_reply" => {
             attempt_outcome(line)?;
             return Ok(None);
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -13,7 +13,7 @@
         .spawn()
         .expect("adapter starts");
     let mut stdin = child.stdin.take().expect("stdin is piped");
-    // An error is ignored, because the adapter exits at a malformed line without reading the rest.
+    // Writing fails if the adapter exits at a malformed line before it has read the rest.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     child.wait_with_output().expect("adapter exits")
@@ -28,7 +28,7 @@
     )
 }
 
-/// The line for an arriving request.
+/// The line that reports a request to gateway 3.
 const REQUEST: &str =
     "knock\ti=3\tcall=rq_a\tpackage=p\tclientId=9\tquotaUnits=1\tbase=0\tsetSize=2\tttlUs=900000\tgrade=read\n";
 
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn error_names_line_and_field() {
+fn malformed_input_is_reported_with_line_and_cause() {
     let after_first_frame =
         |line: &str| format!("{}frame\tnowUs=1002000\n{line}\neof_batch\n", first_frame());
     let cases = [
@@ -137,7 +137,7 @@
         assert_eq!(output.status.code(), Some(1), "{input}\n{error}");
         assert!(
             error.contains(line) && error.contains(detail),
-            "{line} {detail}: {error}"
+            "expected {line} and {detail} in: {error}"
         );
         assert_eq!(error.lines().count(), 1, "{error}");
     }
--- a/crates/simulator-adapter/tests/unit/line.rs
+++ b/crates/simulator-adapter/tests/unit/line.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn numbers_have_defaults_and_non_negative_rejects_others() {
+fn parsed_or_has_default_and_non_negative_rejects_invalid_values() {
     let line = line("x\tn=5\tnegative=-1\tinfinite=inf\tnan=NaN\tword=w");
     assert_eq!(line.parsed_or("n", 0_u64).ok(), Some(5));
     assert_eq!(line.parsed_or("missing", 9_u64).ok(), Some(9));
