--- a/crates/xtask/src/known_red.rs
+++ b/crates/xtask/src/known_red.rs
@@ -26,12 +26,12 @@
 /// The names of an entry's fields, in the required order.
 const FIELD_NAMES: [&str; 5] = ["test", "command", "seed", "seen", "issue"];
 
-/// The identity of a test: its test binary, and its name there.
+/// Identifies a test by its test binary and its name in that binary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TestId {
     /// The path of the test binary's source file, relative to the root of the workspace.
     pub source_file: PathBuf,
-    /// The name of the test in this binary, including its module path.
+    /// The name of the test in the binary, including its module path.
     pub name: String,
 }
 
@@ -65,7 +65,7 @@
 /// Why a list cannot be parsed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ParseError {
-    /// A line is not the field expected at this place of an entry, or the field has no text.
+    /// A field is missing, has no text, or is not in the required order.
     #[error("{FILE_NAME}:{line}: expected `{expected}: ...`")]
     Field {
         /// Number of the line in the file, from 1.
@@ -73,19 +73,19 @@
         /// The name of the expected field.
         expected: &'static str,
     },
-    /// A field `test` is not a source file and the name of a test.
+    /// The text of a `test` field is not a source file and the name of a test.
     #[error("{FILE_NAME}:{line}: expected `test: SOURCE_FILE NAME`")]
     Test {
         /// Number of the line in the file, from 1.
         line: usize,
     },
-    /// A line follows the last field of an entry without a blank line in between.
+    /// The last field of an entry is followed by a line that is not blank.
     #[error("{FILE_NAME}:{line}: expected a blank line before the next entry")]
     Separator {
         /// Number of the line in the file, from 1.
         line: usize,
     },
-    /// Two entries have the same test.
+    /// Two entries are for the same test.
     #[error("{FILE_NAME}: two entries for {0}")]
     Duplicate(TestId),
 }
--- a/crates/xtask/src/lib.rs
+++ b/crates/xtask/src/lib.rs
@@ -1,4 +1,4 @@
-//! Tasks of CI beyond cargo's own commands: running all tests except those that `KNOWN-RED.txt`
+//! CI tasks for which cargo has no command: running all tests except those that `KNOWN-RED.txt`
 //! lists.
 
 pub mod known_red;
--- a/crates/xtask/src/run_tests.rs
+++ b/crates/xtask/src/run_tests.rs
@@ -1,9 +1,10 @@
 //! Runs the tests of a workspace, except those listed in `KNOWN-RED.txt`, whose entries are printed
 //! instead.
 //!
-//! Without entries in the list, this is `cargo test`. With entries, cargo builds the test binaries
-//! and runs the documentation tests, but this module runs the test binaries. Cargo passes the same
-//! arguments to all test binaries, so it would also skip tests of the same name in other binaries.
+//! If the list has no entries, the module runs `cargo test`. Otherwise, cargo builds the test
+//! binaries and runs the documentation tests, and the module runs the test binaries itself:
+//! `cargo test` passes the same arguments to all test binaries, so it would also skip tests of the
+//! same name in other binaries.
 
 use crate::known_red::{self, Entry, ParseError, TestId, FILE_NAME};
 use crate::test_binary::TestBinary;
@@ -12,7 +13,7 @@
 use std::{env, fs, io};
 use thiserror::Error;
 
-/// The name under which errors of cargo are reported.
+/// The name of the program in errors of `cargo test`.
 const CARGO_TEST: &str = "cargo test";
 
 /// Why a test run did not succeed.
@@ -32,10 +33,10 @@
         /// The exit status of the program.
         status: ExitStatus,
     },
-    /// The list could not be read, or a program could not be started.
+    /// The list could not be read, or a program could not be run.
     #[error("{subject}: {source}")]
     Io {
-        /// The file or program, or the test whose binary could not be run.
+        /// The file or program, or the listed test whose binary could not list its tests.
         subject: String,
         /// The cause.
         source: io::Error,
@@ -47,8 +48,8 @@
 /// `cargo test`, such as the profile and packages.
 ///
 /// # Errors
-/// Returns an error if a test fails that is not listed, if the list is malformed or names an
-/// unknown test, or if a program cannot be run.
+/// Returns an error if the tests cannot be built, if a test that is not listed fails, if the list
+/// is malformed or names an unknown test, or if a program cannot be run.
 pub fn run_tests(root: &Path, cargo_arguments: &[String]) -> Result<(), RunError> {
     let entries = read_entries(root)?;
     if entries.is_empty() {
@@ -63,7 +64,7 @@
     run_cargo_test(root, cargo_arguments, &["--doc"])
 }
 
-/// Returns the entries of the list in the root of the workspace; none if there is no list.
+/// Returns the entries of the list in the root of the workspace, or no entries if there is no list.
 fn read_entries(root: &Path) -> Result<Vec<Entry>, RunError> {
     match fs::read_to_string(root.join(FILE_NAME)) {
         Ok(text) => Ok(known_red::parse(&text)?),
@@ -72,7 +73,7 @@
     }
 }
 
-/// Builds all test binaries, and returns them.
+/// Builds and returns the test binaries that `cargo test` would run.
 fn build_test_binaries(
     root: &Path,
     cargo_arguments: &[String],
--- a/crates/xtask/src/test_binary.rs
+++ b/crates/xtask/src/test_binary.rs
@@ -12,7 +12,7 @@
     pub executable: PathBuf,
     /// The absolute path of the source file that the executable is built from.
     pub source_file: PathBuf,
-    /// The directory of the package. Like cargo, this program runs the package's tests there.
+    /// The directory of the package, in which the binary runs, as with `cargo test`.
     pub package_directory: PathBuf,
 }
 
--- a/crates/xtask/tests/run_tests.rs
+++ b/crates/xtask/tests/run_tests.rs
@@ -10,10 +10,10 @@
 const LIBRARY: &str = "//! ```\n//! assert!(true);\n//! ```\n#[test]\nfn works() {}\n";
 const WORKS_IN_PACKAGE_DIRECTORY: &str =
     "#[test]\nfn works() { assert!(std::path::Path::new(\"tests/first.rs\").exists()); }\n";
-/// A failing test, and a passing test whose name contains the name of the failing test: it is run
-/// only if the failing test is skipped by its exact name.
+/// A failing test, and a passing test whose name contains the name of the failing test. The passing
+/// test runs only if the failing test is skipped by its exact name.
 const FAILS: &str = "#[test]\nfn fails() { panic!(\"a fault\"); }\n\
-    #[test]\nfn fails_not() {}\n";
+    #[test]\nfn fails_in_name_only() {}\n";
 
 /// Creates a workspace of one package with the integration tests `first` and `second`, and with a
 /// `KNOWN-RED.txt` if `list` is given.
@@ -89,7 +89,7 @@
     assert!(text.contains("KNOWN-RED.txt: 1 not run"), "{text}");
     assert!(text.contains(list.trim_end()), "{text}");
     assert!(!text.contains("test fails ..."), "{text}");
-    assert!(text.contains("test fails_not ... ok"), "{text}");
+    assert!(text.contains("test fails_in_name_only ... ok"), "{text}");
     assert!(text.contains("1 filtered out"), "{text}");
     assert_eq!(passed_runs(&output), 4);
 }
