--- a/crates/gateway-core/tests/common/fleet.rs
+++ b/crates/gateway-core/tests/common/fleet.rs
@@ -27,7 +27,7 @@
     /// Number of messages that each gateway has received, by index.
     pub(crate) messages_received: BTreeMap<usize, u64>,
     network: Vec<Delivery>,
-    /// Number of actions of each gateway whose messages are already on the network, by index.
+    /// Number of actions of each gateway, by index, whose messages have been put on the network.
     actions_collected: Vec<usize>,
 }
 
@@ -122,7 +122,7 @@
             .sum()
     }
 
-    /// Sends requests of one customer through random gateways at a steady rate, and returns how
+    /// Sends `rate` requests of one customer per second through random gateways, and returns how
     /// many attempts were sent and completed.
     pub(crate) fn drive(&mut self, plan: PlanId, rate: u64, seconds: u64) -> usize {
         self.drive_chosen_gateways(plan, rate, seconds, |random, gateways| {
@@ -130,8 +130,9 @@
         })
     }
 
-    /// Sends requests of one customer at a steady rate, each through the gateway that `choose`
-    /// returns for the number of gateways. Returns how many attempts were sent and completed.
+    /// Sends `rate` requests of one customer per second. `choose` returns the index of the gateway
+    /// for each request, and is given the number of gateways. Returns how many attempts were sent
+    /// and completed.
     pub(crate) fn drive_chosen_gateways(
         &mut self,
         plan: PlanId,
@@ -150,7 +151,8 @@
         sent
     }
 
-    /// Replaces a gateway with a new gateway without state. Messages in transit to it still arrive.
+    /// Replaces a gateway with a new gateway without state, which also receives the messages that
+    /// are in transit to the old one.
     pub(crate) fn restart(&mut self, index: usize, seed: u64, settings: Settings, servers: u64) {
         let now = self.gateways[index].now;
         self.gateways[index] = GatewayHarness::with_servers(seed, settings, now, servers);
--- a/crates/gateway-core/tests/common/harness.rs
+++ b/crates/gateway-core/tests/common/harness.rs
@@ -72,8 +72,8 @@
         harness
     }
 
-    /// Creates the only gateway of its customers, which decides on their quotas without messages to
-    /// other gateways.
+    /// Creates a gateway that receives all requests of its customers, so that it decides on their
+    /// quotas without messages to other gateways.
     pub(crate) fn sole_gateway(seed: u64, settings: Settings, now: Micros, servers: u64) -> Self {
         let customer_gateways = GatewaySet {
             first: settings.gateway_id,
@@ -138,7 +138,8 @@
     }
 
     /// Passes idempotent requests without a quota to the gateway, one per interval, and completes
-    /// each with success if it is sent immediately. Returns the servers that they were sent to.
+    /// each with success if it is sent immediately. Returns the servers of the requests that were
+    /// sent.
     pub(crate) fn complete_sequential_requests(
         &mut self,
         count: usize,
@@ -165,7 +166,7 @@
         Some(attempt.server)
     }
 
-    /// Finishes the attempt in flight of a request, and returns the resulting actions.
+    /// Finishes the attempt that a request has in flight, and returns the resulting actions.
     pub(crate) fn finish(&mut self, id: &RequestId, outcome: AttemptOutcome) -> Vec<Action> {
         let index = self
             .in_flight
--- a/crates/gateway-core/tests/common/mod.rs
+++ b/crates/gateway-core/tests/common/mod.rs
@@ -15,9 +15,7 @@
 /// An instant on the clock of a test, or a time span, in microseconds.
 pub(crate) type Micros = u64;
 
-/// One millisecond.
 pub(crate) const MILLISECOND: Micros = 1_000;
-/// One second.
 pub(crate) const SECOND: Micros = 1_000_000;
 
 /// The customer of tests that need only one.
--- a/crates/gateway-core/tests/common/request_log.rs
+++ b/crates/gateway-core/tests/common/request_log.rs
@@ -8,8 +8,8 @@
 use gateway_core::*;
 use std::collections::BTreeMap;
 
-/// Time by which a final answer may be later than the client's deadline, because timers fire in
-/// steps.
+/// Maximum delay of a final answer after the client's deadline. Timers fire in steps, so an answer
+/// can be late.
 const TIMER_TOLERANCE: Micros = 8 * MILLISECOND;
 
 #[derive(Default)]
@@ -24,8 +24,8 @@
     is_in_flight: bool,
     /// Cell of the server to which the last attempt was sent.
     last_cell: CellId,
-    /// Cell in which the request may have been executed first; `None` if no finished attempt may
-    /// have executed it.
+    /// Cell of the first finished attempt that may have executed the request; `None` if there is no
+    /// such attempt.
     executed_in: Option<CellId>,
 }
 
@@ -138,7 +138,7 @@
         );
     }
 
-    /// Checks that no client has waited longer than its timeout.
+    /// Checks that no client still waits for a final answer after its deadline and the tolerance.
     pub(crate) fn assert_answered_in_time(&self, now: Micros) {
         for (id, record) in &self.0 {
             let is_in_time = now <= record.deadline + TIMER_TOLERANCE;
@@ -150,8 +150,8 @@
     }
 }
 
-/// Checks that an execution at this endpoint is harmless if the request may already have been
-/// executed.
+/// Checks that the idempotency of the request permits an execution at this endpoint, if the request
+/// may already have been executed.
 fn assert_may_execute(record: &RequestRecord, endpoint: &Endpoint, settings: &Settings) {
     let Some(executed_in) = record.executed_in else {
         return;
--- a/crates/gateway-core/tests/common/settings.rs
+++ b/crates/gateway-core/tests/common/settings.rs
@@ -5,10 +5,10 @@
 
 /// The lowest class: its requests may be executed more than once.
 pub(crate) const IDEMPOTENT: ClassId = ClassId(0);
-/// The servers of a cell recognise an idempotency key.
+/// Requests have an idempotency key, which only the servers of one cell recognise.
 pub(crate) const KEYED_BY_CELL: ClassId = ClassId(1);
 pub(crate) const NON_IDEMPOTENT: ClassId = ClassId(2);
-/// All servers recognise an idempotency key.
+/// Requests have an idempotency key, which all servers recognise.
 pub(crate) const KEYED: ClassId = ClassId(3);
 pub(crate) const CLASS_COUNT: usize = 4;
 
@@ -88,8 +88,8 @@
         self
     }
 
-    pub(crate) fn max_retry_after(mut self, longest: Option<Duration>) -> Self {
-        self.0.permissions.max_retry_after = longest;
+    pub(crate) fn max_retry_after(mut self, max_retry_after: Option<Duration>) -> Self {
+        self.0.permissions.max_retry_after = max_retry_after;
         self
     }
 
--- a/crates/gateway-core/tests/gateway_pair/mod.rs
+++ b/crates/gateway-core/tests/gateway_pair/mod.rs
@@ -86,7 +86,7 @@
     server.0 & 0xFFFF_FFFF
 }
 
-/// Returns the event of a complete endpoint list with this many servers.
+/// Returns the event that a complete endpoint list of this many servers arrives.
 pub(crate) fn snapshot(servers: u64) -> Event {
     let endpoints = (0..servers).map(endpoint).collect();
     Event::EndpointsUpdated {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Returns the event of a change of these endpoints.
+/// Returns the event that a list of these changed endpoints arrives.
 pub(crate) fn delta(endpoints: Vec<Endpoint>) -> Event {
     Event::EndpointsUpdated {
         kind: EndpointUpdate::Delta,
@@ -109,8 +109,8 @@
     event: Event,
 }
 
-/// Order of scheduled events: by time, and at the same time in the order in which they were
-/// scheduled.
+/// Sort key of scheduled events. Events of the same time are executed in the order in which they
+/// were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduleKey {
     at: Timestamp,
@@ -130,7 +130,6 @@
 pub(crate) struct GatewayPair {
     /// Current time of the simulation.
     pub(crate) now: Timestamp,
-    /// Both gateways.
     pub(crate) gateways: Vec<Gateway>,
     scheduled: BTreeMap<ScheduleKey, GatewayEvent>,
     last_sequence: u64,
@@ -180,8 +179,8 @@
         }
     }
 
-    /// Carries out an action, and returns the event of the message if it sends one to the other
-    /// gateway.
+    /// Carries out an action. If it sends a message to a simulated gateway, returns the event that
+    /// the message arrives.
     fn execute(&mut self, gateway: usize, action: Action) -> Option<GatewayEvent> {
         match action {
             Action::SendAttempt { id, server, .. } => {
@@ -242,7 +241,7 @@
         self.handle(number as usize % SIMULATED_GATEWAYS, event);
     }
 
-    /// Sends the requests of a range of numbers.
+    /// Sends one request for each number in a range.
     pub(crate) fn send_requests(&mut self, numbers: std::ops::Range<u64>) {
         for number in numbers {
             self.send_request(number);
@@ -250,7 +249,7 @@
     }
 }
 
-/// Returns the event of a successful first attempt of a request.
+/// Returns the event that the first attempt of a request succeeds.
 fn success(id: RequestId) -> Event {
     Event::AttemptFinished {
         id,
--- a/crates/gateway-core/tests/policy/admission.rs
+++ b/crates/gateway-core/tests/policy/admission.rs
@@ -1,9 +1,9 @@
-//! Rejections, and how they are counted.
+//! The counts of rejections.
 
 use crate::common::*;
 use gateway_core::*;
 
-/// Rejections are counted by reason and plan, so that operators can tell their causes apart.
+/// Operators use these counts to tell the causes of rejections apart.
 #[test]
 fn counts_rejections_by_reason_and_plan() {
     let mut gateway = GatewayHarness::new(1, settings(0, 2), SECOND);
--- a/crates/gateway-core/tests/policy/controller_inputs.rs
+++ b/crates/gateway-core/tests/policy/controller_inputs.rs
@@ -3,9 +3,9 @@
 use crate::common::*;
 
 /// A request that hangs counts once as a latency sample. If it counted at every control tick, it
-/// would look like many slow requests, and the gateway would shed others.
+/// would look like many slow requests, and the gateway would shed other requests.
 #[test]
-fn hanging_request_does_not_shed_others() {
+fn hanging_request_causes_no_load_shedding() {
     let mut gateway = GatewayHarness::sole_gateway(5, settings(0, LARGE_FLEET), SECOND, 4);
     gateway.request(NON_IDEMPOTENT, UNLIMITED, CUSTOMER, 6 * SECOND);
     let mut sent = 0;
--- a/crates/gateway-core/tests/policy/deadlines.rs
+++ b/crates/gateway-core/tests/policy/deadlines.rs
@@ -15,8 +15,8 @@
     actions.iter().filter_map(retry_after).collect()
 }
 
-/// A request that its token bucket does not cover is rejected with a `Retry-After` instead of being
-/// delayed.
+/// A request that the customer's token bucket does not cover is rejected with a `Retry-After`
+/// instead of being delayed.
 #[test]
 fn rejection_states_when_token_bucket_will_cover_request() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 1), SECOND, 8);
@@ -37,7 +37,7 @@
     let soon = retry_after(950 * MILLISECOND).expect("the token bucket is still short");
     assert!(
         (49 * MILLISECOND..51 * MILLISECOND).contains(&soon),
-        "{soon}"
+        "Retry-After of {soon} µs"
     );
     assert_eq!(
         retry_after(50 * MILLISECOND),
@@ -46,8 +46,8 @@
     );
 }
 
-/// A rejection has a `Retry-After` only if the settings allow one, and no longer one than they
-/// allow.
+/// A rejection has a `Retry-After` only if the settings allow it, and the `Retry-After` is never
+/// longer than the maximum in the settings.
 #[test]
 fn retry_after_stays_within_configured_maximum() {
     for (max_retry_after, expected) in [
@@ -71,8 +71,8 @@
     }
 }
 
-/// A request that has not been sent by its half time is rejected with a `Retry-After`, so that its
-/// client can still retry elsewhere.
+/// A request that has not been sent by its half time, half of the client's timeout, is rejected
+/// with a `Retry-After`, so that the client can still retry elsewhere.
 #[test]
 fn rejects_unsent_request_at_half_time() {
     let mut gateway = GatewayHarness::new(1, settings(0, 2), SECOND);
--- a/crates/gateway-core/tests/policy/fuzzy_controller.rs
+++ b/crates/gateway-core/tests/policy/fuzzy_controller.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn change_follows_published_rule_and_zones() {
+fn change_follows_published_rule_and_is_antisymmetric_and_monotonic() {
     assert!(
         (inferred_change(1.0 / 3.0, 2.0 / 3.0) + 1.0).abs() < 1e-9,
         "the published rule: (PS, PM) gives NL"
--- a/crates/gateway-core/tests/policy/gateway.rs
+++ b/crates/gateway-core/tests/policy/gateway.rs
@@ -231,6 +231,6 @@
     }
     assert!(
         sent > 3000 && unserved > 1000,
-        "too few requests for a check: {sent} sent, {unserved} rejected or failed"
+        "too few requests to check the rules: {sent} sent, {unserved} rejected or failed"
     );
 }
--- a/crates/gateway-core/tests/policy/in_flight_limit.rs
+++ b/crates/gateway-core/tests/policy/in_flight_limit.rs
@@ -1,4 +1,4 @@
-//! When the in-flight limit of the lowest class starts.
+//! The conditions under which the in-flight limit of the lowest class starts.
 
 use crate::common::*;
 use gateway_core::*;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn missed_objectives_start_in_flight_limit_and_concurrency_limit_does_not() {
+fn in_flight_limit_starts_after_missed_objectives_but_not_under_concurrency_limit() {
     assert!(has_limit_after_overload(UNLIMITED));
     assert!(!has_limit_after_overload(TWO_CONCURRENT));
 }
--- a/crates/gateway-core/tests/policy/lease.rs
+++ b/crates/gateway-core/tests/policy/lease.rs
@@ -4,8 +4,8 @@
 use crate::common::*;
 use gateway_core::*;
 
-/// Chooses the same gateway for nine in ten requests, because the requests of real customers are
-/// spread unevenly over gateways.
+/// Chooses the same gateway for nine in ten requests, because real customers spread their requests
+/// unevenly over gateways.
 fn choose_mostly_one_gateway(random: &mut fastrand::Rng, gateways: usize) -> usize {
     if random.u8(0..10) < 9 {
         3
@@ -117,8 +117,9 @@
         scenario
     }
 
-    /// Receives one request at the gateway, and delivers its lease request to the owner `copies`
-    /// times. Returns whether the request was sent immediately, without a response of the owner.
+    /// Receives one request at the gateway, and delivers a resulting lease request to the owner
+    /// `copies` times. Returns whether the request was sent immediately, without a response of the
+    /// owner.
     fn request(&mut self, copies: usize) -> bool {
         let actions_before = self.gateway.actions.len();
         let id = self
@@ -199,7 +200,7 @@
     scenario.sent
 }
 
-/// Guards against a lease that is used late or returned twice, and so exceeds the hard limit.
+/// If a lease were used after it expires, or returned twice, the hard limit would be exceeded.
 #[test]
 fn expired_lease_is_returned_only_once() {
     let sent_with_one_return = sent_until_owner_runs_out(1);
@@ -217,8 +218,8 @@
     );
 }
 
-/// In a partition, or if more messages are sent than gateways can take in, frequent lease requests
-/// would cause more losses.
+/// In a partition, or if gateways receive more messages than they can take in, frequent lease
+/// requests would cause more losses.
 #[test]
 fn repeats_unanswered_lease_request_at_growing_intervals() {
     let mut gateway = GatewayHarness::with_servers(5, settings(0, LARGE_FLEET), SECOND, 40);
@@ -251,9 +252,10 @@
     actions.iter().filter_map(message).collect()
 }
 
-/// Only consecutive timeouts make an owner unresponsive, because a few messages are always lost.
+/// An owner counts as unresponsive only after consecutive timeouts, because a few messages are
+/// always lost.
 #[test]
-fn asks_owner_that_responds_between_timeouts_and_not_standby_owner() {
+fn owner_that_responds_between_timeouts_is_asked_instead_of_standby_owner() {
     let settings = |gateway| {
         let exhausted_hard_limit = HardLimit {
             rate: 0.1,
--- a/crates/gateway-core/tests/policy/load_balancing.rs
+++ b/crates/gateway-core/tests/policy/load_balancing.rs
@@ -41,7 +41,8 @@
     gateway.in_flight.len()
 }
 
-/// Many gateways with one attempt in flight at every slow server each would overload all of them.
+/// If each of many gateways had one attempt in flight at every slow server, all of these servers
+/// would be overloaded.
 #[test]
 fn many_gateways_have_few_attempts_in_flight_at_slow_servers() {
     let with_few_gateways = in_flight_at_slow_servers(2);
@@ -102,7 +103,7 @@
     assert_eq!(used_by_fleet.len(), 60);
 }
 
-/// If there are few gateways for many servers, each gateway uses more of them, so that no server is
+/// If there are few gateways for many servers, each gateway uses more servers, so that no server is
 /// left out.
 #[test]
 fn every_server_is_in_subset_of_some_gateway() {
--- a/crates/gateway-core/tests/policy/outlier_detection.rs
+++ b/crates/gateway-core/tests/policy/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! Tests that servers that stall or cannot be reached receive no requests, while the other servers
-//! of their zone still do.
+//! Tests that stalled and unreachable servers receive no requests, while the other servers of their
+//! zone still do.
 
 use crate::common::*;
 use gateway_core::*;
--- a/crates/gateway-core/tests/policy/quota.rs
+++ b/crates/gateway-core/tests/policy/quota.rs
@@ -6,7 +6,7 @@
 
 const PEER: GatewayId = GatewayId(1);
 
-/// Returns the bytes of a usage message without any customer's count.
+/// Returns the bytes of a usage message that contains no customers.
 fn usage_bytes(incarnation: u32) -> Vec<u8> {
     let mut bytes = vec![4, 0];
     bytes.extend(incarnation.to_le_bytes());
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn does_not_refill_even_part_of_silent_peer() {
+fn refills_only_own_even_part_while_peer_is_silent() {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
     let mut sent = 0;
     for _ in 0..12 {
@@ -83,8 +83,8 @@
     );
 }
 
-/// Returns how many of six requests are sent after a peer has reported these counts, after an
-/// earlier count of ten units.
+/// Lets a peer first report ten units, and then these counts. Returns how many of six requests are
+/// sent after that.
 fn count_admitted_after(counts: &[u16]) -> usize {
     let mut gateway = GatewayHarness::with_servers(1, settings(0, 2), SECOND, 4);
     let first = gateway.request(IDEMPOTENT, SMALL_QUOTA, CUSTOMER, 2 * SECOND);
@@ -132,8 +132,8 @@
     );
 }
 
-/// A gateway that hears from a peer that has been up for much longer has itself restarted: units
-/// may have been used before the restart, so it must not use the whole burst again.
+/// If a peer has been up for much longer than the gateway, the gateway has restarted. Units may
+/// have been used before the restart, so the gateway must not use the whole burst again.
 #[test]
 fn restart_does_not_refill_token_bucket() {
     let sent = |incarnation: u32| {
@@ -172,7 +172,7 @@
     assert_eq!(
         gateway.in_flight.len(),
         1,
-        "the even part of two attempts in flight at two gateways is one"
+        "the even part of a limit of two attempts is one at each of two gateways"
     );
     let id = gateway.in_flight[0].request.clone();
     gateway.finish(&id, AttemptOutcome::Success);
@@ -239,8 +239,8 @@
         }
     }
 
-    /// Restarts a gateway now and then, and lets every gateway handle its timers and perhaps a
-    /// request.
+    /// Restarts a random gateway in some steps. Lets every gateway handle its timers and, in some
+    /// steps, a request.
     fn step(&mut self, now: Micros, seed: u64) {
         self.remaining = (self.remaining + 8.0 * 0.005).min(12.0);
         if self.random.u32(0..300) == 0 {
@@ -277,7 +277,7 @@
         }
         assert!(
             scenario.sent > 50,
-            "the hard limit must allow its rate: {} requests were sent",
+            "only {} requests were sent; the hard limit allows more",
             scenario.sent
         );
     }
--- a/crates/gateway-core/tests/policy/retry.rs
+++ b/crates/gateway-core/tests/policy/retry.rs
@@ -7,7 +7,7 @@
     Cancelled, ConnectionLost, NotSent, Overloaded, ServerError, TimedOut, Unreachable,
 };
 
-/// Checks what immediately follows each outcome but success, for each class.
+/// Checks the immediate reaction to each outcome except success, for each class.
 #[test]
 fn retries_according_to_outcome_and_idempotency() {
     for class in [IDEMPOTENT, KEYED_BY_CELL, NON_IDEMPOTENT, KEYED] {
@@ -57,7 +57,7 @@
     assert!(later.contains(&Action::Fail { id }));
 }
 
-/// A server forgets an idempotency key one window after it first saw the request.
+/// A server forgets an idempotency key one window after the server first received the request.
 #[test]
 fn key_window_begins_with_first_attempt() {
     let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), SECOND, 4);
--- a/crates/gateway-core/tests/policy/retry_budget.rs
+++ b/crates/gateway-core/tests/policy/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget, to which first attempts add.
+//! The retry budget, which grows with each first attempt.
 
 use crate::common::*;
 use gateway_core::*;
@@ -17,6 +17,6 @@
     let retries = gateway.sent_count() - 60;
     assert!(
         (20..=32).contains(&retries),
-        "20 retries at the start and a fifth of 60 first attempts: {retries}"
+        "{retries} retries; the budget is 20 at the start and a fifth of 60 first attempts"
     );
 }
--- a/crates/gateway-core/tests/policy/slow_start.rs
+++ b/crates/gateway-core/tests/policy/slow_start.rs
@@ -34,8 +34,8 @@
 
 const SECONDS: usize = 5;
 
-/// Returns the attempts in each second that one gateway, the only one of its customer, sends to a
-/// server that has just started.
+/// Returns how many attempts one gateway sends in each second to a server that has just started.
+/// The gateway is the only one of its customer.
 fn sent_by_second(number: u32) -> [usize; SECONDS] {
     let mut gateway = Gateway::new(
         u64::from(number),
--- a/crates/gateway-core/tests/reconnect.rs
+++ b/crates/gateway-core/tests/reconnect.rs
@@ -1,13 +1,13 @@
-//! Tests of the reconnect policy, without sockets or a clock. All sequences of events that can
-//! delay the next attempt are tried, and the longest time that a change at discovery waits for an
-//! attempt is checked.
+//! Tests of the reconnect policy, without sockets or a clock. They simulate all short sequences of
+//! events that can delay the next attempt, and check the longest time for which a change at
+//! discovery waits for an attempt.
 
 use gateway_core::reconnect::{first_list_timeout, ReconnectPolicy, WatchEvent, WatchFailure};
 use std::time::Duration;
 
-/// Time within which the platform requires an edge node to know a change.
+/// Time within which an edge node has to know a change at discovery, as the platform requires.
 const CHANGE_KNOWN_WITHIN: Duration = Duration::from_secs(6);
-/// Time reserved for the successful attempt and the read of its list.
+/// Part of that time that is reserved for the successful attempt and for reading its list.
 const ANSWER_TIME: Duration = Duration::from_millis(500);
 /// Smallest difference between two times.
 const TIME_RESOLUTION: Duration = Duration::from_nanos(1);
@@ -55,7 +55,7 @@
     policy: ReconnectPolicy,
     now: Duration,
     has_received_list: bool,
-    /// The last time at which a change at discovery would have become known: the start of an
+    /// The latest time at which a change at discovery would have become known: the start of an
     /// attempt that could have been answered, or an event on a watch that has received its list.
     last_known_at: Duration,
 }
@@ -172,7 +172,7 @@
 }
 
 /// After every sequence of steps before a change, and after every failure of the first attempt
-/// after the change, the following attempt is made in time.
+/// after the change, the second attempt starts in time.
 #[test]
 fn second_attempt_after_change_starts_in_time_if_first_fails() {
     for grace in DRAIN_GRACES {
@@ -180,15 +180,15 @@
         run_all_sequences(&Simulation::new(grace), STEPS - 1, &mut |simulation, _| {
             // The change happens now, and the watch that is already open does not report it.
             let change = simulation.last_known_at.max(simulation.now);
-            for open in [WatchFailure::ConnectionLost, WatchFailure::Rejected] {
-                for next in [
+            for open_watch_failure in [WatchFailure::ConnectionLost, WatchFailure::Rejected] {
+                for first_attempt_failure in [
                     Step::Fails(WatchFailure::ConnectionLost),
                     Step::Fails(WatchFailure::Rejected),
                     Step::FailsLate(WatchFailure::ConnectionLost),
                 ] {
                     let mut simulation = simulation.clone();
-                    simulation.step(Step::FailsLate(open), 1.0);
-                    simulation.step(next, 1.0);
+                    simulation.step(Step::FailsLate(open_watch_failure), 1.0);
+                    simulation.step(first_attempt_failure, 1.0);
                     longest = longest.max(simulation.now - change);
                 }
             }
@@ -200,7 +200,7 @@
     }
 }
 
-/// A watch on a discovery agent that sends heartbeats but no list is given up.
+/// If a discovery agent sends heartbeats but no list, the edge node gives up the watch.
 #[test]
 fn heartbeats_do_not_extend_watch_without_list() {
     let mut policy = ReconnectPolicy::new(Duration::from_secs(20));
--- a/crates/gateway-core/tests/recovery.rs
+++ b/crates/gateway-core/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Tests of the recovery from overload: servers that have become fast again are used again.
+//! Tests of the recovery from overload: once servers are fast again, the gateway uses them again.
 
 mod common;
 
@@ -11,7 +11,7 @@
 const CORES: f64 = 4.0;
 /// Number of requests in flight beyond which the throughput of a server falls.
 const THRASHING_FROM: f64 = 3.5 * CORES;
-/// Mean latency of a request without concurrent requests at a healthy server.
+/// Mean latency of a request at a healthy server that has no other requests in flight.
 const HEALTHY_SERVICE_TIME: Micros = 100 * MILLISECOND;
 
 /// Results of one call of [`Simulation::drive`].
@@ -47,9 +47,9 @@
         }
     }
 
-    /// Passes requests to the gateway at a steady rate per second, and a third of the requests are
-    /// of the lowest class. A server takes `service_time` on average for a request without
-    /// concurrent requests.
+    /// Passes `rate` requests per second to the gateway, a third of them of the lowest class.
+    /// `service_time` returns the mean latency of a request at a server that has no other requests
+    /// in flight.
     fn drive(
         &mut self,
         seconds: u64,
@@ -163,13 +163,13 @@
         let overloaded = simulation.drive(10, 250, half_are_slow).lowest_class_sent;
         assert!(
             before > 0.95 && overloaded < 0.5,
-            "seed {seed}: no overload: sent {before} of the lowest class before, {overloaded} during"
+            "seed {seed}: no overload: fraction of lowest class sent: {before}, then {overloaded}"
         );
         simulation.drive(5, 250, all_healthy);
         let after = simulation.drive(5, 250, all_healthy).lowest_class_sent;
         assert!(
             after > 0.95,
-            "seed {seed}: sent only {after} of the lowest class"
+            "seed {seed}: sent only a fraction of {after} of the lowest class"
         );
     }
 }
@@ -184,7 +184,7 @@
         let share = simulation.drive(5, 150, all_healthy).to_first_server;
         assert!(
             share > 0.25 / SERVERS as f64,
-            "seed {seed}: only {share} of the attempts went to the recovered server"
+            "seed {seed}: only a fraction of {share} of the attempts went to the recovered server"
         );
     }
 }
--- a/crates/gateway-core/tests/replay.rs
+++ b/crates/gateway-core/tests/replay.rs
@@ -4,8 +4,8 @@
 //! the digests.
 //!
 //! To record new digests after an intended change of decisions, run `cargo test --test replay`,
-//! replace the entries of [`RECORDED`] by those in the failure message, name the recorded commit in
-//! its comment, and describe the change of decisions in the commit message.
+//! replace the entries of [`RECORDED`] with those in the failure message, name the recorded commit
+//! in the comment of [`RECORDED`], and describe the change of decisions in the commit message.
 
 #[path = "replay/action_digest.rs"]
 mod action_digest;
@@ -59,8 +59,8 @@
     }
 }
 
-/// Digests recorded on commit e73c6e6, on which the previous digests, which hashed the `Debug`
-/// texts of actions, still matched.
+/// Digests recorded on commit e73c6e6. The previous digests, of the `Debug` texts of actions, still
+/// matched on that commit.
 const RECORDED: &[RecordedDigest] = &[
     digest(3, 14, 1, 0x9bf59f11578f08d0),
     digest(3, 14, 2, 0x991729a2125d515a),
@@ -79,7 +79,7 @@
 ];
 
 /// Fleets that are simulated, each with all [`SEEDS`]. The list does not depend on [`RECORDED`], so
-/// a missing entry there fails the test.
+/// the test fails if an entry of [`RECORDED`] is missing.
 const FLEETS: [FleetSize; 7] = [
     FleetSize {
         gateways: 3,
@@ -112,8 +112,8 @@
 ];
 const SEEDS: [u64; 2] = [1, 2];
 
-/// All events, actions and outcomes except `WatchEndpoints`, because the simulated endpoints are
-/// pushed.
+/// Names of all events, actions and outcomes except `WatchEndpoints`, which no gateway returns here
+/// because its endpoints are pushed.
 const EXPECTED_TO_OCCUR: [&str; 24] = [
     "EndpointsUpdated",
     "WatchFailed",
--- a/crates/gateway-core/tests/replay/action_digest.rs
+++ b/crates/gateway-core/tests/replay/action_digest.rs
@@ -1,4 +1,4 @@
-//! The hand-written encoding of the values of actions that is hashed.
+//! The hand-written encoding in which the values of actions are hashed.
 
 use fnv::FnvHasher;
 use gateway_core::*;
--- a/crates/gateway-core/tests/replay/simulated_server.rs
+++ b/crates/gateway-core/tests/replay/simulated_server.rs
@@ -1,4 +1,4 @@
-//! A server of the simulation: draws the latency and the outcome of attempts.
+//! A simulated server, which draws the latency and the outcome of each attempt at random.
 
 use crate::common::{Micros, MILLISECOND, SECOND};
 use fastrand::Rng;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Starts an attempt, and draws its latency and its outcome.
+    /// Starts an attempt, and returns its random latency and outcome.
     pub(crate) fn serve(&mut self, random: &mut Rng) -> ServedAttempt {
         use AttemptOutcome::{
             ConnectionLost, NotSent, Overloaded, ServerError, Success, TimedOut, Unreachable,
--- a/crates/gateway-core/tests/replay/simulation.rs
+++ b/crates/gateway-core/tests/replay/simulation.rs
@@ -39,8 +39,8 @@
     AttemptFinished(FinishedAttempt),
 }
 
-/// Order of scheduled events: by time, and at the same time in the order in which they were
-/// scheduled.
+/// Sort key of scheduled events. Events of the same time are executed in the order in which they
+/// were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduleKey {
     at: Micros,
@@ -158,8 +158,8 @@
         self.servers.keys().nth(index).copied()
     }
 
-    /// Makes servers drain, restart or be replaced, and then sends a delta, a snapshot, or a
-    /// snapshot in which one server is missing.
+    /// Drains, restarts, replaces or makes ready some random servers. Then sends a delta, a
+    /// snapshot, or a snapshot in which one server is missing.
     fn change_endpoints(&mut self) {
         let mut changed = Vec::new();
         for _ in 0..self.random.usize(1..5) {
--- a/crates/gateway-core/tests/server_table.rs
+++ b/crates/gateway-core/tests/server_table.rs
@@ -1,5 +1,6 @@
-//! Tests of which entries of the server table a gateway of a large fleet visits, and which servers
-//! it uses. Visits are counted and not timed, so that the tests do not depend on the machine.
+//! Tests how many entries of its server table a gateway of a large fleet visits, and which servers
+//! the gateway uses. Visits are counted and not timed, so that the tests do not depend on the
+//! machine.
 
 mod common;
 mod gateway_pair;
@@ -107,7 +108,7 @@
         .collect();
     assert!(
         replacements.len() >= removed.len() / 2,
-        "{} servers replaced {} removed servers",
+        "only {} new servers were used in place of {} removed servers",
         replacements.len(),
         removed.len()
     );
