--- a/crates/edge-node/src/config/schema/locate.rs
+++ b/crates/edge-node/src/config/schema/locate.rs
@@ -2,7 +2,6 @@
 
 use crate::config::file::{ConfigItem, ConfigValue};
 
-/// A segment of a path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PathSegment<'a> {
     /// The name of the entry, without `[]`.
@@ -72,7 +71,6 @@
     locations
 }
 
-/// Returns the location of an entry of a table.
 fn entry_location<'a>(table: Location<'a>, name: &str) -> Location<'a> {
     let item = table.item.and_then(|item| item.get(name));
     Location {
@@ -83,7 +81,7 @@
     }
 }
 
-/// Returns the locations of all items of a list; none if it is not a list.
+/// Returns the locations of all items of a list; empty if there is no list at the location.
 fn item_locations<'a>(list: &Location<'a>) -> Vec<Location<'a>> {
     let Some(ConfigValue::List(items)) = list.item.map(|item| &item.value) else {
         return Vec::new();
--- a/crates/edge-node/src/config/schema/spec.rs
+++ b/crates/edge-node/src/config/schema/spec.rs
@@ -5,8 +5,8 @@
 
 /// Upper bound of most times, in ms: no client waits longer than an hour.
 pub(super) const HOUR_MS: f64 = 3_600_000.0;
-/// Upper bound of numbers that need no other: far above any sensible number, and low enough that
-/// sums stay finite. A range that ends here counts as one without an upper bound.
+/// Upper bound of numbers that need no specific one: far above any sensible number, and low enough
+/// that sums stay finite. A range that ends here counts as a range without an upper bound.
 pub(super) const MAX_NUMBER: f64 = 1e9;
 
 /// The type of a key's value. The ranges of numbers are inclusive.
@@ -22,7 +22,7 @@
     AddressList,
     /// `true` or `false`.
     Boolean,
-    /// An integer.
+    /// An integer, not written as a float.
     Integer { min: u64, max: u64 },
     /// An integer or a float.
     Number { min: f64, max: f64 },
@@ -51,7 +51,6 @@
         }
     }
 
-    /// Returns the name in a format.
     pub(super) fn name(&self, format: ConfigFormat) -> &'static str {
         match format {
             ConfigFormat::Toml => self.toml,
@@ -65,7 +64,7 @@
 pub(super) enum DefaultValue {
     /// No value: the key must be present.
     Required,
-    /// An integer.
+    /// The integer of a key of the type [`ValueType::Integer`].
     Integer(u64),
     /// An integer or a float.
     Number(f64),
@@ -102,12 +101,14 @@
     Ignored,
 }
 
-/// The specification of a key. Its paths begin at the root; `[]` stands for each item of a list.
+/// The specification of a key. Its paths begin at the root; `[]` marks a list and means each of its
+/// items.
 #[derive(Debug)]
 pub(super) struct KeySpec {
     /// Path in operators' TOML, by which docs/CONFIGURATION.md names the key.
     pub(super) toml_path: &'static str,
-    /// Path in the platform's JSON; without a meaning for keys that it does not have.
+    /// Path in the JSON to which operators' TOML is translated. Files in the platform's JSON have
+    /// the key at the same path, unless [`in_platform_json`](Self::in_platform_json) is `Absent`.
     pub(super) json_path: &'static str,
     /// Type and range of the value.
     pub(super) value_type: ValueType,
@@ -122,7 +123,6 @@
 }
 
 impl KeySpec {
-    /// Returns the path in a format.
     pub(super) fn path(&self, format: ConfigFormat) -> &'static str {
         match format {
             ConfigFormat::Toml => self.toml_path,
@@ -154,7 +154,6 @@
 }
 
 impl ListPaths {
-    /// Returns the path in a format.
     pub(super) fn path(&self, format: ConfigFormat) -> &'static str {
         match format {
             ConfigFormat::Toml => self.toml,
--- a/crates/edge-node/src/upstream/attempt.rs
+++ b/crates/edge-node/src/upstream/attempt.rs
@@ -21,11 +21,10 @@
 /// Header by which a server recognises a request that it has already executed.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// A client's request as it is sent to a server.
+/// The form of a client's request that is sent to servers.
 pub(crate) struct UpstreamRequest {
-    /// Request id, which no other request ever has.
+    /// Request id, which no other open request has.
     pub(crate) id: RequestId,
-    /// HTTP method.
     pub(crate) method: Method,
     /// Path and query.
     pub(crate) target: String,
@@ -39,7 +38,6 @@
 
 /// An attempt to make, and the conditions that end it early.
 pub(crate) struct Attempt<'a, F> {
-    /// Request to send.
     pub(crate) request: &'a UpstreamRequest,
     /// Server to send the request to.
     pub(crate) server: ServerId,
@@ -68,8 +66,8 @@
     #[error("no connection to the server")]
     Connect(#[from] ConnectError),
     /// Before anything was sent, the request was answered, the attempt's deadline passed, or the
-    /// server started draining or moved to another address.
-    #[error("the attempt was no longer needed once it had a connection")]
+    /// server stopped being ready or was given a new address.
+    #[error("the attempt was no longer needed when its connection was established")]
     NoLongerNeeded,
     /// The exchange on the connection failed.
     #[error("the exchange with the server failed")]
@@ -162,7 +160,7 @@
     ) -> Result<AttemptResult, AttemptError> {
         let connection = self.obtain_connection(&mut attempt).await?;
         // While the connection was being established, the request may have been answered, or the
-        // server may have started draining or moved to another address. Nothing has been written
+        // server may have stopped being ready or been given a new address. Nothing has been written
         // yet, so the server cannot have executed the request.
         let is_needed = (attempt.is_open)() && Instant::now() < attempt.deadline;
         if !is_needed || !self.has_current_address(attempt.server, &connection) {
--- a/crates/edge-node/src/upstream/response.rs
+++ b/crates/edge-node/src/upstream/response.rs
@@ -16,19 +16,19 @@
 /// Header, with the value `1`, by which a server states that it has not executed the request.
 const NOT_RUN: &str = "x-not-run";
 
-/// Reason why a response is not used. Its connection is in an unknown state and has to be closed.
+/// Reason why a response is not used. Its connection is in an unknown state and must be closed.
 #[derive(Debug, Error)]
 pub(super) enum ResponseError {
     /// The response names the request that was previously answered on this connection.
-    #[error("a copy of the previous response")]
+    #[error("the response is a copy of the previous response")]
     RepeatsPrevious,
     /// The status is 1xx.
-    #[error("an informational response")]
+    #[error("the response is informational")]
     Informational,
     /// The response has neither a content length nor a transfer encoding.
     #[error("the response has neither a content length nor a transfer encoding")]
     Unframed,
-    /// The body is too large.
+    /// The body is larger than the maximum size, or than the rest of the body budget.
     #[error("the response body is not accepted")]
     NotAccepted(#[from] BodyBudgetError),
     /// The body ended early, or is longer than declared.
--- a/crates/edge-node/tests/documentation.rs
+++ b/crates/edge-node/tests/documentation.rs
@@ -16,14 +16,12 @@
 /// Files that pages may name although they do not always exist.
 const OPTIONAL_FILES: [&str; 1] = ["KNOWN-RED.txt"];
 
-/// A documentation page.
 struct Page {
     /// Path relative to the root of the repository.
     path: PathBuf,
     text: String,
 }
 
-/// Returns the root of the repository.
 fn root() -> PathBuf {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
     let root = package
@@ -57,7 +55,6 @@
         .collect()
 }
 
-/// Reads all documentation pages.
 fn pages() -> Vec<Page> {
     let root = root();
     let mut paths = vec![root.join("README.md"), root.join("CONTRIBUTING.md")];
--- a/crates/edge-node/tests/edge/invalid_requests.rs
+++ b/crates/edge-node/tests/edge/invalid_requests.rs
@@ -1,5 +1,5 @@
 //! Tests malformed and incomplete requests: the client gets a 4xx response or its connection is
-//! closed, and no server gets a request.
+//! closed, and no request is forwarded to a server.
 
 use super::start_with_one_server;
 use super::support::*;
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Sends the invalid request on its own connection, which has to be closed after the response.
+    /// Sends the invalid request on its own connection, which must be closed after the response.
     fn assert_answered_and_closed(&self, node: &EdgeNode) {
         let mut client = node.client();
         let answer = client.exchange(&valid_request().replacen(self.original, self.replacement, 1));
--- a/crates/edge-node/tests/support/fake_server.rs
+++ b/crates/edge-node/tests/support/fake_server.rs
@@ -33,7 +33,6 @@
 
 /// A request that a server has received completely.
 pub(crate) struct ReceivedRequest {
-    /// Name of the server.
     pub(crate) server: String,
     /// The request with its headers and body.
     pub(crate) message: HttpMessage,
@@ -80,8 +79,8 @@
         self.start_with_shared_behaviors(name, &Arc::new(Mutex::new(behaviors.to_vec())))
     }
 
-    /// Starts a server with its own behaviors. Returns an endpoint list entry with which the server
-    /// is ready.
+    /// Starts a server with its own behaviors. Returns an endpoint list entry that reports the
+    /// server as ready.
     pub(crate) fn start_returning_entry(&self, name: &str, behaviors: &[ServerBehavior]) -> String {
         endpoint_entry(name, self.start(name, behaviors), 1, "ready")
     }
@@ -221,9 +220,11 @@
 
 /// Returns whether the edge node has closed the connection, without waiting.
 fn is_closed_now(stream: &TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("mode is set");
+    stream
+        .set_nonblocking(true)
+        .expect("non-blocking mode is set");
     let peeked = stream.peek(&mut [0]);
-    stream.set_nonblocking(false).expect("mode is set");
+    stream.set_nonblocking(false).expect("blocking mode is set");
     match peeked {
         Ok(length) => length == 0,
         Err(error) => error.kind() != ErrorKind::WouldBlock,
--- a/crates/fleet-lab/src/hybrid/args.rs
+++ b/crates/fleet-lab/src/hybrid/args.rs
@@ -5,7 +5,8 @@
 use super::server_faults::FaultProfile;
 use std::path::PathBuf;
 
-/// Maximum number of requests per second over all nodes, which share one processor here.
+/// Maximum number of requests per second over all nodes. Clients, servers and hollow nodes share
+/// one thread.
 const MAX_RATE: f64 = 5000.0;
 /// Maximum number of real nodes.
 const MAX_REAL_NODES: u32 = 4;
@@ -19,10 +20,10 @@
 /// Arguments of `fleet-lab hybrid`.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// Number of real nodes, from 1 to 4.
+    /// Number of real nodes, from 1 to 4: processes of the edge node.
     #[arg(long, default_value_t = 2)]
     pub(super) real: u32,
-    /// Number of hollow nodes, from 1 to 100.
+    /// Number of hollow nodes, from 1 to 100: decision libraries inside this process.
     #[arg(long, default_value_t = 10)]
     hollow: u32,
     /// Time during which clients send requests, in seconds, from 1 to 120.
@@ -128,7 +129,6 @@
         Ok(program)
     }
 
-    /// Returns the load of the run.
     pub(super) fn load(&self) -> LoadConfig {
         LoadConfig {
             seconds: f64::from(self.seconds),
--- a/crates/fleet-lab/src/hybrid/customers.rs
+++ b/crates/fleet-lab/src/hybrid/customers.rs
@@ -4,7 +4,7 @@
 
 /// Multiplier that spreads consecutive customer numbers over the range of ids.
 const ID_MULTIPLIER: u64 = 0x9e37_79b1;
-/// Largest customer id: ids have 32 bits.
+/// Largest customer id of a run. Ids of a run have 32 bits; the protocol permits 33.
 const MAX_CUSTOMER_ID: u64 = 0xffff_ffff;
 /// Units of the largest request; all sizes from 1 unit up are equally likely.
 pub(super) const MAX_UNITS: u32 = 4;
@@ -45,7 +45,6 @@
     },
 ];
 
-/// Returns the name of a plan.
 pub(super) fn plan_name(plan: PlanId) -> &'static str {
     PLANS[plan.0].name
 }
@@ -58,11 +57,11 @@
     pub(super) id: CustomerId,
     /// Plan of the customer, as an index into [`PLANS`].
     pub(super) plan: PlanId,
-    /// First of the consecutive nodes at which its requests arrive.
+    /// First of the consecutive nodes at which the customer's requests arrive.
     pub(super) first_node: GatewayId,
-    /// Number of nodes at which its requests arrive.
+    /// Number of nodes at which the customer's requests arrive.
     pub(super) node_count: u32,
-    /// Mean units per second of its requests.
+    /// Mean units per second of the customer's requests.
     pub(super) demand: f64,
 }
 
@@ -80,7 +79,7 @@
 }
 
 /// Derives a customer's id from its number. Nodes choose a customer's quota owners by the hash of
-/// its id, so ids have to be well mixed.
+/// its id, so ids must be well mixed.
 pub(super) fn customer_id(number: u64) -> CustomerId {
     CustomerId(number.wrapping_mul(ID_MULTIPLIER) & MAX_CUSTOMER_ID)
 }
--- a/crates/fleet-lab/src/hybrid/figure.rs
+++ b/crates/fleet-lab/src/hybrid/figure.rs
@@ -5,11 +5,11 @@
 /// A measured value with bounds between which the true value lies, except by chance.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Figure {
-    /// Measured value.
+    /// Value as measured, between the two bounds.
     pub value: f64,
-    /// Lower bound.
+    /// Lower bound of the true value.
     pub low: f64,
-    /// Upper bound.
+    /// Upper bound of the true value.
     pub high: f64,
 }
 
--- a/crates/fleet-lab/src/hybrid/invariant_result.rs
+++ b/crates/fleet-lab/src/hybrid/invariant_result.rs
@@ -4,8 +4,9 @@
 use std::fmt;
 
 /// The result of checking one invariant. The simulation has
-/// [`Violations`](crate::world::invariant::Violations) instead, which hold times: the simulation
-/// checks at each event, whereas here some violations are known only at the end of the run.
+/// [`Violations`](crate::world::invariant::Violations) instead, with the times of violations: the
+/// simulation checks at each event, whereas over sockets some violations are known only at the end
+/// of the run.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct InvariantResult {
     /// Statement of the invariant, as the report prints it.
@@ -14,7 +15,7 @@
     /// Number of cases in which the invariant was checked.
     #[serde(rename = "looked_at")]
     pub checked: u64,
-    /// Number of violations.
+    /// Number of violations found; 0 if the invariant holds.
     #[serde(rename = "broken")]
     pub violations: u64,
     /// Further observations for the report; may be empty.
--- a/crates/fleet-lab/src/hybrid/load.rs
+++ b/crates/fleet-lab/src/hybrid/load.rs
@@ -29,15 +29,12 @@
     pub(super) seconds: f64,
     /// Seed of the request ids.
     pub(super) seed: u64,
-    /// Faults of the servers.
     pub(super) faults: FaultProfile,
 }
 
 /// Totals of the nodes of each kind.
 pub(super) struct KindTotals {
-    /// Totals of the real nodes.
     pub(super) real: NodeTotals,
-    /// Totals of the hollow nodes.
     pub(super) hollow: NodeTotals,
 }
 
@@ -57,7 +54,8 @@
         }
     }
 
-    /// Adds the resources that a node has used between two measurements.
+    /// Adds the resources that a node has used between two measurements. Datagrams that are too
+    /// long are counted from the start of the node instead.
     fn add_usage(&mut self, node: &Node, before: &NodeUsage, after: &NodeUsage) {
         let totals = self.of(node);
         totals.cost_us += after.cost.saturating_sub(before.cost).as_secs_f64() * MICROS_PER_SECOND;
--- a/crates/fleet-lab/src/hybrid/report.rs
+++ b/crates/fleet-lab/src/hybrid/report.rs
@@ -23,14 +23,14 @@
 /// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Factor within which the values of both kinds have to agree.
+    /// Factor within which the values of both kinds must agree.
     #[serde(rename = "within")]
     pub factor: f64,
     /// Number of requests at the real nodes and at the hollow nodes.
     pub requests: [u64; 2],
     /// Figures of both kinds side by side.
     pub rows: Vec<ComparisonRow>,
-    /// Results of the invariant checks.
+    /// One result for each invariant, whether it was violated or not.
     #[serde(rename = "rules")]
     pub invariants: Vec<InvariantResult>,
 }
--- a/crates/fleet-lab/src/hybrid/servers.rs
+++ b/crates/fleet-lab/src/hybrid/servers.rs
@@ -2,8 +2,8 @@
 //! HTTP; both share one queue.
 //!
 //! These servers run in real time as futures: dropping a future cancels its attempt, and a
-//! semaphore is the queue. The servers of `world` are state machines that announce when they are
-//! done, and they have a warm-up and crashes, which `hybrid` does not have.
+//! semaphore is the queue. The servers of `world` are state machines that return the time at which
+//! each execution is done, and they simulate warm-up and crashes, which `hybrid` does not.
 
 use super::invariant_checker::SocketInvariantChecker;
 use super::scenario::{MEAN_WORK_US, SERVER_COUNT, WORK_DEVIATION_FRACTION};
@@ -22,7 +22,6 @@
 /// A server's reply to an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptReply {
-    /// Outcome of the attempt.
     pub(super) status: AttemptStatus,
     /// Requests in flight at the server, running or queued.
     pub(super) in_flight: usize,
@@ -39,7 +38,6 @@
     Rejected,
 }
 
-/// A simulated server.
 pub(super) struct Server {
     /// Name of the server in the list.
     pub(super) name: String,
@@ -98,8 +96,9 @@
         self.mode.set(mode);
     }
 
-    /// Handles an attempt until its end. A caller that no longer waits drops the future, which
-    /// cancels the attempt.
+    /// Handles an attempt until its end. An accepted attempt is recorded as executed at once,
+    /// before it has a slot. A caller that no longer waits drops the future, which cancels the
+    /// attempt.
     pub(super) async fn handle_attempt(
         &self,
         checker: &RefCell<SocketInvariantChecker>,
@@ -109,7 +108,7 @@
         if mode == ServerMode::Reject || self.in_flight.get() >= self.max_in_flight {
             return self.reply(AttemptStatus::Rejected);
         }
-        checker.borrow_mut().execution_started(request);
+        checker.borrow_mut().attempt_accepted(request);
         let _guard = InFlightGuard::new(&self.in_flight);
         if mode == ServerMode::Hang {
             std::future::pending::<()>().await;
--- a/crates/fleet-lab/src/simulate/fault.rs
+++ b/crates/fleet-lab/src/simulate/fault.rs
@@ -2,12 +2,11 @@
 
 use crate::Failure;
 
-/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Fault {
     /// No fault.
     Calm,
-    /// The demand of all customers rises by half, and two customers flood.
+    /// The demand of all customers rises by half, and one or two customers flood.
     Burst,
     /// One in eight servers accepts requests and completes none.
     Hang,
--- a/crates/fleet-lab/src/simulate/fault_schedule.rs
+++ b/crates/fleet-lab/src/simulate/fault_schedule.rs
@@ -18,10 +18,10 @@
     SlowServer {
         /// Server that becomes slow.
         server: ServerId,
-        /// Factor by which they take longer; 1 restores the normal speed.
+        /// Factor that multiplies the execution time; 1 restores the normal speed.
         factor: f64,
     },
-    /// A new server starts cold.
+    /// A new server starts cold, and discovery lists it.
     StartServer(Endpoint),
     /// Discovery lists a server as draining.
     DrainServer(ServerId),
@@ -29,7 +29,7 @@
     StopServer(ServerId),
     /// A server's process starts again, cold.
     RestartServer(ServerId),
-    /// A gateway is killed.
+    /// A gateway is killed, and the requests that are open at it fail.
     KillGateway(GatewayId),
     /// A gateway starts again.
     RestartGateway(GatewayId),
@@ -44,18 +44,18 @@
     pub action: FaultAction,
 }
 
-/// All faults of a simulation.
+/// All faults of a simulation, drawn before it starts.
 #[derive(Clone, Debug, Default)]
 pub struct FaultSchedule {
-    /// Changes to servers and gateways; those of the same time happen in this order.
+    /// Changes to servers and gateways. Changes at the same time are made in this order.
     pub actions: Vec<ScheduledAction>,
-    /// Network partitions.
+    /// Spans in which one zone is separated from all others.
     pub partitions: Partitions,
     /// Spans in which discovery cannot be reached.
     pub discovery_outages: Vec<TimeSpan>,
     /// Spans in which the demand of all customers is multiplied by a factor.
     pub surges: Vec<TemporaryValue>,
-    /// Span in which two customers add a fraction of the total demand within the quotas.
+    /// Span in which one or two customers add a fraction of the total demand within the quotas.
     pub flood: Option<TemporaryValue>,
     /// Span in which a fraction of all messages is lost.
     pub message_loss: Option<TemporaryValue>,
--- a/crates/gateway-core/src/policy/quota_sharing/lease.rs
+++ b/crates/gateway-core/src/policy/quota_sharing/lease.rs
@@ -19,7 +19,8 @@
 use crate::settings::HardLimit;
 use crate::state::deployment::{Context, Deployment};
 use crate::state::quota::{
-    CustomerAccount, HeldLease, PendingLease, QuotaOwner, QuotaOwners, QuotaState, RequestGrant,
+    CustomerAccount, HeldLease, PendingLeaseRequest, QuotaOwner, QuotaOwners, QuotaState,
+    RequestGrant,
 };
 use crate::state::request::Request;
 use crate::time::{DurationExt, Timestamp};
@@ -27,8 +28,8 @@
 use crate::units::Units;
 use std::time::Duration;
 
-/// Time after its last update at which a customer's request probability no longer limits lease
-/// requests.
+/// Time after which a customer's request probability no longer limits lease requests, counted from
+/// its last update by an owner.
 const REQUEST_PROBABILITY_LIFETIME: Duration = Duration::from_secs(2);
 /// Time for which an unresponsive owner is not asked.
 pub(crate) const OWNER_COOLDOWN: Duration = Duration::from_secs(1);
@@ -134,10 +135,10 @@
 
 /// Creates the lease request that a request sends to an owner.
 ///
-/// In addition to the request's own units it asks for the customer's recent demand, so that later
-/// requests need not ask, and returns the rest of the held lease. It does neither while the
-/// response to the last such lease request may still arrive, because a second response would
-/// replace the lease of the first.
+/// The lease request asks for a lease of the customer's recent demand in addition to the request's
+/// own units, so that later requests need not ask, and returns the unused units of the held lease.
+/// It asks for no lease and returns no units while the response to the last lease request that did
+/// so may still arrive, because a second response would replace the lease of the first.
 pub(crate) fn lease_request(
     account: &mut CustomerAccount,
     now: Timestamp,
@@ -167,7 +168,7 @@
     }
 }
 
-/// Decision on a request after an owner's response.
+/// Decision on a request after a quota owner's response.
 pub(crate) enum ResponseDecision {
     /// The request may be sent.
     Send,
@@ -230,8 +231,8 @@
     /// The owner has not responded in time.
     TimedOut {
         /// Lease request without a response.
-        pending: PendingLease,
-        /// Decision on the request.
+        pending: PendingLeaseRequest,
+        /// Decision on the request for which the lease request was sent.
         next: TimeoutDecision,
     },
 }
@@ -248,8 +249,8 @@
     Reject(RejectReason),
 }
 
-/// Decides what is done about a request that was never sent. Its grant may have expired, or its
-/// lease request may have been pending for too long.
+/// Decides on a request that was never sent, whose grant may have expired, or whose lease request
+/// may have been pending for too long.
 pub(crate) fn check_unsent(
     deployment: &Deployment,
     quotas: &QuotaState,
@@ -315,7 +316,7 @@
     /// Quota owner that granted the permit.
     Owner(GatewayId),
     /// No gateway, because the customer's plan has no concurrency permits.
-    Nobody,
+    NoGateway,
 }
 
 /// Decides which gateway is notified that a request no longer needs the permit of its grant.
@@ -335,6 +336,6 @@
     if plan.is_some_and(|plan| plan.max_concurrent.is_some()) {
         PermitReleaseTarget::Owner(grant.owner)
     } else {
-        PermitReleaseTarget::Nobody
+        PermitReleaseTarget::NoGateway
     }
 }
--- a/crates/gateway-core/src/reconnect.rs
+++ b/crates/gateway-core/src/reconnect.rs
@@ -31,7 +31,7 @@
 /// A watch that lasted longer than this was stable: its end is a new failure, and not the previous
 /// failure repeated.
 const STABLE_AFTER: Duration = MAX_BACKOFF;
-/// Upper bound of the wait for the first list, because a restarted edge node has to be ready soon.
+/// Upper bound of the wait for the first list, because a restarted edge node must be ready soon.
 const MAX_FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Drain grace divided by the answer timeout.
@@ -52,7 +52,7 @@
     (drain_grace / FIRST_LIST_TIMEOUTS_PER_GRACE).min(MAX_FIRST_LIST_TIMEOUT)
 }
 
-/// An event on the open watch.
+/// What discovery has sent on the open watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
     /// Discovery sent a message other than a list.
@@ -123,25 +123,25 @@
     /// When the attempt to open the current watch started.
     attempt_started_at: Duration,
     /// Whether a list has arrived on the open watch.
-    list_received: bool,
+    has_received_list: bool,
     /// Whether a part of a list, but not its end, has arrived on the open watch.
-    list_is_partial: bool,
+    has_partial_list: bool,
     /// When the open watch is given up.
     deadline: Duration,
 }
 
 impl ReconnectPolicy {
     /// Returns the policy for a drain grace. After a lost connection, the longest backoff and the
-    /// answer timeout, within which the next list is read, together take less than half of the drain
-    /// grace. Both are shorter where their upper bounds are.
+    /// answer timeout, within which the next list is read, together take less than half of the
+    /// drain grace. With a long drain grace, the upper bounds of the two make them shorter still.
     #[must_use]
     pub fn new(drain_grace: Duration) -> ReconnectPolicy {
         ReconnectPolicy {
             answer_timeout: (drain_grace / ANSWER_TIMEOUTS_PER_GRACE).min(MAX_ANSWER_TIMEOUT),
             backoff: Backoff::new(drain_grace),
             attempt_started_at: Duration::ZERO,
-            list_received: false,
-            list_is_partial: false,
+            has_received_list: false,
+            has_partial_list: false,
             deadline: Duration::ZERO,
         }
     }
@@ -151,8 +151,8 @@
     pub fn attempt_started(&mut self, now: Duration) {
         self.attempt_started_at = now;
         self.deadline = now + self.answer_timeout;
-        self.list_received = false;
-        self.list_is_partial = false;
+        self.has_received_list = false;
+        self.has_partial_list = false;
     }
 
     /// Records that the address of discovery has changed, which resets the backoff.
@@ -166,19 +166,19 @@
             WatchEvent::PartialList => {
                 // A list that arrives byte by byte without end must not keep the watch open: only
                 // its first part moves the deadline.
-                if self.list_is_partial {
+                if self.has_partial_list {
                     return;
                 }
-                self.list_is_partial = true;
+                self.has_partial_list = true;
                 self.set_deadline(now + self.answer_timeout);
             }
             WatchEvent::Heartbeat => {
-                self.list_is_partial = false;
+                self.has_partial_list = false;
                 self.set_deadline(now + SILENCE_TIMEOUT);
             }
             WatchEvent::List => {
-                self.list_is_partial = false;
-                self.list_received = true;
+                self.has_partial_list = false;
+                self.has_received_list = true;
                 self.set_deadline(now + SILENCE_TIMEOUT);
             }
         }
@@ -187,7 +187,7 @@
     /// Sets the deadline. Before the first list, it is at most the silence timeout after the start
     /// of the watch: heartbeats must not keep a watch open on which no list arrives.
     fn set_deadline(&mut self, deadline: Duration) {
-        self.deadline = if self.list_received {
+        self.deadline = if self.has_received_list {
             deadline
         } else {
             deadline.min(self.attempt_started_at + SILENCE_TIMEOUT)
@@ -206,7 +206,7 @@
         now.saturating_sub(self.attempt_started_at) > STABLE_AFTER
     }
 
-    /// Records that the watch has ended, and returns when the next watch is to be opened. `jitter`,
+    /// Records that the watch has ended, and returns when the next watch must be opened. `jitter`,
     /// from 0 to 1, spreads the attempts of the edge nodes, which would otherwise reconnect at the
     /// same moment.
     pub fn attempt_failed(
--- a/crates/gateway-core/src/settings/mod.rs
+++ b/crates/gateway-core/src/settings/mod.rs
@@ -58,7 +58,7 @@
     pub latency_objective: Duration,
     /// Fraction of the priority weight that an answer after the latency objective still earns.
     pub late_weight: f64,
-    /// Priority weight of one request.
+    /// Priority of a request within its latency objective, before the plan's weight multiplies it.
     pub priority_weight: f64,
     /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
@@ -126,7 +126,7 @@
 /// What the deployment permits gateways to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permissions {
-    /// Maximum number of attempts for one request.
+    /// Maximum number of attempts for one request, the first one included.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub cancel_attempts: bool,
@@ -141,7 +141,7 @@
 pub struct Settings {
     /// Number of this gateway, less than `gateway_count`.
     pub gateway_id: GatewayId,
-    /// Number of gateways of the fleet.
+    /// Number of gateways of the fleet, whether they are up or down; at least 1.
     pub gateway_count: u32,
     /// Availability zone that this gateway runs in.
     pub zone: ZoneId,
--- a/crates/gateway-core/src/settings/parse.rs
+++ b/crates/gateway-core/src/settings/parse.rs
@@ -30,7 +30,7 @@
     /// A class with an idempotency key has no deduplication scope.
     #[error("class {class}: group is required with an idempotency key")]
     MissingScope {
-        /// The name of the class.
+        /// Name of the class in the settings.
         class: String,
     },
 }
@@ -230,7 +230,7 @@
     rate: f64,
     #[serde(rename = "storeSize")]
     burst: f64,
-    /// 0 stands for no limit.
+    /// 0 means no limit.
     #[serde(default, rename = "atOnce")]
     max_concurrent: u32,
     #[serde(rename = "price")]
@@ -239,7 +239,7 @@
     over_quota_weight: f64,
     #[serde(default, rename = "overrunCost")]
     over_quota_cost: f64,
-    /// 0 stands for no hard limit.
+    /// 0 means no hard limit.
     #[serde(default, rename = "capRate")]
     hard_limit_rate: f64,
     #[serde(default, rename = "neverOverDepth")]
--- a/crates/gateway-core/src/state/attempt.rs
+++ b/crates/gateway-core/src/state/attempt.rs
@@ -7,19 +7,16 @@
 /// The request and number that identify an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
-    /// The request that the attempt belongs to.
     pub(crate) request: RequestId,
     /// The attempt's number within the request, from 0.
     pub(crate) number: AttemptNumber,
 }
 
-/// What is recorded of an attempt when it is sent.
+/// Record of an attempt in flight, made when the attempt is sent.
 pub(crate) struct Attempt {
     /// The server that the attempt was sent to.
     pub(crate) server: ServerId,
-    /// The customer of the request.
     pub(crate) customer: CustomerId,
-    /// The class of the request.
     pub(crate) class: ClassId,
     /// The time from which the request could have been sent, had a server been available.
     pub(crate) eligible_since: Timestamp,
--- a/crates/gateway-core/src/state/deployment.rs
+++ b/crates/gateway-core/src/state/deployment.rs
@@ -14,11 +14,13 @@
     /// buckets.
     Gossip,
     /// In a large fleet, where usage could not be broadcast often enough, a few owners among a
-    /// customer's gateways hold its quota and grant leases. This mode is an addition to the design.
+    /// customer's gateways hold its quota and grant leases. The published eQoS design does not have
+    /// this mode.
     Leases,
 }
 
-/// The settings, the fleet mode, and values derived from them. None of them change after the start.
+/// The settings, the fleet mode, and values derived from them, none of which change after the
+/// gateway has started.
 pub(crate) struct Deployment {
     /// The settings as configured, without changes.
     pub(crate) settings: Settings,
@@ -88,7 +90,7 @@
     }
 }
 
-/// The inputs of a decision apart from the request, token bucket or server it is about.
+/// The inputs that all decisions share: the time, the settings and the estimates of the fleet.
 #[derive(Clone, Copy)]
 pub(crate) struct Context<'a> {
     /// The time of the event that is being handled.
--- a/crates/gateway-core/src/state/servers/server_table/mod.rs
+++ b/crates/gateway-core/src/state/servers/server_table/mod.rs
@@ -1,7 +1,7 @@
 //! The server table: all servers on the endpoint list.
 //!
 //! Each server that this gateway uses is tracked, with its health. If too many servers are ready to
-//! track all of them, the table retains only the endpoint of each other ready server.
+//! track all of them, the table retains only the endpoints of the ready servers that are not used.
 
 mod candidates;
 mod eviction;
@@ -28,7 +28,6 @@
 /// All servers on the endpoint list.
 #[derive(Default)]
 pub(crate) struct ServerTable {
-    /// Number of request classes.
     classes: usize,
     /// Time that a server takes to warm up, from its start.
     warm_up_period: Duration,
@@ -44,7 +43,7 @@
     cells: BTreeSet<(CellId, ServerId)>,
     /// The ready servers that are warming up, ordered by the time of their start.
     warming_up: BTreeSet<(Timestamp, ServerId)>,
-    /// Server ids by the short ids that stand for them in health reports.
+    /// Server ids by the short ids that health reports have instead of them.
     by_short_id: HashMap<ShortServerId, ServerId>,
     index: ServerIndex,
     /// Number of servers visited since the gateway started.
@@ -53,9 +52,9 @@
 
 /// A server that is warming up, and its slow-start credit.
 pub(crate) struct WarmingServer<'a> {
-    /// Minimum fraction of its capacity that the server has reached, less than 1.
+    /// Minimum fraction of its full capacity that the server has, less than 1.
     pub(crate) warm_up_fraction: f64,
-    /// The server's slow-start credit, for changes.
+    /// Slow-start credit of the server, which a control tick adds to.
     pub(crate) credit: &'a mut SlowStartCredit,
 }
 
@@ -94,7 +93,7 @@
         self.tracked.len() + self.untracked.len() + self.by_short_id.len()
     }
 
-    /// Returns the server that a short id stands for in health reports.
+    /// Returns the server that a short id in a health report identifies.
     pub(crate) fn by_short_id(&self, short: ShortServerId) -> Option<ServerId> {
         self.by_short_id.get(&short).copied()
     }
@@ -110,8 +109,8 @@
         self.get_or_track(now, id);
     }
 
-    /// Returns a server for changes; `None` if it is not in the table. The server is tracked from
-    /// now on, and counts as used now.
+    /// Returns write access to a server; `None` if the server is not in the table. The server is
+    /// tracked from now on, and counts as used now.
     pub(crate) fn get_or_track(
         &mut self,
         now: Timestamp,
--- a/crates/gateway-core/tests/common/fleet.rs
+++ b/crates/gateway-core/tests/common/fleet.rs
@@ -1,13 +1,13 @@
 //! A simulated fleet of gateways with one clock. Messages between the gateways are lost, delayed,
 //! duplicated and reordered.
 
-use super::{GatewayHarness, Micros, SettingsBuilder, CUSTOMER, IDEMPOTENT, MS, S};
+use super::{GatewayHarness, Micros, SettingsBuilder, CUSTOMER, IDEMPOTENT, MILLISECOND, SECOND};
 use gateway_core::*;
 use std::collections::BTreeMap;
 
-/// Mean number of messages in twenty of which the first copy is delivered.
+/// Number of messages in twenty, on average, whose first copy is delivered.
 const DELIVERED_OF_TWENTY: u8 = 18;
-/// Mean number of messages in twenty of which a second copy is delivered.
+/// Number of messages in twenty, on average, whose second copy is delivered.
 const DUPLICATED_OF_TWENTY: u8 = 1;
 
 /// A message in transit.
@@ -27,7 +27,7 @@
     /// Number of messages that each gateway has received, by index.
     pub(crate) messages_received: BTreeMap<usize, u64>,
     network: Vec<Delivery>,
-    /// Number of actions of each gateway whose messages are already on the network, by index.
+    /// Number of actions of each gateway, by index, whose messages have been put on the network.
     actions_collected: Vec<usize>,
 }
 
@@ -39,7 +39,7 @@
     ) -> Self {
         let gateway = |number| {
             let settings = customize(SettingsBuilder::new(number, gateways)).build();
-            GatewayHarness::with_servers(u64::from(number), settings, S, servers)
+            GatewayHarness::with_servers(u64::from(number), settings, SECOND, servers)
         };
         let gateways: Vec<_> = (0..gateways).map(gateway).collect();
         Fleet {
@@ -66,7 +66,7 @@
         let end = self.now() + span;
         while self.now() < end {
             for index in 0..self.gateways.len() {
-                self.gateways[index].advance(2 * MS);
+                self.gateways[index].advance(2 * MILLISECOND);
                 self.collect_messages(index);
             }
             self.deliver_messages();
@@ -101,7 +101,7 @@
                         from: GatewayId(from as u32),
                         bytes: bytes.clone(),
                     };
-                    let arrives_at = gateway.now + self.random.u64(5..40) * MS;
+                    let arrives_at = gateway.now + self.random.u64(5..40) * MILLISECOND;
                     self.network.push(Delivery {
                         arrives_at,
                         to: to.0 as usize,
@@ -122,7 +122,7 @@
             .sum()
     }
 
-    /// Sends requests of one customer through random gateways at a steady rate, and returns how
+    /// Sends `rate` requests of one customer per second through random gateways, and returns how
     /// many attempts were sent and completed.
     pub(crate) fn drive(&mut self, plan: PlanId, rate: u64, seconds: u64) -> usize {
         self.drive_chosen_gateways(plan, rate, seconds, |random, gateways| {
@@ -130,8 +130,9 @@
         })
     }
 
-    /// Sends requests of one customer at a steady rate, each through the gateway that `choose`
-    /// returns for the number of gateways. Returns how many attempts were sent and completed.
+    /// Sends `rate` requests of one customer per second. `choose` returns the index of the gateway
+    /// for each request, and is given the number of gateways. Returns how many attempts were sent
+    /// and completed.
     pub(crate) fn drive_chosen_gateways(
         &mut self,
         plan: PlanId,
@@ -142,22 +143,23 @@
         let mut sent = 0;
         for _ in 0..seconds * rate {
             let index = choose(&mut self.random, self.gateways.len());
-            self.gateways[index].request(IDEMPOTENT, plan, CUSTOMER, 2 * S);
+            self.gateways[index].request(IDEMPOTENT, plan, CUSTOMER, 2 * SECOND);
             self.collect_messages(index);
-            self.advance(S / rate);
+            self.advance(SECOND / rate);
             sent += self.complete_all();
         }
         sent
     }
 
-    /// Replaces a gateway by a new one without state; messages in transit to it still arrive.
+    /// Replaces a gateway with a new gateway without state, which also receives the messages that
+    /// are in transit to the old one.
     pub(crate) fn restart(&mut self, index: usize, seed: u64, settings: Settings, servers: u64) {
         let now = self.gateways[index].now;
         self.gateways[index] = GatewayHarness::with_servers(seed, settings, now, servers);
         self.actions_collected[index] = 0;
     }
 
-    /// Replaces all gateways by new ones without state and with the default settings.
+    /// Replaces all gateways with new gateways without state and with the default settings.
     pub(crate) fn restart_all(&mut self, seed: u64, servers: u64) {
         let count = self.gateways.len();
         for index in 0..count {
--- a/crates/gateway-core/tests/common/harness.rs
+++ b/crates/gateway-core/tests/common/harness.rs
@@ -2,13 +2,13 @@
 //! gateway's state, checks every action against the rules of the platform.
 
 use super::request_log::RequestLog;
-use super::{Micros, CUSTOMER, IDEMPOTENT, MS, S, UNLIMITED};
+use super::{Micros, CUSTOMER, IDEMPOTENT, MILLISECOND, SECOND, UNLIMITED};
 use gateway_core::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Step of the clock, after which due timers fire.
-const TIMER_STEP: Micros = 2 * MS;
+const TIMER_STEP: Micros = 2 * MILLISECOND;
 
 pub(crate) struct PendingTimer {
     pub(crate) fires_at: Micros,
@@ -35,7 +35,7 @@
     pub(crate) actions: Vec<Action>,
     /// The gateways that receive the customers' requests.
     pub(crate) customer_gateways: GatewaySet,
-    /// Number of requests in flight that each server reports; other servers report none.
+    /// Number of requests in flight that each server reports; servers without an entry report none.
     pub(crate) reported_loads: BTreeMap<ServerId, f64>,
     requests: RequestLog,
     last_request: u64,
@@ -72,8 +72,8 @@
         harness
     }
 
-    /// Returns the only gateway of its customers, which decides on their quotas without messages to
-    /// other gateways.
+    /// Creates a gateway that receives all requests of its customers, so that it decides on their
+    /// quotas without messages to other gateways.
     pub(crate) fn sole_gateway(seed: u64, settings: Settings, now: Micros, servers: u64) -> Self {
         let customer_gateways = GatewaySet {
             first: settings.gateway_id,
@@ -138,7 +138,8 @@
     }
 
     /// Passes idempotent requests without a quota to the gateway, one per interval, and completes
-    /// each with success if it is sent immediately. Returns the servers that they were sent to.
+    /// each with success if it is sent immediately. Returns the servers of the requests that were
+    /// sent.
     pub(crate) fn complete_sequential_requests(
         &mut self,
         count: usize,
@@ -146,7 +147,7 @@
     ) -> Vec<ServerId> {
         let mut servers = Vec::new();
         for _ in 0..count {
-            let id = self.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
+            let id = self.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * SECOND);
             if let Some(server) = self.server_of(&id) {
                 servers.push(server);
                 self.finish(&id, AttemptOutcome::Success);
@@ -165,7 +166,7 @@
         Some(attempt.server)
     }
 
-    /// Finishes the attempt in flight of a request, and returns the resulting actions.
+    /// Finishes the attempt that a request has in flight, and returns the resulting actions.
     pub(crate) fn finish(&mut self, id: &RequestId, outcome: AttemptOutcome) -> Vec<Action> {
         let index = self
             .in_flight
--- a/crates/gateway-core/tests/policy/in_flight_limit.rs
+++ b/crates/gateway-core/tests/policy/in_flight_limit.rs
@@ -1,4 +1,4 @@
-//! When the in-flight limit of the lowest class starts.
+//! The conditions under which the in-flight limit of the lowest class starts.
 
 use crate::common::*;
 use gateway_core::*;
@@ -6,12 +6,12 @@
 /// Returns whether the in-flight limit has started after requests of a plan have arrived faster
 /// than they were served.
 fn has_limit_after_overload(plan: PlanId) -> bool {
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), S, 4);
+    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), SECOND, 4);
     for _ in 0..40 {
-        gateway.request(NON_IDEMPOTENT, plan, CUSTOMER, 5 * S);
+        gateway.request(NON_IDEMPOTENT, plan, CUSTOMER, 5 * SECOND);
     }
     for _ in 0..16 {
-        gateway.advance(150 * MS);
+        gateway.advance(150 * MILLISECOND);
         // With a concurrency limit, attempts in flight are completed soon; without one, all of them
         // hang.
         if plan == TWO_CONCURRENT {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn missed_objectives_start_in_flight_limit_and_concurrency_limit_does_not() {
+fn in_flight_limit_starts_after_missed_objectives_but_not_under_concurrency_limit() {
     assert!(has_limit_after_overload(UNLIMITED));
     assert!(!has_limit_after_overload(TWO_CONCURRENT));
 }
--- a/crates/gateway-core/tests/policy/slow_start.rs
+++ b/crates/gateway-core/tests/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Servers that have just started receive no more attempts than they can process by then.
+//! Servers that are warming up receive no more attempts than they can process.
 
 use crate::common::*;
 use gateway_core::*;
@@ -6,10 +6,10 @@
 
 #[test]
 fn warming_up_server_receives_fewer_attempts_than_warm_server() {
-    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), 100 * S, 1);
+    let mut gateway = GatewayHarness::with_servers(3, settings(0, 1), 100 * SECOND, 1);
     for _ in 0..400 {
-        let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
-        gateway.advance(20 * MS);
+        let id = gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * SECOND);
+        gateway.advance(20 * MILLISECOND);
         if gateway.server_of(&id).is_some() {
             gateway.finish(&id, AttemptOutcome::Success);
         }
@@ -22,34 +22,34 @@
     let mut sent = 0;
     for _ in 0..50 {
         let before = gateway.sent_count();
-        gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * S);
-        gateway.advance(20 * MS);
+        gateway.request(IDEMPOTENT, UNLIMITED, CUSTOMER, 2 * SECOND);
+        gateway.advance(20 * MILLISECOND);
         sent += gateway.sent_count() - before;
         gateway.complete_all();
     }
-    // The warm server completed about 45 attempts per second. The new one can complete a fifth of
-    // that, and collapses at three times that fifth.
+    // The warm server completed about 45 attempts per second. The new server can complete a fifth
+    // of that rate, and collapses at three times that fifth.
     assert!((1..=27).contains(&sent), "{sent} attempts were sent");
 }
 
 const SECONDS: usize = 5;
 
-/// Returns the attempts in each second that one gateway, the only one of its customer, sends to a
-/// server that has just started.
+/// Returns how many attempts one gateway sends in each second to a server that has just started.
+/// The gateway is the only one of its customer.
 fn sent_by_second(number: u32) -> [usize; SECONDS] {
     let mut gateway = Gateway::new(
         u64::from(number),
         settings(number, LARGE_FLEET),
-        Timestamp::from_micros(S),
+        Timestamp::from_micros(SECOND),
     )
     .expect("valid settings");
     let endpoints = vec![Endpoint {
-        started_at: Some(Timestamp::from_micros(S)),
+        started_at: Some(Timestamp::from_micros(SECOND)),
         ..ready_endpoint(0)
     }];
     let mut actions = Vec::new();
     gateway.handle(
-        Timestamp::from_micros(S),
+        Timestamp::from_micros(SECOND),
         Event::EndpointsUpdated {
             kind: EndpointUpdate::Snapshot,
             endpoints,
@@ -58,7 +58,7 @@
     );
     let mut sent = [0; SECONDS];
     for step in 0..SECONDS as u64 * 100 {
-        let now = S + step * 10 * MS;
+        let now = SECOND + step * 10 * MILLISECOND;
         gateway.handle(
             Timestamp::from_micros(now),
             Event::TimerFired { token: 0 },
@@ -75,7 +75,7 @@
                     first: GatewayId(number),
                     count: 1,
                 },
-                client_timeout: Duration::from_micros(S),
+                client_timeout: Duration::from_micros(SECOND),
             };
             gateway.handle(Timestamp::from_micros(now), request, &mut actions);
         }
@@ -93,8 +93,9 @@
             *sum += sent;
         }
     }
-    // The gateways do not know of each other, and the server has a fifth to half of its capacity:
-    // all gateways together send that fraction of 1.5 attempts per second, and what chance adds.
+    // The gateways exchange no messages, and the server has a fifth to half of its capacity: all
+    // gateways together send on average that fraction of 1.5 attempts per second. The limit of 5
+    // leaves room for random variation.
     assert!(
         by_second.iter().all(|sent| *sent <= 5),
         "attempts in each second: {by_second:?}"
--- a/crates/gateway-core/tests/reconnect.rs
+++ b/crates/gateway-core/tests/reconnect.rs
@@ -1,13 +1,13 @@
-//! Tests of the reconnect policy, without sockets or a clock. All sequences of events that can
-//! delay the next attempt are tried, and the longest time that a change at discovery waits for an
-//! attempt is checked.
+//! Tests of the reconnect policy, without sockets or a clock. They simulate all short sequences of
+//! events that can delay the next attempt, and check the longest time for which a change at
+//! discovery waits for an attempt.
 
 use gateway_core::reconnect::{first_list_timeout, ReconnectPolicy, WatchEvent, WatchFailure};
 use std::time::Duration;
 
-/// Time within which the platform requires an edge node to know a change.
+/// Time within which an edge node has to know a change at discovery, as the platform requires.
 const CHANGE_KNOWN_WITHIN: Duration = Duration::from_secs(6);
-/// Time reserved for the successful attempt and the read of its list.
+/// Part of that time that is reserved for the successful attempt and for reading its list.
 const ANSWER_TIME: Duration = Duration::from_millis(500);
 /// Smallest difference between two times.
 const TIME_RESOLUTION: Duration = Duration::from_nanos(1);
@@ -54,8 +54,8 @@
 struct Simulation {
     policy: ReconnectPolicy,
     now: Duration,
-    list_received: bool,
-    /// The last time at which a change at discovery would have become known: the start of an
+    has_received_list: bool,
+    /// The latest time at which a change at discovery would have become known: the start of an
     /// attempt that could have been answered, or an event on a watch that has received its list.
     last_known_at: Duration,
 }
@@ -67,13 +67,13 @@
         Simulation {
             policy,
             now: Duration::ZERO,
-            list_received: false,
+            has_received_list: false,
             last_known_at: Duration::ZERO,
         }
     }
 
-    /// Takes a step, and returns the longest time that a change may wait for the next attempt after
-    /// it.
+    /// Takes a step, and returns the longest time that a change at discovery may have to wait for
+    /// the next attempt.
     fn step(&mut self, step: Step, jitter: f64) -> Duration {
         let last = self
             .policy
@@ -81,15 +81,15 @@
             .saturating_sub(TIME_RESOLUTION)
             .max(self.now);
         match step {
-            Step::Receives(event) => self.receives(event),
+            Step::Receives(event) => self.receive(event),
             Step::ReceivesLate(event) => {
                 self.now = last;
-                self.receives(event);
+                self.receive(event);
             }
-            Step::Fails(failure) => return self.fails(failure, jitter),
+            Step::Fails(failure) => return self.fail(failure, jitter),
             Step::FailsLate(failure) => {
                 self.now = self.policy.deadline().max(self.now);
-                return self.fails(failure, jitter);
+                return self.fail(failure, jitter);
             }
             Step::AddressChanges => {
                 self.policy.address_changed();
@@ -99,15 +99,15 @@
         self.policy.deadline().saturating_sub(self.last_known_at)
     }
 
-    fn receives(&mut self, event: WatchEvent) {
+    fn receive(&mut self, event: WatchEvent) {
         self.policy.event_received(self.now, event);
-        self.list_received |= event == WatchEvent::List;
-        if self.list_received && event != WatchEvent::PartialList {
+        self.has_received_list |= event == WatchEvent::List;
+        if self.has_received_list && event != WatchEvent::PartialList {
             self.last_known_at = self.now;
         }
     }
 
-    fn fails(&mut self, failure: WatchFailure, jitter: f64) -> Duration {
+    fn fail(&mut self, failure: WatchFailure, jitter: f64) -> Duration {
         self.now = self
             .policy
             .attempt_failed(self.now, failure, jitter)
@@ -118,7 +118,7 @@
     fn start_attempt(&mut self) -> Duration {
         let waited = self.now - self.last_known_at;
         self.policy.attempt_started(self.now);
-        self.list_received = false;
+        self.has_received_list = false;
         self.last_known_at = self.now;
         waited
     }
@@ -171,8 +171,8 @@
     }
 }
 
-/// After every sequence of steps before a change, and after every failure of the first attempt after
-/// the change, the following attempt is made in time.
+/// After every sequence of steps before a change, and after every failure of the first attempt
+/// after the change, the second attempt starts in time.
 #[test]
 fn second_attempt_after_change_starts_in_time_if_first_fails() {
     for grace in DRAIN_GRACES {
@@ -180,15 +180,15 @@
         run_all_sequences(&Simulation::new(grace), STEPS - 1, &mut |simulation, _| {
             // The change happens now, and the watch that is already open does not report it.
             let change = simulation.last_known_at.max(simulation.now);
-            for open in [WatchFailure::ConnectionLost, WatchFailure::Rejected] {
-                for next in [
+            for open_watch_failure in [WatchFailure::ConnectionLost, WatchFailure::Rejected] {
+                for first_attempt_failure in [
                     Step::Fails(WatchFailure::ConnectionLost),
                     Step::Fails(WatchFailure::Rejected),
                     Step::FailsLate(WatchFailure::ConnectionLost),
                 ] {
                     let mut simulation = simulation.clone();
-                    simulation.step(Step::FailsLate(open), 1.0);
-                    simulation.step(next, 1.0);
+                    simulation.step(Step::FailsLate(open_watch_failure), 1.0);
+                    simulation.step(first_attempt_failure, 1.0);
                     longest = longest.max(simulation.now - change);
                 }
             }
@@ -200,7 +200,7 @@
     }
 }
 
-/// A watch on a discovery agent that sends heartbeats but no list is given up.
+/// If a discovery agent sends heartbeats but no list, the edge node gives up the watch.
 #[test]
 fn heartbeats_do_not_extend_watch_without_list() {
     let mut policy = ReconnectPolicy::new(Duration::from_secs(20));
@@ -249,8 +249,8 @@
         let mut now = Duration::ZERO;
         for _ in 0..10 {
             policy.attempt_started(now);
-            // The largest jitter makes the backoff half as long again. The list then arrives
-            // within the answer timeout.
+            // The largest jitter makes the backoff one and a half times as long. The list then
+            // arrives within the answer timeout.
             let answer_timeout = policy.deadline() - now;
             let backoff = policy.attempt_failed(now, WatchFailure::ConnectionLost, 1.0) - now;
             assert!(answer_timeout + backoff < grace / 2, "{policy:?}");
--- a/crates/gateway-core/tests/server_table.rs
+++ b/crates/gateway-core/tests/server_table.rs
@@ -1,10 +1,11 @@
-//! Tests of which entries of the server table a gateway of a large fleet visits, and which servers
-//! it uses. Visits are counted and not timed, so that the tests do not depend on the machine.
+//! Tests how many entries of its server table a gateway of a large fleet visits, and which servers
+//! the gateway uses. Visits are counted and not timed, so that the tests do not depend on the
+//! machine.
 
 mod common;
 mod gateway_pair;
 
-use common::{settings, GatewayHarness, KEYED_BY_CELL, S, UNLIMITED};
+use common::{settings, GatewayHarness, KEYED_BY_CELL, SECOND, UNLIMITED};
 use gateway_core::*;
 use gateway_pair::{delta, endpoint, server_number, snapshot, GatewayPair};
 use std::collections::BTreeSet;
@@ -107,7 +108,7 @@
         .collect();
     assert!(
         replacements.len() >= removed.len() / 2,
-        "{} servers replaced {} removed servers",
+        "only {} new servers were used in place of {} removed servers",
         replacements.len(),
         removed.len()
     );
@@ -148,15 +149,15 @@
     );
 }
 
-/// If only the servers of one cell recognise an idempotency key, a retry must go to one of these few
-/// servers.
+/// If only the servers of one cell recognise an idempotency key, a retry must go to one of these
+/// few servers.
 #[test]
 fn retry_of_request_keyed_by_cell_stays_in_cell() {
-    let mut gateway = GatewayHarness::new(3, settings(0, 4_200), S);
+    let mut gateway = GatewayHarness::new(3, settings(0, 4_200), SECOND);
     gateway.customer_gateways.count = 1;
     gateway.update_endpoints(EndpointUpdate::Snapshot, (0..5_000).map(endpoint).collect());
     for round in 0..20 {
-        let id = gateway.request(KEYED_BY_CELL, UNLIMITED, CustomerId(round), 2 * S);
+        let id = gateway.request(KEYED_BY_CELL, UNLIMITED, CustomerId(round), 2 * SECOND);
         let first = gateway.server_of(&id).expect("a first attempt");
         gateway.finish(&id, AttemptOutcome::ConnectionLost);
         let retry = gateway.server_of(&id).expect("a retry");
